--- /dev/null
+++ b/src/test/java/honeygap/flags/EvaluationCoordinatorTest.java
@@ -0,0 +1,408 @@
+package honeygap.flags;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import honeygap.fleet.Appliance;
+import honeygap.fleet.Build;
+import honeygap.fleet.Location;
+import honeygap.fleet.Method;
+import honeygap.fleet.Pick;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What {@code Answers} and the structures beneath it decide, on a clock of their own. */
+class EvaluationCoordinatorTest {
+
+    private static final Method METHOD = new Method(0, Method.IDEMPOTENT, 0, 0, 1000, 10_000, 1, 0);
+
+    /** Answers, with what it says written down as words. */
+    private static final class Harness implements Answers.Out {
+
+        final Answers coordinator;
+        final List<String> results = new ArrayList<>();
+        final List<Shared> requests = new ArrayList<>();
+        final Map<Evaluation, String> names = new HashMap<>();
+        long now = 100_000;
+
+        Harness(boolean sharing, int keys, Allowance... allowances) {
+            coordinator = new Answers(sharing, 10, List.of(allowances), new Versions(keys, 1024), new Kept(1 << 16));
+            coordinator.now(now);
+        }
+
+        Evaluation ask(String name, String flag, long targetingKeyHash, long clientVersion, long timeout) {
+            byte[] identity = (flag + targetingKeyHash).getBytes(StandardCharsets.UTF_8);
+            Question question = new Question(METHOD, flag, targetingKeyHash, identity, targetingKeyHash * 31 + flag.hashCode(), true);
+            Evaluation evaluation = new Evaluation(question, now, now + timeout, clientVersion);
+            names.put(evaluation, name);
+            coordinator.asked(evaluation);
+            drainDecisions();
+            return evaluation;
+        }
+
+        Evaluation ask(String name, long targetingKeyHash) {
+            return ask(name, "f", targetingKeyHash, Served.NO_VERSION, 10_000);
+        }
+
+        int serve(int request, long version, boolean isOnTrial) {
+            return serve(request, 200, version, 0, isOnTrial);
+        }
+
+        int serve(int request, int status, long version, int type, boolean isOnTrial) {
+            String flag = requests.get(request).question.flag;
+            int outcome = coordinator.served(requests.get(request), new Served(status,
+                    ("v" + version).getBytes(StandardCharsets.UTF_8), version, version,
+                    status == 200 ? Map.of(flag, type) : Map.of()), isOnTrial);
+            drainDecisions();
+            return outcome;
+        }
+
+        void fail(int request, boolean isPushedBack) {
+            coordinator.givenUp(this.requests.get(request), isPushedBack, 500);
+            drainDecisions();
+        }
+
+        void advance(long duration) {
+            now += duration;
+            coordinator.now(now);
+            drainDecisions();
+        }
+
+        void drainDecisions() {
+            while (coordinator.next(this)) {
+                continue;
+            }
+        }
+
+        String takeResults() {
+            String text = String.join(" ", results);
+            results.clear();
+            return text;
+        }
+
+        @Override
+        public void open(Shared request) {
+            requests.add(request);
+        }
+
+        @Override
+        public void answer(Evaluation evaluation, Served answer, int source) {
+            results.add(names.get(evaluation) + ":" + (answer.isGood() ? new String(answer.body,
+                    StandardCharsets.UTF_8) : answer.status) + (source == Answers.FRESH ? "" : source == Answers.CACHED
+                    ? "cached" : "stale"));
+        }
+
+        @Override
+        public void pushBack(Evaluation evaluation, long retryAfter) {
+            results.add(names.get(evaluation) + ":back");
+        }
+
+        @Override
+        public void abort(Evaluation evaluation) {
+            results.add(names.get(evaluation) + ":abort");
+        }
+
+        @Override
+        public void drop(Shared request) {
+            results.add("drop");
+        }
+
+        @Override
+        public void wake(long delay) {
+            // Each test moves the clock.
+        }
+    }
+
+    /** The same question asked at once shares a pick, as long as enough of its time is left; others do not. */
+    @ParameterizedTest
+    @CsvSource({"true,0,1,1", "true,5000,1,1", "true,5001,1,2", "true,0,2,2", "false,0,1,2"})
+    void identicalQueriesShareAPick(boolean isSharing, long delay, long secondTargetingKey, int expectedRequests) {
+        Harness harness = new Harness(isSharing, 64);
+        harness.ask("a", 1);
+        harness.advance(delay);
+        harness.ask("b", secondTargetingKey);
+        assertEquals(expectedRequests, harness.requests.size());
+        assertEquals(Pick.OK, harness.serve(0, 1, false));
+        assertEquals(expectedRequests == 1 ? "a:v1 b:v1" : "a:v1", harness.takeResults());
+        if (expectedRequests == 2) {
+            harness.serve(1, 1, false);
+            assertEquals("b:v1", harness.takeResults());
+        }
+    }
+
+    /** Each that shares has its own deadline, its own leaving; the pick goes on for whoever is left. */
+    @Test
+    void sharingEvaluationsEndSeparately() {
+        Harness harness = new Harness(true, 64);
+        Evaluation a = harness.ask("a", 1);
+        harness.ask("b", "f", 1, Served.NO_VERSION, 300);
+        harness.ask("c", 1);
+        harness.coordinator.left(a);
+        harness.advance(289);
+        assertEquals("", harness.takeResults());
+        harness.advance(1);
+        assertEquals("b:abort", harness.takeResults());
+        assertEquals(Pick.OK, harness.serve(0, 1, false));
+        assertEquals("c:v1", harness.takeResults());
+        // A second answer, a late one, and a late giving up reach nobody.
+        assertEquals(Pick.OK, harness.serve(0, 2, false));
+        harness.fail(0, true);
+        assertEquals("", harness.takeResults());
+        Evaluation d = harness.ask("d", 1);
+        harness.coordinator.left(d);
+        harness.drainDecisions();
+        assertEquals("drop", harness.takeResults());
+        assertEquals(0, harness.coordinator.activeEvaluations());
+    }
+
+    /** A pick on trial answers one evaluation; the others ask anew, and nobody joins it. */
+    @Test
+    void trialBuildAnswersOneEvaluation() {
+        Harness harness = new Harness(true, 64);
+        harness.ask("a", 1);
+        harness.ask("b", 1);
+        harness.ask("c", 1);
+        harness.coordinator.picked(harness.requests.get(0), true);
+        harness.drainDecisions();
+        assertEquals(2, harness.requests.size());
+        harness.ask("d", 1);
+        assertEquals(2, harness.requests.size(), "d waits with b and c");
+        harness.serve(0, 1, true);
+        assertEquals("a:v1", harness.takeResults());
+        harness.serve(1, 1, false);
+        assertEquals("b:v1 c:v1 d:v1", harness.takeResults());
+    }
+
+    /** Versions that a key meets, one after another: what each answer does, and what the client hears. */
+    @ParameterizedTest
+    @CsvSource({"5 6,ok ok,a:v5 b:v6", "5 5,ok ok,a:v5 b:v5", "6 5,ok older,a:v6", "6 -1,ok ok,a:v6 b:v-1",
+        "-1 5,ok ok,a:v-1 b:v5"})
+    void versionsOfAKeyNeverDecrease(String versions, String outcomes, String expected) {
+        Harness harness = new Harness(true, 64);
+        String[] outcomeNames = outcomes.split(" ");
+        String[] versionNumbers = versions.split(" ");
+        for (int i = 0; i < versionNumbers.length; i++) {
+            harness.ask(i == 0 ? "a" : "b", 1);
+            assertEquals(outcomeNames[i].equals("ok") ? Pick.OK : Pick.MOOT,
+                    harness.serve(i, Long.parseLong(versionNumbers[i]), false));
+        }
+        assertEquals(expected, harness.takeResults());
+    }
+
+    /** Two open at once for one key, answered the wrong way round: the older answer is turned down. */
+    @Test
+    void outdatedAnswerOfConcurrentRequestIsRefused() {
+        Harness harness = new Harness(false, 64);
+        harness.ask("a", 1);
+        harness.ask("b", 1);
+        assertEquals(Pick.OK, harness.serve(0, 6, false));
+        assertEquals(Pick.MOOT, harness.serve(1, 5, false));
+        assertEquals(Pick.OK, harness.serve(1, 6, false));
+        assertEquals("a:v6 b:v6", harness.takeResults());
+    }
+
+    /** What the client says that it holds binds this evaluation, not others of the key. */
+    @Test
+    void clientVersionBindsOneEvaluation() {
+        Harness harness = new Harness(false, 64);
+        harness.ask("a", "f", 1, 9, 10_000);
+        assertEquals(Pick.MOOT, harness.serve(0, 5, false));
+        harness.ask("b", 1);
+        assertEquals(Pick.OK, harness.serve(1, 5, false));
+        assertEquals("b:v5", harness.takeResults());
+    }
+
+    /** Given up: the last good answer by its age and the key's version, or else what the rules said. */
+    @ParameterizedTest
+    @CsvSource({"f,0,5,true,b:v5cached", "f,3000,5,true,b:v5cached", "f,3001,5,true,b:v5stale",
+        "*,9000,5,false,b:v5stale", "f,9001,5,true,b:back", "g,0,5,true,b:back", "f,0,6,true,b:back",
+        "f,0,6,false,b:abort", "*e*,0,5,true,b:back", "*,0,5,true,b:v5cached"})
+    void cachedAnswerAfterFailure(String pattern, long age, long keyVersion, boolean isPushedBack, String expected) {
+        Harness harness = new Harness(true, 64, new Allowance(pattern, 3000, 9000));
+        harness.ask("a", 1);
+        harness.serve(0, 5, false);
+        if (keyVersion > 5) {
+            // The key has met a newer version by another flag, which is not what is kept for this one.
+            harness.ask("x", "x", 1, Served.NO_VERSION, 10_000);
+            harness.serve(1, keyVersion, false);
+        }
+        harness.takeResults();
+        harness.advance(age);
+        harness.ask("b", 1);
+        harness.fail(harness.requests.size() - 1, isPushedBack);
+        assertEquals(expected, harness.takeResults());
+    }
+
+    /** Too late for every server: at its own deadline an evaluation has the last good answer as well. */
+    @Test
+    void cachedAnswerAtDeadline() {
+        Harness harness = new Harness(true, 64, new Allowance("*", 0, 100_000));
+        harness.ask("a", 1);
+        harness.serve(0, 5, false);
+        harness.ask("b", 1);
+        harness.advance(9_990);
+        assertEquals("a:v5 b:v5stale drop", harness.takeResults());
+    }
+
+    /** A build on trial that gives another type, or knows no flag that is known, has failed; others lag. */
+    @ParameterizedTest
+    @CsvSource({"200,5,1,true,1", "200,4,1,true,1", "200,6,1,true,0", "200,-1,1,true,1", "200,5,0,true,0",
+        "200,5,1,false,0", "404,-1,0,true,1", "404,-1,0,false,7", "400,-1,0,true,0"})
+    void unexpectedTypeOrUnknownFlag(int status, long version, int type, boolean isOnTrial, int outcome) {
+        Harness harness = new Harness(false, 64);
+        harness.ask("a", 1);
+        harness.serve(0, 200, 5, 0, false);
+        harness.ask("b", 2);
+        assertEquals(outcome, harness.serve(1, status, version, type, isOnTrial));
+    }
+
+    /** A flag that released servers no longer know is gone after a few of them have said so. */
+    @Test
+    void deletedFlag() {
+        Harness harness = new Harness(false, 64);
+        harness.ask("a", 1);
+        harness.serve(0, 200, 5, 0, false);
+        harness.takeResults();
+        for (int i = 0; i < 3; i++) {
+            harness.ask("b", 2);
+            assertEquals(Pick.MOOT, harness.serve(1 + i, 404, -1, 0, false));
+        }
+        harness.ask("c", 2);
+        assertEquals(Pick.OK, harness.serve(4, 404, -1, 0, false));
+        assertEquals("c:404", harness.takeResults());
+    }
+
+    /** Against a plain map: never below what a key has met, however little room there is. */
+    @ParameterizedTest
+    @ValueSource(ints = {8, 64, 1000})
+    void versionFloorNeverDecreases(int capacity) {
+        Random random = new Random(capacity);
+        Versions versions = new Versions(capacity, 256);
+        Map<Long, Long> reference = new HashMap<>();
+        long bytes = versions.memoryBytes();
+        int exactCount = 0;
+        for (int i = 0; i < 20_000; i++) {
+            long key = 1 + random.nextInt(400) * 0x9e3779b97f4a7c15L;
+            long version = i / 200 - random.nextInt(3);
+            long floor = versions.floor(key);
+            assertTrue(floor >= reference.getOrDefault(key, -1L), "seed " + capacity + ", step " + i);
+            exactCount += floor == reference.getOrDefault(key, -1L) ? 1 : 0;
+            if (version >= floor) {
+                versions.met(key, version);
+                reference.merge(key, version, Math::max);
+            }
+        }
+        assertEquals(bytes, versions.memoryBytes());
+        assertTrue(capacity < 1000 || exactCount == 20_000, "with room for all it is exact: " + exactCount);
+        assertTrue(versions.size() <= Math.max(8, capacity * 2));
+    }
+
+    /** Against a plain map: what is found is what was kept last for that very question, never another's. */
+    @ParameterizedTest
+    @ValueSource(ints = {0, 4096, 65_536})
+    void cacheMatchesReferenceMap(int capacity) {
+        Random random = new Random(capacity);
+        Kept cache = new Kept(capacity);
+        Map<String, String> reference = new HashMap<>();
+        int foundCount = 0;
+        for (int i = 0; i < 20_000; i++) {
+            String name = "q" + random.nextInt(100);
+            // Few hashes, so that questions share them.
+            Question query = new Question(METHOD, name, 1, name.getBytes(StandardCharsets.UTF_8),
+                    name.hashCode() % 17, true);
+            int position = cache.find(query);
+            if (position >= 0) {
+                foundCount++;
+                assertEquals(reference.get(name), new String(cache.body(position), StandardCharsets.UTF_8),
+                        "seed " + capacity + ", step " + i);
+                assertEquals(reference.get(name).length(), cache.version(position));
+            }
+            if (random.nextInt(4) == 0) {
+                String body = "b".repeat(random.nextInt(200)) + i;
+                if (32 + name.length() + body.length() <= capacity / 16) {
+                    reference.put(name, body);
+                }
+                cache.keep(query, body.length(), body.getBytes(StandardCharsets.UTF_8), i);
+            }
+        }
+        assertEquals(capacity > 0, foundCount > 0);
+        assertTrue(capacity < 65_536 || foundCount > 10_000, "found " + foundCount);
+    }
+
+    /** What servers say of when to come back bars them, bounds their location, and ends by itself. */
+    @Test
+    void retryAfterLimits() {
+        Limits limits = new Limits(100_000);
+        limits.now(1000);
+        Location east = new Location();
+        Appliance[] servers = {new Appliance(1), new Appliance(2), new Appliance(3)};
+        for (Appliance server : servers) {
+            server.zone = east;
+            server.room.out = 2;
+        }
+        east.out = 6;
+        limits.told(servers[0], 20_000);
+        assertEquals(21_000, servers[0].barredUntil);
+        assertEquals("4 21000", east.most + " " + east.limitedUntil);
+        limits.told(servers[1], 5_000);
+        assertEquals("0 6000", east.most + " " + east.limitedUntil, "two bar the location until the first opens");
+        assertEquals(5_000, limits.opensIn());
+        limits.now(7000);
+        assertEquals(14_000, limits.opensIn());
+        limits.told(servers[2], Long.MAX_VALUE);
+        assertEquals(107_000, servers[2].barredUntil, "no word holds for longer than allowed");
+        limits.now(200_000);
+        assertEquals(0, limits.opensIn());
+    }
+
+    /** The stages of a house: what each vote makes of them, and which servers may be listed. */
+    @ParameterizedTest
+    @CsvSource({
+        "1 2,2:0:1,2:0@1,12", "1 2,2:0:1 2:1:1,2:2@1,12", "1 2,2:0:3,2:3@0,1", "1 2,2:0:2,2:0@0,12",
+        "1 2,2:1:1,2:0@0,12", "1 2 3,2:0:1,2:0@1,12", "1 2 3,2:0:1 2:1:1,3:0@0,123", "1 2 3,2:0:3,3:0@0,13",
+        "1,1:0:3,1:2@0,1", "4,'',4:2@0,4"})
+    void localRollout(String builds, String votes, String expectedStatus, String expectedBuilds) {
+        House rollout = new House(new double[] {0.1, 0.5}, -1);
+        Set<Integer> available = new java.util.TreeSet<>();
+        for (String build : builds.split(" ")) {
+            available.add(Integer.parseInt(build));
+        }
+        String[] lastStatus = {""};
+        House.Out listener = new House.Out() {
+            @Override
+            public void told(int build, int phase, int stage, double cap, boolean answer, long since) {
+                lastStatus[0] = build + ":" + phase + "@" + stage;
+            }
+
+            @Override
+            public void list() {
+                lastStatus[0] += "";
+            }
+        };
+        rollout.listed(available);
+        while (rollout.next(listener)) {
+            continue;
+        }
+        for (String vote : votes.isEmpty() ? new String[0] : votes.split(" ")) {
+            String[] parts = vote.split(":");
+            rollout.now(1000);
+            rollout.voted(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]));
+            while (rollout.next(listener)) {
+                continue;
+            }
+        }
+        assertEquals(expectedStatus, lastStatus[0]);
+        StringBuilder admitted = new StringBuilder();
+        available.stream().filter(rollout::admits).forEach(admitted::append);
+        assertEquals(expectedBuilds, admitted.toString());
+    }
+}
--- a/src/test/java/honeygap/net/FlagsTest.java
+++ b/src/test/java/honeygap/net/FlagsTest.java
@@ -37,7 +37,7 @@
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FlagsTest {
 
-    private final List<AutoCloseable> open = java.util.Collections.synchronizedList(new ArrayList<>());
+    private final List<AutoCloseable> openPeers = java.util.Collections.synchronizedList(new ArrayList<>());
     private Agent agent;
     private Flags flags;
 
@@ -47,26 +47,26 @@
         if (agent != null) {
             agent.end();
         }
-        for (AutoCloseable peer : List.copyOf(open)) {
+        for (AutoCloseable peer : List.copyOf(openPeers)) {
             peer.close();
         }
     }
 
     /** A flag server that plays a script a request, the last one over again. */
-    final class Scripted implements AutoCloseable {
+    final class ScriptedServer implements AutoCloseable {
 
         volatile String[] scripts;
-        final AtomicInteger played = new AtomicInteger();
-        final AtomicInteger connections = new AtomicInteger();
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        final CountDownLatch go = new CountDownLatch(1);
+        final AtomicInteger playedCount = new AtomicInteger();
+        final AtomicInteger connectionCount = new AtomicInteger();
+        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        final CountDownLatch released = new CountDownLatch(1);
         final ServerSocket server;
         private final List<Socket> sockets = new ArrayList<>();
 
-        Scripted(String scripts) throws IOException {
+        ScriptedServer(String scripts) throws IOException {
             this.scripts = scripts.split(" ");
             server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-            open.add(this);
+            openPeers.add(this);
             thread(() -> {
                 while (true) {
                     Socket socket = server.accept();
@@ -74,7 +74,7 @@
                         sockets.add(socket);
                     }
                     socket.setTcpNoDelay(true);
-                    connections.incrementAndGet();
+                    connectionCount.incrementAndGet();
                     thread(() -> serve(socket));
                 }
             });
@@ -85,9 +85,9 @@
             OutputStream out = socket.getOutputStream();
             while (true) {
                 String[] request = Http.read(in);
-                heard.add(request[1] + request[2]);
+                requests.add(request[1] + request[2]);
                 String name = request[0].replaceAll("POST /ofrep/v1/(evaluate/flags/?)?([^ ]*) .*", "$2");
-                String[] script = scripts[Math.min(played.getAndIncrement(), scripts.length - 1)].split(":");
+                String[] script = scripts[Math.min(playedCount.getAndIncrement(), scripts.length - 1)].split(":");
                 String value = script.length > 2 ? script[2] : "true";
                 String version = script.length > 1 ? script[1] : "1";
                 String body = name.isEmpty() ? "{'flags':[" + flag("a", value, version) + ","
@@ -97,7 +97,7 @@
                 }
                 body = body.replace('\'', '"');
                 if (script[0].startsWith("wait")) {
-                    await(go);
+                    await(released);
                 }
                 switch (script[0]) {
                     case "ok", "wait" -> out.write(Http.answer(200, "", body));
@@ -160,7 +160,7 @@
         /** From now on it plays this. */
         void play(String scripts) {
             this.scripts = scripts.split(" ");
-            played.set(0);
+            playedCount.set(0);
         }
 
         @Override
@@ -210,17 +210,17 @@
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(20_000);
             in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-            open.add(this);
+            openPeers.add(this);
         }
 
-        String raw(String words) throws IOException {
-            socket.getOutputStream().write(words.getBytes(StandardCharsets.ISO_8859_1));
-            return hear();
+        String send(String text) throws IOException {
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+            return readResponse();
         }
 
         String[] head = new String[3];
 
-        String hear() {
+        String readResponse() {
             try {
                 head = Http.read(in);
                 return head[0].split(" ")[1] + " " + head[2];
@@ -230,14 +230,14 @@
         }
 
         String post(String path, String key, String fields) throws IOException {
-            return raw(Http.post(path, fields, "{\"context\":{\"targetingKey\":\"" + key + "\"}}"));
+            return send(Http.post(path, fields, "{\"context\":{\"targetingKey\":\"" + key + "\"}}"));
         }
 
-        String one(String flag, String key) throws IOException {
+        String evaluateOne(String flag, String key) throws IOException {
             return post("/ofrep/v1/evaluate/flags/" + flag, key, "");
         }
 
-        String all(String key, String fields) throws IOException {
+        String evaluateAll(String key, String fields) throws IOException {
             return post("/ofrep/v1/evaluate/flags", key, fields);
         }
 
@@ -251,8 +251,8 @@
         }
     }
 
-    static Fields fields(String words) throws IOException, Malformed {
-        try (JsonParser parser = new JsonFactory().createParser(words.replace('\'', '"'))) {
+    static Fields fields(String json) throws IOException, Malformed {
+        try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
             return Fields.document(parser);
         }
     }
@@ -261,24 +261,24 @@
         return "{'name':'" + name + "','address':'" + address + "','build':" + build + ",'status':'" + status + "'}";
     }
 
-    private static final String SOON = "'methods':{'one':{'aim':'200ms','deadline':'1s'},"
+    private static final String SHORT_DEADLINES = "'methods':{'one':{'aim':'200ms','deadline':'1s'},"
             + "'all':{'aim':'200ms','deadline':'1s'},'track':{'deadline':'1s'},"
             + "'tracked':{'deadline':'1s','window':'300ms'}},";
 
-    private void start(String more, String... servers) throws IOException, Malformed {
+    private void start(String settings, String... servers) throws IOException, Malformed {
         Loop loop = new Loop();
-        flags = new Flags(loop, sheet(more, servers), 7);
+        flags = new Flags(loop, configuration(settings, servers), 7);
         agent = new Agent(loop, List.of(flags));
         agent.start();
     }
 
-    private static FlagSheet sheet(String more, String... servers) throws IOException, Malformed {
-        return FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + (more.contains("'methods'") ? "" : SOON) + more
+    private static FlagSheet configuration(String settings, String... servers) throws IOException, Malformed {
+        return FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + (settings.contains("'methods'") ? "" : SHORT_DEADLINES) + settings
                 + "'servers':[" + String.join(",", servers) + "]}"));
     }
 
-    private Scripted start(String scripts) throws IOException, Malformed {
-        Scripted server = new Scripted(scripts);
+    private ScriptedServer start(String scripts) throws IOException, Malformed {
+        ScriptedServer server = new ScriptedServer(scripts);
         start("", server("s", server.address(), 1, "up"));
         return server;
     }
@@ -304,89 +304,89 @@
         "track,ok,200,1", "track,reset ok,500,1", "track,half ok,500,1", "track,500 ok,500,1", "track,503 ok,500,1",
         "track,429 ok,200,2", "track,silent ok,500,1", "track,twice,200,1",
         "tracked,ok,200,1", "tracked,reset ok,200,2", "tracked,half ok,200,2", "tracked,500 ok,200,2"})
-    void outcomes(String method, String scripts, int status, int asked) throws Exception {
-        Scripted server = start(scripts);
+    void serverResponses(String method, String scripts, int status, int expectedRequests) throws Exception {
+        ScriptedServer server = start(scripts);
         Caller caller = new Caller();
-        String heard = switch (method) {
-            case "one" -> caller.one("a", "k");
-            case "all" -> caller.all("k", "");
+        String response = switch (method) {
+            case "one" -> caller.evaluateOne("a", "k");
+            case "all" -> caller.evaluateAll("k", "");
             default -> caller.track(method.equals("track") ? "" : "t1");
         };
-        assertEquals("" + status, heard.substring(0, 3), heard);
-        assertEquals(asked, server.heard.size());
+        assertEquals("" + status, response.substring(0, 3), response);
+        assertEquals(expectedRequests, server.requests.size());
         if (method.equals("tracked")) {
-            assertTrue(server.heard.stream().allMatch(request -> request.contains("Idempotency-Key: t1")));
+            assertTrue(server.requests.stream().allMatch(request -> request.contains("Idempotency-Key: t1")));
         }
     }
 
     /** A tokened event is not sent again once its window is over, nor one without a token at all. */
     @Test
-    void windowOver() throws Exception {
-        Scripted server = start("silent ok");
+    void noRetryAfterTokenWindow() throws Exception {
+        ScriptedServer server = start("silent ok");
         // The first pick takes the whole deadline, longer than the window of 300 ms.
         assertEquals("429", new Caller().track("t1").substring(0, 3).replace("500", "429"));
-        assertEquals(1, server.heard.size());
+        assertEquals(1, server.requests.size());
     }
 
     /** A server that drains halfway: what it has in hand ends once and whole, nothing new goes there. */
     @ParameterizedTest
     @CsvSource({"one,wait", "one,waithalf", "one,waitreset", "all,wait", "all,waithalf"})
-    void drainsHalfway(String method, String script) throws Exception {
-        Scripted first = new Scripted(script + ":1:1");
-        Scripted second = new Scripted("ok:1:2");
+    void serverDrainsDuringRequest(String method, String script) throws Exception {
+        ScriptedServer first = new ScriptedServer(script + ":1:1");
+        ScriptedServer second = new ScriptedServer("ok:1:2");
         start("", server("s1", first.address(), 1, "up"));
         Caller caller = new Caller();
-        CompletableFuture<String> heard = CompletableFuture.supplyAsync(() -> {
+        CompletableFuture<String> response = CompletableFuture.supplyAsync(() -> {
             try {
-                return method.equals("one") ? caller.one("a", "k") : caller.all("k", "");
+                return method.equals("one") ? caller.evaluateOne("a", "k") : caller.evaluateAll("k", "");
             } catch (IOException e) {
                 return e.toString();
             }
         });
-        first.heard.take();
-        agent.reread(List.of(() -> flags.reread(sheet("", server("s1", first.address(), 1, "draining"),
+        first.requests.take();
+        agent.reread(List.of(() -> flags.reread(configuration("", server("s1", first.address(), 1, "draining"),
                 server("s2", second.address(), 1, "up")))));
         while (counter("flag servers", "servers") < 2) {
             Thread.onSpinWait();
         }
-        first.go.countDown();
-        String answer = heard.get();
+        first.released.countDown();
+        String answer = response.get();
         assertEquals("200", answer.substring(0, 3));
         String value = script.equals("wait") ? "1" : "2";
         String other = value.equals("1") ? "2" : "1";
         assertTrue(answer.contains("\"value\":" + value) && !answer.contains("\"value\":" + other), answer);
         for (int i = 0; i < 20; i++) {
-            assertTrue(caller.one("a", "k" + i).contains("\"value\":2"));
+            assertTrue(caller.evaluateOne("a", "k" + i).contains("\"value\":2"));
         }
-        assertEquals(0, first.heard.size(), "nothing new to one that drains");
+        assertEquals(0, first.requests.size(), "nothing new to one that drains");
     }
 
     /** A server that changes its answer between two tries: one of them, whole, and never back afterwards. */
     @Test
-    void changesBetweenTries() throws Exception {
-        Scripted server = start("half:5:1 ok:6:2 ok:5:1");
+    void versionChangesBetweenAttempts() throws Exception {
+        ScriptedServer server = start("half:5:1 ok:6:2 ok:5:1");
         Caller caller = new Caller();
-        assertTrue(caller.one("a", "k").contains("\"version\":\"6\""));
+        assertTrue(caller.evaluateOne("a", "k").contains("\"version\":\"6\""));
         // The set is rolled back: the key that has met 6 never meets 5, others may.
-        assertEquals("429", caller.one("a", "k").substring(0, 3));
-        assertTrue(caller.one("a", "other").contains("\"version\":\"5\""));
+        assertEquals("429", caller.evaluateOne("a", "k").substring(0, 3));
+        assertTrue(caller.evaluateOne("a", "other").contains("\"version\":\"5\""));
         server.play("ok:7:3");
-        assertTrue(caller.one("a", "k").contains("\"version\":\"7\""));
+        assertTrue(caller.evaluateOne("a", "k").contains("\"version\":\"7\""));
         assertEquals(3, counter("flags", "older"));
     }
 
     /** The order holds over servers, single flags and bulk, and by the tag that a client brings along. */
     @Test
-    void orderOverServers() throws Exception {
-        Scripted newer = new Scripted("ok:6:2");
-        Scripted older = new Scripted("ok:5:1");
+    void versionOrderAcrossServers() throws Exception {
+        ScriptedServer newer = new ScriptedServer("ok:6:2");
+        ScriptedServer older = new ScriptedServer("ok:5:1");
         start("", server("s1", newer.address(), 1, "up"), server("s2", older.address(), 1, "up"));
         Caller caller = new Caller();
         String tag = "";
         long last = 0;
         for (int i = 0; i < 200; i++) {
-            String heard = i % 3 == 0 ? caller.all("k", "") : caller.one("a", "k");
-            long version = heard.contains("\"version\":\"6\"") ? 6 : 5;
+            String response = i % 3 == 0 ? caller.evaluateAll("k", "") : caller.evaluateOne("a", "k");
+            long version = response.contains("\"version\":\"6\"") ? 6 : 5;
             assertTrue(version >= last, "step back at " + i);
             last = version;
             tag = caller.head[1].contains("ETag: \"6-") ? caller.head[1].replaceAll("(?s).*ETag: (\\S+).*", "$1")
@@ -396,14 +396,14 @@
         assertFalse(tag.isEmpty());
         // Not modified where the content is the same, whoever is asked; never an older one for this tag.
         for (int i = 0; i < 50; i++) {
-            assertEquals("304 ", caller.all("fresh" + i, "If-None-Match: W/\"x\", " + tag + "\r\n"));
+            assertEquals("304 ", caller.evaluateAll("fresh" + i, "If-None-Match: W/\"x\", " + tag + "\r\n"));
         }
     }
 
     /** Alike questions at once are asked once; each caller is answered. */
     @Test
-    void shared() throws Exception {
-        Scripted server = start("wait");
+    void identicalQueriesAreSentOnce() throws Exception {
+        ScriptedServer server = start("wait");
         List<Caller> callers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             Caller caller = new Caller();
@@ -414,93 +414,93 @@
         while (counter("flags", "shared") < 7) {
             Thread.onSpinWait();
         }
-        server.go.countDown();
+        server.released.countDown();
         for (Caller caller : callers) {
-            assertEquals("200", caller.hear().substring(0, 3));
+            assertEquals("200", caller.readResponse().substring(0, 3));
         }
-        assertEquals(1, server.heard.size());
+        assertEquals(1, server.requests.size());
     }
 
     /** All servers gone, or late, or turning away: last good answers where allowed, errors with a time else. */
     @ParameterizedTest
     @CsvSource({"gone,CACHED", "429:30,CACHED", "silent,CACHED", "500,CACHED"})
-    void nobodyAnswers(String trouble, String reason) throws Exception {
-        Scripted server = new Scripted("ok:5:1");
+    void cachedAnswersWhenNoServerAnswers(String failure, String reason) throws Exception {
+        ScriptedServer server = new ScriptedServer("ok:5:1");
         start("'keep':{'flags':[{'match':'a*','cachedFor':'1m','staleFor':'2m'},"
                 + "{'match':'','cachedFor':'0s','staleFor':'2m'}]},", server("s", server.address(), 1, "up"));
         Caller caller = new Caller();
-        assertEquals("200", caller.one("a", "k").substring(0, 3));
-        assertEquals("200", caller.one("z", "k").substring(0, 3));
-        assertEquals("200", caller.all("k", "").substring(0, 3));
-        if (trouble.equals("gone")) {
-            agent.reread(List.of(() -> flags.reread(sheet("", server("s", server.address(), 1, "draining")))));
+        assertEquals("200", caller.evaluateOne("a", "k").substring(0, 3));
+        assertEquals("200", caller.evaluateOne("z", "k").substring(0, 3));
+        assertEquals("200", caller.evaluateAll("k", "").substring(0, 3));
+        if (failure.equals("gone")) {
+            agent.reread(List.of(() -> flags.reread(configuration("", server("s", server.address(), 1, "draining")))));
         } else {
-            server.play(trouble);
+            server.play(failure);
         }
         for (int i = 0; i < 3; i++) {
-            String heard = caller.one("a", "k");
-            while (heard.contains("STATIC")) {
-                heard = caller.one("a", "k");
+            String response = caller.evaluateOne("a", "k");
+            while (response.contains("STATIC")) {
+                response = caller.evaluateOne("a", "k");
             }
-            assertTrue(heard.startsWith("200") && heard.contains("\"reason\":\"" + reason + "\""), heard);
+            assertTrue(response.startsWith("200") && response.contains("\"reason\":\"" + reason + "\""), response);
         }
-        assertTrue(caller.all("k", "").contains("\"reason\":\"STALE\""));
-        String none = caller.one("z", "k");
-        assertTrue(none.startsWith("429") || none.startsWith("500"), none);
-        if (none.startsWith("429")) {
-            int wait = Integer.parseInt(caller.head[1].replaceAll("(?s).*Retry-After: (\\d+).*", "$1"));
-            assertTrue(trouble.startsWith("429") ? wait >= 25 && wait <= 30 : wait == 1, "wait " + wait);
+        assertTrue(caller.evaluateAll("k", "").contains("\"reason\":\"STALE\""));
+        String uncached = caller.evaluateOne("z", "k");
+        assertTrue(uncached.startsWith("429") || uncached.startsWith("500"), uncached);
+        if (uncached.startsWith("429")) {
+            int retryAfterSeconds = Integer.parseInt(caller.head[1].replaceAll("(?s).*Retry-After: (\\d+).*", "$1"));
+            assertTrue(failure.startsWith("429") ? retryAfterSeconds >= 25 && retryAfterSeconds <= 30 : retryAfterSeconds == 1, "wait " + retryAfterSeconds);
         }
         // Back, and cold: served anew.
         server.play("ok:6:2");
-        agent.reread(List.of(() -> flags.reread(sheet("", server("s", server.address(), 2, "up")))));
-        if (!trouble.startsWith("429")) {
-            String heard = caller.one("a", "k");
-            while (!heard.contains("\"version\":\"6\"")) {
-                heard = caller.one("a", "k");
+        agent.reread(List.of(() -> flags.reread(configuration("", server("s", server.address(), 2, "up")))));
+        if (!failure.startsWith("429")) {
+            String response = caller.evaluateOne("a", "k");
+            while (!response.contains("\"version\":\"6\"")) {
+                response = caller.evaluateOne("a", "k");
             }
         }
     }
 
     /** What a server says of when to come back is kept: it gets nothing until then, the others all. */
     @Test
-    void retryAfter() throws Exception {
-        Scripted tired = new Scripted("429:60");
-        Scripted fine = new Scripted("ok");
-        start("", server("s1", tired.address(), 1, "up"), server("s2", fine.address(), 1, "up"));
+    void retryAfterIsRespected() throws Exception {
+        ScriptedServer overloaded = new ScriptedServer("429:60");
+        ScriptedServer healthy = new ScriptedServer("ok");
+        start("", server("s1", overloaded.address(), 1, "up"), server("s2", healthy.address(), 1, "up"));
         Caller caller = new Caller();
         for (int i = 0; i < 100; i++) {
-            assertEquals("200", caller.one("a", "k" + i).substring(0, 3));
+            assertEquals("200", caller.evaluateOne("a", "k" + i).substring(0, 3));
         }
-        assertEquals(1, tired.heard.size());
+        assertEquals(1, overloaded.requests.size());
     }
 
     /** A build on trial that is wrong goes back, by this agent's vote, and stays under its cap throughout. */
     @ParameterizedTest
     @CsvSource({"500", "ok:1:7", "reset"})
-    void badBuild(String scripts) throws Exception {
-        Scripted good = new Scripted("ok");
-        Scripted bad = new Scripted(scripts);
+    void badBuildIsRolledBack(String scripts) throws Exception {
+        ScriptedServer good = new ScriptedServer("ok");
+        ScriptedServer bad = new ScriptedServer(scripts);
         start("'sharing':false,'rollout':{'caps':[0.2,0.5],'soak':'1h','window':'1s','uncounted':1},",
                 server("s1", good.address(), 1, "up"), server("s2", good.address(), 1, "up"));
         Caller caller = new Caller();
         for (int i = 0; i < 50; i++) {
-            assertEquals("200", caller.one("a", "k" + i).substring(0, 3));
+            assertEquals("200", caller.evaluateOne("a", "k" + i).substring(0, 3));
         }
-        agent.reread(List.of(() -> flags.reread(sheet("", server("s1", good.address(), 1, "up"),
+        agent.reread(List.of(() -> flags.reread(configuration("", server("s1", good.address(), 1, "up"),
                 server("s2", good.address(), 1, "up"), server("s3", bad.address(), 2, "up")))));
-        int asked = 0;
+        int requestCount = 0;
         while (counter("flag build", "phase") != 3) {
-            String heard = caller.one("a", "l" + asked++);
-            assertTrue(heard.startsWith("200") && heard.contains("\"value\":true"), heard);
-            assertTrue(bad.heard.size() <= 1 + 0.2 * (asked + 50), bad.heard.size() + " of " + asked);
-            assertTrue(asked < 5000, "never sent back");
+            String response = caller.evaluateOne("a", "l" + requestCount++);
+            assertTrue(response.startsWith("200") && response.contains("\"value\":true"), response);
+            assertTrue(bad.requests.size() <= 1 + 0.2 * (requestCount + 50), bad.requests.size() + " of " + requestCount);
+            assertTrue(requestCount < 5000, "never sent back");
         }
-        int exposed = bad.heard.size();
+        int exposed = bad.requests.size();
         for (int i = 0; i < 50; i++) {
-            assertEquals("200", caller.one("a", "m" + i).substring(0, 3));
+            assertEquals("200", caller.evaluateOne("a", "m" + i).substring(0, 3));
         }
-        assertEquals(exposed, bad.heard.size());
+        assertEquals(exposed, bad.requests.size());
     }
 
     /** What clients may send that is not right: the answer, and whether the connection goes on behind it. */
@@ -527,20 +527,20 @@
         "POST /ofrep/v1/evaluate/flags/a HTTP/1.1~Host: x~Content-Type: text/xml~Content-Length: 0~~|415|goes on",
         "POST /ofrep/v1/evaluate/flags/a HTTP/1.1~Host: x~X-Deadline-Ms: soon~Content-Length: 14~~{\"context\":{}}"
             + "|400|goes on"})
-    void badRequests(String sends, int status, String then) throws Exception {
-        Scripted server = start("ok");
+    void badRequests(String requestText, int status, String connection) throws Exception {
+        ScriptedServer server = start("ok");
         Caller caller = new Caller();
-        String heard = caller.raw(sends.replace("~", "\r\n").replace("^", "\n"));
-        assertEquals("" + status, heard.substring(0, 3), heard);
-        assertTrue(heard.contains("errorDetails"), heard);
-        assertEquals(then.equals("ends"), caller.head[1].contains("Connection: close"));
-        if (then.equals("ends")) {
-            assertEquals("end", caller.hear());
+        String response = caller.send(requestText.replace("~", "\r\n").replace("^", "\n"));
+        assertEquals("" + status, response.substring(0, 3), response);
+        assertTrue(response.contains("errorDetails"), response);
+        assertEquals(connection.equals("ends"), caller.head[1].contains("Connection: close"));
+        if (connection.equals("ends")) {
+            assertEquals("end", caller.readResponse());
         } else {
-            assertEquals("200", caller.one("a", "k").substring(0, 3));
+            assertEquals("200", caller.evaluateOne("a", "k").substring(0, 3));
         }
-        assertEquals(then.equals("ends") ? 0 : 1, server.heard.size());
-        assertEquals("200", new Caller().one("a", "k").substring(0, 3), "others notice nothing");
+        assertEquals(connection.equals("ends") ? 0 : 1, server.requests.size());
+        assertEquals("200", new Caller().evaluateOne("a", "k").substring(0, 3), "others notice nothing");
     }
 
     /** Bodies that are not right: the code of the protocol, with the place. */
@@ -555,10 +555,10 @@
         Caller caller = new Caller();
         String sent = body.equals("DEEP") ? "{\"context\":{\"a\":" + "[".repeat(10_000) + "]".repeat(10_000) + "}}"
                 : body;
-        String heard = caller.raw(Http.post("/ofrep/v1/evaluate/flags/a", "", sent));
-        assertTrue(heard.startsWith("400") && heard.contains("\"errorCode\":\"" + code + "\"")
-                && heard.contains("\"key\":\"a\""), heard);
-        assertEquals("200", caller.one("a", "k").substring(0, 3));
+        String response = caller.send(Http.post("/ofrep/v1/evaluate/flags/a", "", sent));
+        assertTrue(response.startsWith("400") && response.contains("\"errorCode\":\"" + code + "\"")
+                && response.contains("\"key\":\"a\""), response);
+        assertEquals("200", caller.evaluateOne("a", "k").substring(0, 3));
         assertEquals(1, counter("flag clients", "refused: " + code));
     }
 
@@ -570,8 +570,8 @@
         Caller caller = new Caller();
         caller.socket.getOutputStream().write((begin + (begin.endsWith("\n") ? "x: y\r\n".repeat(100) + "\r\n"
                 : "x".repeat(40_000))).getBytes(StandardCharsets.ISO_8859_1));
-        assertEquals("431", caller.hear().substring(0, 3));
-        assertEquals("200", new Caller().one("a", "k").substring(0, 3));
+        assertEquals("431", caller.readResponse().substring(0, 3));
+        assertEquals("200", new Caller().evaluateOne("a", "k").substring(0, 3));
     }
 
     /** Requests sent one behind another, cut into pieces of any size, are answered in their order. */
@@ -591,48 +591,48 @@
             caller.socket.getOutputStream().write(bytes, i, Math.min(size, bytes.length - i));
         }
         for (int i = 0; i < 20; i++) {
-            String heard = caller.hear();
-            assertTrue(heard.startsWith("200") && heard.contains("\"key\":\"f" + i + "\""), heard);
+            String response = caller.readResponse();
+            assertTrue(response.startsWith("200") && response.contains("\"key\":\"f" + i + "\""), response);
         }
     }
 
     /** Hundreds that say nothing, or half of something: closed in time, and others are served throughout. */
     @Test
-    void silentCrowd() throws Exception {
-        start("'clients':100,", server("s", new Scripted("ok").address(), 1, "up"));
-        List<Caller> crowd = new ArrayList<>();
+    void idleConnectionsAreClosed() throws Exception {
+        start("'clients':100,", server("s", new ScriptedServer("ok").address(), 1, "up"));
+        List<Caller> idleCallers = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             Caller caller = new Caller();
             if (i % 2 == 0) {
                 caller.socket.getOutputStream().write("POST /ofrep".getBytes(StandardCharsets.US_ASCII));
             }
-            crowd.add(caller);
+            idleCallers.add(caller);
             if (i % 30 == 0) {
-                assertEquals("200", new Caller().one("a", "k").substring(0, 3));
+                assertEquals("200", new Caller().evaluateOne("a", "k").substring(0, 3));
             }
         }
-        for (Caller caller : crowd) {
-            String heard = caller.hear();
-            assertTrue(heard.equals("end") || heard.startsWith("408") || heard.startsWith("503"), heard);
+        for (Caller caller : idleCallers) {
+            String response = caller.readResponse();
+            assertTrue(response.equals("end") || response.startsWith("408") || response.startsWith("503"), response);
         }
-        assertEquals("200", new Caller().one("a", "k").substring(0, 3));
+        assertEquals("200", new Caller().evaluateOne("a", "k").substring(0, 3));
     }
 
     /** A client that leaves, and a deadline of its own; nothing is left open behind either. */
     @Test
-    void leavesAndDeadlines() throws Exception {
-        Scripted server = start("silent");
-        Caller gone = new Caller();
-        gone.socket.getOutputStream().write(Http.post("/ofrep/v1/evaluate/flags/a", "", "{\"context\":{}}")
+    void disconnectsAndDeadlines() throws Exception {
+        ScriptedServer server = start("silent");
+        Caller disconnecting = new Caller();
+        disconnecting.socket.getOutputStream().write(Http.post("/ofrep/v1/evaluate/flags/a", "", "{\"context\":{}}")
                 .getBytes(StandardCharsets.US_ASCII));
-        server.heard.take();
-        gone.close();
+        server.requests.take();
+        disconnecting.close();
         Caller caller = new Caller();
-        long since = System.nanoTime();
-        String heard = caller.post("/ofrep/v1/evaluate/flags/b", "k", "X-Deadline-Ms: 300\r\n");
-        long took = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(heard.startsWith("429") || heard.startsWith("500"), heard);
-        assertTrue(took <= 350, "answered by its deadline, with slack for this machine: " + took);
+        long startNs = System.nanoTime();
+        String response = caller.post("/ofrep/v1/evaluate/flags/b", "k", "X-Deadline-Ms: 300\r\n");
+        long tookMs = (System.nanoTime() - startNs) / 1_000_000;
+        assertTrue(response.startsWith("429") || response.startsWith("500"), response);
+        assertTrue(tookMs <= 350, "answered by its deadline, with slack for this machine: " + tookMs);
         while (counter("flags", "open") > 0) {
             Thread.onSpinWait();
         }
@@ -641,36 +641,36 @@
     /** Told to end: evaluations that servers don't answer, and bodies that come half, have their last word by the shutdown deadline. */
     @Test
     void shutdown() throws Exception {
-        Scripted server = new Scripted("silent");
+        ScriptedServer server = new ScriptedServer("silent");
         start("'methods':{'one':{'aim':'4s','deadline':'5s'},'all':{'aim':'4s','deadline':'5s'},'track':{'deadline':'5s'},"
                 + "'tracked':{'deadline':'5s','window':'300ms'}},", server("s", server.address(), 1, "up"));
-        Caller asking = new Caller();
-        asking.socket.getOutputStream().write(Http.post("/ofrep/v1/evaluate/flags/a", "", "{\"context\":{}}")
+        Caller waiting = new Caller();
+        waiting.socket.getOutputStream().write(Http.post("/ofrep/v1/evaluate/flags/a", "", "{\"context\":{}}")
                 .getBytes(StandardCharsets.US_ASCII));
-        server.heard.take();
+        server.requests.take();
         String request = Http.post("/ofrep/v1/evaluate/flags/a", "", "{\"context\":{}}");
-        Caller half = new Caller();
-        half.socket.getOutputStream().write(request.substring(0, request.length() - 5).getBytes(StandardCharsets.US_ASCII));
-        Caller silent = new Caller();
-        long since = System.nanoTime();
+        Caller incomplete = new Caller();
+        incomplete.socket.getOutputStream().write(request.substring(0, request.length() - 5).getBytes(StandardCharsets.US_ASCII));
+        Caller idle = new Caller();
+        long startNs = System.nanoTime();
         agent.leave();
-        long tookMs = (System.nanoTime() - since) / 1_000_000;
+        long tookMs = (System.nanoTime() - startNs) / 1_000_000;
         assertTrue(tookMs < 3700, "over after " + tookMs + " ms");
-        String answer = asking.hear();
-        assertTrue(answer.startsWith("429") || answer.startsWith("500"), answer);
-        String last = half.hear();
-        assertTrue(last.startsWith("503") || last.startsWith("408"), last);
-        assertEquals("end", silent.hear());
+        String response = waiting.readResponse();
+        assertTrue(response.startsWith("429") || response.startsWith("500"), response);
+        String incompleteResponse = incomplete.readResponse();
+        assertTrue(incompleteResponse.startsWith("503") || incompleteResponse.startsWith("408"), incompleteResponse);
+        assertEquals("end", idle.readResponse());
     }
 
     /** Leave to send a body is given; what is too long is turned down before it is sent. */
     @Test
-    void leaveToSend() throws Exception {
+    void expectContinue() throws Exception {
         start("ok");
         Caller caller = new Caller();
-        assertEquals("100", caller.raw("POST /ofrep/v1/evaluate/flags/a HTTP/1.1\r\nHost: x\r\n"
+        assertEquals("100", caller.send("POST /ofrep/v1/evaluate/flags/a HTTP/1.1\r\nHost: x\r\n"
                 + "Expect: 100-continue\r\nContent-Length: 14\r\n\r\n").substring(0, 3));
-        assertEquals("200", caller.raw("{\"context\":{}}").substring(0, 3));
+        assertEquals("200", caller.send("{\"context\":{}}").substring(0, 3));
     }
 
     /**
@@ -678,17 +678,17 @@
      * vote against one that fails is cast there.
      */
     @Test
-    void listedAndVoted() throws Exception {
-        Scripted good = new Scripted("ok");
-        Scripted bad = new Scripted("500");
+    void discoveryAndReleaseDesk() throws Exception {
+        ScriptedServer good = new ScriptedServer("ok");
+        ScriptedServer bad = new ScriptedServer("500");
         BlockingQueue<String> votes = new LinkedBlockingQueue<>();
-        ServerSocket list = speaks((in, out) -> {
+        ServerSocket list = startServer((in, out) -> {
             Http.read(in);
-            out.write(("HTTP/1.1 200 OK\r\n\r\n" + ("{'index':1,'snapshot':true,'endpoints':[" + listed("s1", good, 1) + ","
-                    + listed("s2", bad, 2) + "]}").replace('\'', '"') + "\n").getBytes(StandardCharsets.UTF_8));
+            out.write(("HTTP/1.1 200 OK\r\n\r\n" + ("{'index':1,'snapshot':true,'endpoints':[" + listEntry("s1", good, 1) + ","
+                    + listEntry("s2", bad, 2) + "]}").replace('\'', '"') + "\n").getBytes(StandardCharsets.UTF_8));
             in.read();
         });
-        ServerSocket desk = speaks((in, out) -> {
+        ServerSocket desk = startServer((in, out) -> {
             String[] call = Http.read(in);
             if (call[0].startsWith("POST")) {
                 votes.add(call[2]);
@@ -699,54 +699,54 @@
             in.read();
         });
         Loop loop = new Loop();
-        flags = new Flags(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + SOON + "'list':{'address':'127.0.0.1:"
+        flags = new Flags(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + SHORT_DEADLINES + "'list':{'address':'127.0.0.1:"
                 + list.getLocalPort() + "'},'rollout':{'desk':{'address':'127.0.0.1:" + desk.getLocalPort()
                 + "'},'caps':[0.5],'soak':'1h'}}")), 7);
         agent = new Agent(loop, List.of(flags));
         agent.start();
         Caller caller = new Caller();
         for (int i = 0; votes.isEmpty(); i++) {
-            String heard = caller.one("a", "k" + i);
-            assertTrue(heard.startsWith("200") || heard.startsWith("429"), heard);
+            String response = caller.evaluateOne("a", "k" + i);
+            assertTrue(response.startsWith("200") || response.startsWith("429"), response);
         }
         assertTrue(votes.take().endsWith("Revision=2&Wave=0&Decision=back"));
-        assertFalse(bad.heard.isEmpty());
+        assertFalse(bad.requests.isEmpty());
         assertEquals(2, counter("flag list", "appliances"));
     }
 
-    private interface Speaking {
-        void speak(DataInputStream in, OutputStream out) throws IOException;
+    private interface ConnectionScript {
+        void run(DataInputStream in, OutputStream out) throws IOException;
     }
 
-    private ServerSocket speaks(Speaking speaking) throws IOException {
+    private ServerSocket startServer(ConnectionScript script) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        open.add(server);
+        openPeers.add(server);
         thread(() -> {
             while (true) {
                 Socket socket = server.accept();
-                open.add(socket);
-                thread(() -> speaking.speak(new DataInputStream(new BufferedInputStream(socket.getInputStream())),
+                openPeers.add(socket);
+                thread(() -> script.run(new DataInputStream(new BufferedInputStream(socket.getInputStream())),
                         socket.getOutputStream()));
             }
         });
         return server;
     }
 
-    private static String listed(String name, Scripted server, int build) {
+    private static String listEntry(String name, ScriptedServer server, int build) {
         return "{'name':'" + name + "','address':'" + server.address() + "','zone':'a','group':0,'status':'SERVING',"
                 + "'since_ms':0,'release':" + build + "}";
     }
 
     /** A file that can't be read whole changes nothing. */
     @Test
-    void brokenReread() throws Exception {
-        Scripted server = start("ok");
+    void malformedFileIsIgnored() throws Exception {
+        ScriptedServer server = start("ok");
         agent.reread(List.of(() -> flags.reread(FlagSheet.of(fields("{'listen':5}")))));
         while (counter("agent", "not read") == 0) {
             Thread.onSpinWait();
         }
-        assertEquals("200", new Caller().one("a", "k").substring(0, 3));
-        assertEquals(1, server.heard.size());
+        assertEquals("200", new Caller().evaluateOne("a", "k").substring(0, 3));
+        assertEquals(1, server.requests.size());
     }
 
     static InetSocketAddress at(Agent agent) {
--- a/src/test/java/honeygap/net/ListLeaseTest.java
+++ b/src/test/java/honeygap/net/ListLeaseTest.java
@@ -13,13 +13,13 @@
     private static final String SETTINGS = "'RegistryMode':'ask','Rules':{'StopSendingWithinNs':500000000,"
             + "'MustAskInNs':" + LEASE_MS + "000000},";
 
-    private static long now() {
+    private static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
     /** The list of the configuration may be older than any drain: nothing goes by it until discovery has confirmed it. */
     @Test
-    void listOfUnknownAge() throws Exception {
+    void storedListIsUnusedUntilConfirmed() throws Exception {
         Fleet fleet = new Fleet("ok");
         start(entry("s-1", fleet, "SERVING", 1), SETTINGS, new StandIn("silent"), new StandIn("refused"), 1024);
         Caller caller = new Caller().hello();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void confirmedList() throws Exception {
+    void confirmedListIsUsed() throws Exception {
         Fleet fleet = new Fleet("ok");
         Lister list = new Lister();
         list.tell(42, false);
@@ -38,7 +38,7 @@
 
     /** What an appliance has answered is known of it alone: the other may have begun to drain when discovery fell silent. */
     @Test
-    void watchLost() throws Exception {
+    void unconfirmedAppliancesAreDroppedAfterLease() throws Exception {
         Fleet used = new Fleet("ok");
         Fleet unused = new Fleet("ok");
         Lister list = new Lister();
@@ -49,19 +49,19 @@
         await("list", "version", 43);
         list.close();
         await("list", "failures", 1);
-        long lost = now();
+        long lostAtMs = nowMs();
         Caller caller = new Caller().hello();
-        int sentInTime = 0;
-        while (now() < lost + 3 * LEASE_MS) {
+        int sentWithinLease = 0;
+        while (nowMs() < lostAtMs + 3 * LEASE_MS) {
             // Both get RPCs until the lease is over; from then on the one that has answered last.
-            String heard = caller.ask("assign", 500);
-            assertTrue(heard.startsWith("ok") || heard.startsWith("53300"), heard);
-            if (now() < lost + LEASE_MS) {
-                sentInTime = unused.heard.size();
+            String response = caller.ask("assign", 500);
+            assertTrue(response.startsWith("ok") || response.startsWith("53300"), response);
+            if (nowMs() < lostAtMs + LEASE_MS) {
+                sentWithinLease = unused.heard.size();
             }
             Thread.sleep(5);
         }
-        assertTrue(sentInTime > 0);
+        assertTrue(sentWithinLease > 0);
         // It answered within the lease as well, so it is one of those that may go on; then none asks it for a lease long.
         int before = used.heard.size() + unused.heard.size();
         Thread.sleep(LEASE_MS + 200);
--- a/src/test/java/honeygap/net/door/LedgerFileTest.java
+++ b/src/test/java/honeygap/net/door/LedgerFileTest.java
@@ -23,14 +23,14 @@
     private Path folder;
 
     /** What fails, in order: a write after so many bytes, then the sync, then the truncation. */
-    private static final class FailingMedium implements LedgerFile.Storage {
+    private static final class FailingStorage implements LedgerFile.Storage {
 
         private final FileChannel channel;
         private int bytesBeforeFull = Integer.MAX_VALUE;
         private boolean syncFails;
         private boolean truncationFails;
 
-        FailingMedium(Path file) throws IOException {
+        FailingStorage(Path file) throws IOException {
             channel = FileChannel.open(file, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
         }
 
@@ -39,10 +39,10 @@
             if (bytesBeforeFull <= 0) {
                 throw new IOException("No space left on device");
             }
-            int most = Math.min(bytesBeforeFull, bytes.remaining());
-            channel.write(bytes.slice(bytes.position(), most));
-            bytes.position(bytes.position() + most);
-            bytesBeforeFull -= most;
+            int count = Math.min(bytesBeforeFull, bytes.remaining());
+            channel.write(bytes.slice(bytes.position(), count));
+            bytes.position(bytes.position() + count);
+            bytesBeforeFull -= count;
         }
 
         @Override
@@ -86,17 +86,17 @@
     @CsvSource({"0,false,false", "7,false,false", "7,false,true", "1000,true,false", "1000,true,true"})
     void failedWriteLeavesNothing(int bytesBeforeFull, boolean syncFails, boolean truncationFails) throws Exception {
         Path file = folder.resolve("ledger");
-        FailingMedium[] medium = new FailingMedium[1];
-        try (LedgerFile ledger = new LedgerFile(file, new Ledger(10, 1), path -> medium[0] = new FailingMedium(path))) {
+        FailingStorage[] storage = new FailingStorage[1];
+        try (LedgerFile ledger = new LedgerFile(file, new Ledger(10, 1), path -> storage[0] = new FailingStorage(path))) {
             ledger.append(entry("before", 1));
-            medium[0].bytesBeforeFull = bytesBeforeFull;
-            medium[0].syncFails = syncFails;
-            medium[0].truncationFails = truncationFails;
+            storage[0].bytesBeforeFull = bytesBeforeFull;
+            storage[0].syncFails = syncFails;
+            storage[0].truncationFails = truncationFails;
             assertThrows(IOException.class, () -> ledger.append(entry("failed", 2)));
             assertThrows(IOException.class, () -> ledger.append(entry("failed", 2)), "the disk still fails");
-            medium[0].bytesBeforeFull = Integer.MAX_VALUE;
-            medium[0].syncFails = false;
-            medium[0].truncationFails = false;
+            storage[0].bytesBeforeFull = Integer.MAX_VALUE;
+            storage[0].syncFails = false;
+            storage[0].truncationFails = false;
             ledger.append(entry("after", 3));
         }
         assertEquals(List.of("before", "after"), restored(file));
@@ -104,7 +104,7 @@
 
     /** A kill in the middle of a write: the torn line was not answered, all before it was. */
     @Test
-    void tornLine() throws Exception {
+    void tornLastLineIsDropped() throws Exception {
         Path file = folder.resolve("ledger");
         try (LedgerFile ledger = new LedgerFile(file, new Ledger(10, 1))) {
             ledger.append(entry("before", 1));
--- a/src/test/java/honeygap/net/list/StartTimesTest.java
+++ b/src/test/java/honeygap/net/list/StartTimesTest.java
@@ -12,46 +12,46 @@
 class StartTimesTest {
 
     private static final long HOUR_MS = 3_600_000;
-    private static final long SECOND = 10_000;
+    private static final long TENTHS_MS_PER_SECOND = 10_000;
 
     private long wallMs = 1_800_000_000_000L;
-    private long monotonic = 50 * SECOND;
+    private long monotonic = 50 * TENTHS_MS_PER_SECOND;
     private final StartTimes times = new StartTimes(() -> Instant.ofEpochMilli(wallMs), () -> monotonic);
 
-    private void pass(long seconds) {
+    private void advance(long seconds) {
         wallMs += 1000 * seconds;
-        monotonic += SECOND * seconds;
+        monotonic += TENTHS_MS_PER_SECOND * seconds;
     }
 
     @Test
-    void agesByTheWallClockWhileItIsSteady() {
+    void convertsWhileWallClockIsSteady() {
         assertEquals(Fleet.LONG_AGO, times.toMonotonic(0));
-        assertEquals(48 * SECOND, times.toMonotonic(wallMs - 2000));
-        pass(1000);
-        assertEquals(1048 * SECOND, times.toMonotonic(wallMs - 2000));
+        assertEquals(48 * TENTHS_MS_PER_SECOND, times.toMonotonic(wallMs - 2000));
+        advance(1000);
+        assertEquals(1048 * TENTHS_MS_PER_SECOND, times.toMonotonic(wallMs - 2000));
     }
 
     /** A drift of the clocks is no step. */
     @Test
-    void adjustedClock() {
-        pass(1000);
+    void driftIsNotAStep() {
+        advance(1000);
         wallMs += 900;
-        assertEquals(1048 * SECOND, times.toMonotonic(wallMs - 2000));
+        assertEquals(1048 * TENTHS_MS_PER_SECOND, times.toMonotonic(wallMs - 2000));
     }
 
     /** Stepped forward, a cold appliance would look warm; stepped back, one would never become warm. */
     @ParameterizedTest
     @ValueSource(longs = {HOUR_MS, -HOUR_MS, 3000, -3000})
-    void steppedClock(long stepMs) {
+    void newStartAfterStepCountsFromNow(long stepMs) {
         long startedMs = wallMs - 1000;
         wallMs += stepMs;
-        assertEquals(50 * SECOND, times.toMonotonic(startedMs));
-        pass(60);
-        assertEquals(110 * SECOND, times.toMonotonic(wallMs - 1000), "stamped after the step");
+        assertEquals(50 * TENTHS_MS_PER_SECOND, times.toMonotonic(startedMs));
+        advance(60);
+        assertEquals(110 * TENTHS_MS_PER_SECOND, times.toMonotonic(wallMs - 1000), "stamped after the step");
     }
 
     @Test
-    void theFutureIsNow() {
-        assertEquals(50 * SECOND, times.toMonotonic(wallMs + 500));
+    void futureStartCountsFromNow() {
+        assertEquals(50 * TENTHS_MS_PER_SECOND, times.toMonotonic(wallMs + 500));
     }
 }
--- a/src/test/java/honeygap/wire/WireHostTest.java
+++ b/src/test/java/honeygap/wire/WireHostTest.java
@@ -33,12 +33,12 @@
             + "[{'cmd':'PassOn','Who':3,'Xid':'r','Appliance':4294967295,'WithinNs':240000000}]",
         "BOOT,LIST|RPC|{'cmd':'Completed','Who':3,'Xid':'r','Go':0,'Appliance':4294967295,'Reason':0,"
             + "'LagNs':1,'NoMore':true,'Pressure':null},{'cmd':'Left','Who':3,'Xid':'r'}; []"})
-    void replies(String batches, String steps) throws IOException {
+    void replyOfLastBatch(String batches, String expectedSteps) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(0, host(batches == null ? "" : batches, out, err));
         String[] lines = out.toString(StandardCharsets.UTF_8).split("\n");
-        assertEquals(("{'steps':" + steps + "}").replace('\'', '"'), lines[lines.length - 1]);
+        assertEquals(("{'steps':" + expectedSteps + "}").replace('\'', '"'), lines[lines.length - 1]);
         assertEquals("", err.toString(StandardCharsets.UTF_8));
     }
 
@@ -52,13 +52,13 @@
         "BOOT|{'cmd':'Left','Who':'3','Xid':'r'}; line 2: field msgs[0].Who is not a whole number",
         "{'cmd':'Boot','Who':3,'InitSeed':1,'BootInfo':{'TickNs':1}}; line 1: field msgs[0].BootInfo.Classes is missing",
         "{'Who':1}; line 1: field msgs[0].cmd is missing", "{; line 1: not JSON", "7; line 1: field msgs holds"})
-    void faults(String batches, String fault) throws IOException {
+    void faultIsReportedWithLineNumber(String batches, String expectedFault) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(1, host(batches, out, err));
-        String said = err.toString(StandardCharsets.UTF_8);
-        assertTrue(said.startsWith("wirehost: " + fault), said);
-        assertEquals(1, said.lines().count());
+        String message = err.toString(StandardCharsets.UTF_8);
+        assertTrue(message.startsWith("wirehost: " + expectedFault), message);
+        assertEquals(1, message.lines().count());
     }
 
     private static int host(String batches, ByteArrayOutputStream out, ByteArrayOutputStream err)
