--- a/src/main/java/honeygap/flags/Answers.java
+++ b/src/main/java/honeygap/flags/Answers.java
@@ -72,6 +72,7 @@
     private long unexpectedTypeCount;
     private long unknownFlagCount;
 
+    /** {@code tick} is the timer resolution; evaluations are aborted one tick before their deadline. */
     public Answers(boolean isSharing, long tick, List<Allowance> fallbackPolicies, Versions versionFloors,
             Kept answerCache) {
         this.isSharing = isSharing;
@@ -85,6 +86,7 @@
         this.now = now;
     }
 
+    /** The wake-up that was requested last has fired. */
     public void woken() {
         nextWakeup = Long.MAX_VALUE;
     }
--- a/src/main/java/honeygap/flags/House.java
+++ b/src/main/java/honeygap/flags/House.java
@@ -65,6 +65,7 @@
         return build <= newestBuild && !withdrawn.contains(build);
     }
 
+    /** Applies a vote of this agent; a vote on any other build or stage than the current one changes nothing. */
     public void voted(int build, int stage, int verdict) {
         isStatusReported = false;
         isVoteResponse = true;
@@ -116,10 +117,12 @@
         return false;
     }
 
+    /** The newest build whose rollout has begun, or -1 if there is none. */
     public int build() {
         return newestBuild;
     }
 
+    /** The phase of that build, a constant of {@code Build}. */
     public int phase() {
         return phase;
     }
--- a/src/main/java/honeygap/flags/Kept.java
+++ b/src/main/java/honeygap/flags/Kept.java
@@ -68,8 +68,9 @@
         return SLOTS_PER_BUCKET * (int) ((hash ^ hash >>> 32) & bucketCount - 1);
     }
 
+    /** Whether the slot refers to a record of this query that has not been overwritten. */
     private boolean holds(long slotValue, Question query) {
-        // The record may have been overwritten in a later pass through the log.
+        // Empty, or overwritten in a later pass through the log.
         if (slotValue == 0 || slotValue - 1 + capacity < nextOffset) {
             return false;
         }
@@ -92,23 +93,28 @@
         return -1;
     }
 
+    /** The flag-set version of the answer at a position returned by {@link #find}. */
     public long version(int position) {
         return log.getLong(position + 8);
     }
 
+    /** The time at which the answer was stored. */
     public long storedAt(int position) {
         return log.getLong(position + 16);
     }
 
+    /** A copy of the body of the answer. */
     public byte[] body(int position) {
         int from = position + HEADER_BYTES + log.getInt(position + 24);
         return Arrays.copyOfRange(log.array(), from, from + log.getInt(position + 28));
     }
 
+    /** Number of answers that were too long to be stored. */
     public long tooLongCount() {
         return tooLongCount;
     }
 
+    /** Memory used in bytes, independent of the number of records. */
     public long memoryBytes() {
         return capacity + 8L * index.length;
     }
--- a/src/main/java/honeygap/flags/Limits.java
+++ b/src/main/java/honeygap/flags/Limits.java
@@ -48,6 +48,7 @@
         return first - now;
     }
 
+    /** Number of delays reported since the start. */
     public long told() {
         return reportedCount;
     }
--- a/src/main/java/honeygap/flags/Served.java
+++ b/src/main/java/honeygap/flags/Served.java
@@ -8,6 +8,7 @@
     /** The version of an answer that names none; it is not ordered relative to other answers. */
     public static final long NO_VERSION = -1;
 
+    /** HTTP status codes of the flag API. */
     public static final int STATUS_FLAG_NOT_FOUND = 404;
     public static final int GOOD = 200;
 
--- a/src/main/java/honeygap/net/desk/Ballots.java
+++ b/src/main/java/honeygap/net/desk/Ballots.java
@@ -16,6 +16,7 @@
 /** Submits votes to the release desk, one at a time, and reports the result of each to the rules. */
 public final class Ballots implements Core.Poll, Counters.Group {
 
+    /** The names of the verdicts in the desk's protocol, by value. */
     private static final String[] VERDICTS = {"none", "on", "hold", "back"};
     private static final int MAX_RESPONSE_LENGTH = 65536;
 
--- a/src/main/java/honeygap/net/desk/Bulletin.java
+++ b/src/main/java/honeygap/net/desk/Bulletin.java
@@ -37,6 +37,7 @@
         this.seed = seed;
     }
 
+    /** Opens the stream. */
     public void listen() {
         eventType = "";
         pendingUpdate = null;
@@ -59,6 +60,7 @@
         listen();
     }
 
+    /** A pseudo-random number in [0, 1) that differs for each seed and reconnect. */
     private double jitter() {
         CRC32 crc = new CRC32();
         crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(failures).array());
--- a/src/main/java/honeygap/net/door/Aside.java
+++ b/src/main/java/honeygap/net/door/Aside.java
@@ -16,6 +16,7 @@
         void refuse(Refusal refusal);
     }
 
+    /** Whether requests with this path are handled here. */
     boolean takes(String path);
 
     /** The maximum length of a request body. */
--- a/src/main/java/honeygap/net/door/Door.java
+++ b/src/main/java/honeygap/net/door/Door.java
@@ -104,10 +104,12 @@
         boundAddress = loop.listen(address, BACKLOG, connections.places(), () -> new AdminConnection(this));
     }
 
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return boundAddress;
     }
 
+    /** Checks an Authorization header against the token, in constant time; null counts as empty. */
     boolean isAuthorized(String authorization) {
         if (token.length == 0) {
             return true;
--- a/src/main/java/honeygap/net/list/JsonDocumentReader.java
+++ b/src/main/java/honeygap/net/list/JsonDocumentReader.java
@@ -61,6 +61,7 @@
         }
     }
 
+    /** Tracks strings and nesting depth, one byte at a time. */
     private void scan(byte next) throws Malformed {
         if (isInString) {
             isInString = next != '"' || isEscaped;
--- a/src/main/java/honeygap/wire/WireAgent.java
+++ b/src/main/java/honeygap/wire/WireAgent.java
@@ -196,10 +196,10 @@
     }
 
     @Override
-    public void pushBack(Rpc rpc, long stayAway) {
+    public void pushBack(Rpc rpc, long retryAfter) {
         write("TurnAway", () -> {
             out.writeStringField("Xid", rpc.id);
-            out.writeNumberField("NotBeforeForNs", stayAway * Fields.NS);
+            out.writeNumberField("NotBeforeForNs", retryAfter * Fields.NS);
         });
         removeIfDone(rpc);
     }
--- a/src/main/java/honeygap/wire/WireHost.java
+++ b/src/main/java/honeygap/wire/WireHost.java
@@ -22,6 +22,7 @@
 /** Hosts many agents on the simulator's wire: reads one batch of events per line and writes one reply per line. */
 public final class WireHost {
 
+    /** Events of the simulator that are addressed to one agent; others are ignored, apart from Table. */
     private static final Set<String> EVENTS = Set.of("Boot", "Fleet", "NewRequest", "Left", "Fired",
             "ProbeResult", "ShipState", "Completed", "Contested", "Digest", "CrashNow", "UnderWay", "Inbox");
 
--- a/src/test/java/honeygap/flags/EvaluationCoordinatorTest.java
+++ b/src/test/java/honeygap/flags/EvaluationCoordinatorTest.java
@@ -35,7 +35,8 @@
         long now = 100_000;
 
         Harness(boolean sharing, int keys, Allowance... allowances) {
-            coordinator = new Answers(sharing, 10, List.of(allowances), new Versions(keys, 1024), new Kept(1 << 16));
+            coordinator = new Answers(sharing, 10, List.of(allowances), new Versions(keys, 1024),
+                    new Kept(1 << 16));
             coordinator.now(now);
         }
 
@@ -97,9 +98,9 @@
 
         @Override
         public void answer(Evaluation evaluation, Served answer, int source) {
-            results.add(names.get(evaluation) + ":" + (answer.isGood() ? new String(answer.body,
-                    StandardCharsets.UTF_8) : answer.status) + (source == Answers.FRESH ? "" : source == Answers.CACHED
-                    ? "cached" : "stale"));
+            results.add(names.get(evaluation) + ":"
+                    + (answer.isGood() ? new String(answer.body, StandardCharsets.UTF_8) : answer.status)
+                    + (source == Answers.FRESH ? "" : source == Answers.CACHED ? "cached" : "stale"));
         }
 
         @Override
