--- a/src/main/java/honeygap/flags/Allowance.java
+++ b/src/main/java/honeygap/flags/Allowance.java
@@ -3,36 +3,36 @@
 import java.util.List;
 
 /**
- * For how long the last good answer may stand in for one that can't be had, by flag: as cached up to one age,
- * as stale up to another, in tenths of a millisecond.
+ * How long the last good answer of matching flags may be used when no server answers: up to one age it is reported as
+ * cached, up to another as stale. Ages are in tenths of a millisecond.
  */
 public record Allowance(String flags, long cachedFor, long staleFor) {
 
     static final Allowance NONE = new Allowance("", 0, 0);
 
-    /** Stars stand for any words; the bulk of all flags goes by the name of none. */
-    boolean covers(String flag) {
+    /** Matches the pattern, in which a star stands for any text; a bulk evaluation (null) matches as an empty name. */
+    boolean appliesTo(String flag) {
         return matches(flags, 0, flag == null ? "" : flag, 0);
     }
 
-    private static boolean matches(String pattern, int at, String word, int from) {
-        int star = pattern.indexOf('*', at);
+    private static boolean matches(String pattern, int patternFrom, String text, int textFrom) {
+        int star = pattern.indexOf('*', patternFrom);
         if (star < 0) {
-            return pattern.substring(at).equals(word.substring(from));
+            return pattern.substring(patternFrom).equals(text.substring(textFrom));
         }
-        if (!word.startsWith(pattern.substring(at, star), from)) {
+        if (!text.startsWith(pattern.substring(patternFrom, star), textFrom)) {
             return false;
         }
-        for (int next = from + star - at; next <= word.length(); next++) {
-            if (matches(pattern, star + 1, word, next)) {
+        for (int textNext = textFrom + star - patternFrom; textNext <= text.length(); textNext++) {
+            if (matches(pattern, star + 1, text, textNext)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The first that covers a flag. */
-    static Allowance of(List<Allowance> all, String flag) {
-        return all.stream().filter(one -> one.covers(flag)).findFirst().orElse(NONE);
+    /** Returns the first policy that applies to a flag. */
+    static Allowance forFlag(List<Allowance> policies, String flag) {
+        return policies.stream().filter(policy -> policy.appliesTo(flag)).findFirst().orElse(NONE);
     }
 }
--- a/src/main/java/honeygap/flags/Evaluation.java
+++ b/src/main/java/honeygap/flags/Evaluation.java
@@ -1,6 +1,6 @@
 package honeygap.flags;
 
-/** One evaluation of one client, which ends exactly once. */
+/** One flag evaluation requested by one client; it ends exactly once. */
 public class Evaluation {
 
     static final int NEW = 0;
@@ -11,23 +11,23 @@
     static final int ENDED = 5;
 
     public final Question question;
-    public final long takenAt;
-    /** When the client gives it up. */
+    public final long receivedAt;
+    /** When the client stops waiting. */
     public final long deadline;
-    /** The flag-set version that the client says it holds; {@link Served#NO_VERSION} where it says none. */
-    public final long holds;
+    /** The flag-set version that the client says it holds; {@link Served#NO_VERSION} if it names none. */
+    public final long clientVersion;
 
     int state = NEW;
-    /** The pick that it waits for; null before one is asked for. */
-    Shared shared;
-    Served served;
-    long stayAway;
+    /** The request that it waits for; null before it has started or joined one. */
+    Shared request;
+    Served answer;
+    long retryAfter;
 
-    public Evaluation(Question question, long takenAt, long deadline, long holds) {
-        this.question = question;
-        this.takenAt = takenAt;
+    public Evaluation(Question query, long receivedAt, long deadline, long clientVersion) {
+        this.question = query;
+        this.receivedAt = receivedAt;
         this.deadline = deadline;
-        this.holds = holds;
+        this.clientVersion = clientVersion;
     }
 
     public final boolean isEnded() {
--- a/src/main/java/honeygap/flags/House.java
+++ b/src/main/java/honeygap/flags/House.java
@@ -7,39 +7,39 @@
 import java.util.TreeSet;
 
 /**
- * Keeps the stages of a release where no desk does: this agent's vote is the only one and counts at once. Each
- * 'on' is a stage further, the last one releases the build, 'back' withdraws it. What to vote is not decided
- * here but by {@code Rules}. The lowest build of the first list counts as released; one build is on trial at a
- * time, and those above it wait their turn.
+ * Tracks the stages of a rollout when no release desk is configured: the vote of this agent is the only one and takes
+ * effect at once. Each vote 'on' advances a stage, the one at the last stage releases the build, and 'back' withdraws
+ * it. Votes are decided by {@code Rules}, not here. The lowest build of the first list counts as released. One build
+ * is on trial at a time; higher builds wait until its trial has ended.
  */
 public final class House {
 
-    /** The way decisions go out; each call of {@link #next} makes at most one. */
+    /** Receives the decisions; each call of {@link #next} makes at most one call. */
     public interface Out {
 
-        /** How a build stands: a phase of {@code Build}, its stage, its cap, since when; or a vote's answer. */
-        void told(int build, int phase, int stage, double cap, boolean answer, long since);
+        /** The status of a build: its phase (a constant of {@code Build}), stage, cap and time of the last change. */
+        void told(int build, int phase, int stage, double cap, boolean isVoteResponse, long since);
 
-        /** Servers of other builds than before may be listed. */
+        /** The set of servers, or of builds whose servers may be listed, has changed. */
         void list();
     }
 
-    private final double[] caps;
+    private final double[] capsByStage;
     private final long longAgo;
     private final SortedSet<Integer> builds = new TreeSet<>();
     private final Set<Integer> withdrawn = new HashSet<>();
-    private int newest = -1;
+    private int newestBuild = -1;
     private int phase = Build.RELEASED;
     private int stage;
-    private long since;
+    private long phaseSince;
     private long now;
-    private boolean isTold = true;
-    private boolean isListed = true;
-    private boolean answer;
+    private boolean isStatusReported = true;
+    private boolean areServersReported = true;
+    private boolean isVoteResponse;
 
-    /** Caps by stage, at least one; the time that stands for long ago. */
-    public House(double[] caps, long longAgo) {
-        this.caps = caps;
+    /** At least one stage is required; {@code longAgo} is the time used for a build released before the start. */
+    public House(double[] capsByStage, long longAgo) {
+        this.capsByStage = capsByStage;
         this.longAgo = longAgo;
     }
 
@@ -47,40 +47,41 @@
         this.now = now;
     }
 
-    /** Builds of all servers that there are. */
-    public void listed(Set<Integer> there) {
+    /** Sets the builds of all configured servers. */
+    public void listed(Set<Integer> available) {
         builds.clear();
-        builds.addAll(there);
-        withdrawn.retainAll(there);
-        if (newest < 0 && !builds.isEmpty()) {
-            newest = builds.first();
-            since = longAgo;
-            isTold = false;
+        builds.addAll(available);
+        withdrawn.retainAll(available);
+        if (newestBuild < 0 && !builds.isEmpty()) {
+            newestBuild = builds.first();
+            phaseSince = longAgo;
+            isStatusReported = false;
         }
-        isListed = false;
+        areServersReported = false;
     }
 
-    /** Whether servers of a build may be listed: not of one that waits its turn or was withdrawn. */
+    /** Whether the servers of a build may be listed: not while it waits for its trial, nor after it was withdrawn. */
     public boolean admits(int build) {
-        return build <= newest && !withdrawn.contains(build);
+        return build <= newestBuild && !withdrawn.contains(build);
     }
 
+    /** Applies a vote of this agent; a vote on any other build or stage than the current one changes nothing. */
     public void voted(int build, int stage, int verdict) {
-        isTold = false;
-        answer = true;
-        if (build != newest || stage != this.stage || phase == Build.WITHDRAWN) {
+        isStatusReported = false;
+        isVoteResponse = true;
+        if (build != newestBuild || stage != this.stage || phase == Build.WITHDRAWN) {
             return;
         }
-        // With nothing to go back to, going back would leave nobody to answer.
+        // Without an earlier build to roll back to, a rollback would leave no server to answer.
         boolean hasEarlier = builds.headSet(build).stream().anyMatch(this::admits);
         if (verdict == Build.VOTE_BACK && hasEarlier) {
             phase = Build.WITHDRAWN;
             withdrawn.add(build);
-            since = now;
-            isListed = false;
+            phaseSince = now;
+            areServersReported = false;
         } else if (verdict == Build.VOTE_ON && phase == Build.ON_TRIAL) {
-            since = now;
-            if (this.stage + 1 < caps.length) {
+            phaseSince = now;
+            if (this.stage + 1 < capsByStage.length) {
                 this.stage++;
             } else {
                 phase = Build.RELEASED;
@@ -88,38 +89,40 @@
         }
     }
 
-    /** Makes at most one call; false when there is nothing to say now. */
-    public boolean next(Out out) {
-        if (!isTold) {
-            boolean isAnswer = answer;
-            isTold = true;
-            answer = false;
-            double cap = phase == Build.ON_TRIAL ? caps[stage] : phase == Build.RELEASED ? 1 : 0;
-            out.told(newest, phase, stage, cap, isAnswer, since);
+    /** Makes at most one call; returns false when there is nothing to report. */
+    public boolean next(Out listener) {
+        if (!isStatusReported) {
+            boolean respondsToVote = isVoteResponse;
+            isStatusReported = true;
+            isVoteResponse = false;
+            double cap = phase == Build.ON_TRIAL ? capsByStage[stage] : phase == Build.RELEASED ? 1 : 0;
+            listener.told(newestBuild, phase, stage, cap, respondsToVote, phaseSince);
             return true;
         }
-        // The next build is announced once the one before it stands, and before its servers are listed.
-        SortedSet<Integer> above = builds.tailSet(newest + 1);
-        if (phase != Build.ON_TRIAL && !above.isEmpty() && newest >= 0) {
-            newest = above.first();
+        // The next build is reported after the trial of the previous one has ended, and before its servers are listed.
+        SortedSet<Integer> above = builds.tailSet(newestBuild + 1);
+        if (phase != Build.ON_TRIAL && !above.isEmpty() && newestBuild >= 0) {
+            newestBuild = above.first();
             phase = Build.ON_TRIAL;
             stage = 0;
-            since = now;
-            isTold = isListed = false;
-            return next(out);
+            phaseSince = now;
+            isStatusReported = areServersReported = false;
+            return next(listener);
         }
-        if (!isListed) {
-            isListed = true;
-            out.list();
+        if (!areServersReported) {
+            areServersReported = true;
+            listener.list();
             return true;
         }
         return false;
     }
 
+    /** The newest build whose rollout has begun, or -1 if there is none. */
     public int build() {
-        return newest;
+        return newestBuild;
     }
 
+    /** The phase of that build, a constant of {@code Build}. */
     public int phase() {
         return phase;
     }
--- a/src/main/java/honeygap/flags/Kept.java
+++ b/src/main/java/honeygap/flags/Kept.java
@@ -4,112 +4,118 @@
 import java.util.Arrays;
 
 /**
- * Last good answers in memory of a fixed size: records one after another in a log that begins anew at its end,
- * so the oldest makes room without being looked for, and an index of where each stands. Nothing is allocated
- * for what is kept. A record is found only with the very question that it answers.
+ * A cache of the last good answers with a fixed memory size. Records are appended to a circular log, so new records
+ * overwrite the oldest ones without a search, and a hash index holds their offsets. Storing a record allocates nothing.
+ * A record is found only by the identical query.
  */
 public final class Kept {
 
-    private static final int WAYS = 4;
-    /** Hash, version, time, lengths of question and answer. */
-    private static final int HEAD = 8 + 8 + 8 + 4 + 4;
-    /** Bytes of log for each place of the index. */
-    private static final int BYTES_A_PLACE = 256;
-    /** What takes more of the log than this part is not kept. */
-    private static final int PART = 16;
+    private static final int SLOTS_PER_BUCKET = 4;
+    /** Hash, version, time, length of the query and length of the answer. */
+    private static final int HEADER_BYTES = 8 + 8 + 8 + 4 + 4;
+    /** Log bytes for each slot of the index. */
+    private static final int LOG_BYTES_PER_SLOT = 256;
+    /** A record is not stored if it is longer than the log's capacity divided by this. */
+    private static final int MIN_RECORDS_IN_LOG = 16;
 
     private final ByteBuffer log;
     private final int capacity;
-    /** Where records begin, counted from the first that ever came, plus 1; 0 is an empty place. */
+    /** Offset of each record plus 1, counted continuously over all passes through the log; 0 is an empty slot. */
     private final long[] index;
-    private final int buckets;
-    /** Where the next record goes, counted likewise. */
-    private long head;
-    private long tooLong;
+    private final int bucketCount;
+    /** Offset of the next record, counted continuously as well. */
+    private long nextOffset;
+    private long tooLongCount;
 
-    /** All records together take at most so many bytes. */
-    public Kept(int bytes) {
-        capacity = Math.max(0, bytes);
+    /** The limit applies to all records together. */
+    public Kept(int maxBytes) {
+        capacity = Math.max(0, maxBytes);
         log = ByteBuffer.allocate(capacity);
-        buckets = Integer.highestOneBit(Math.max(1, capacity / BYTES_A_PLACE / WAYS));
-        index = new long[WAYS * buckets];
+        bucketCount = Integer.highestOneBit(Math.max(1, capacity / LOG_BYTES_PER_SLOT / SLOTS_PER_BUCKET));
+        index = new long[SLOTS_PER_BUCKET * bucketCount];
     }
 
-    /** Keeps an answer; the one kept for the same question before is forgotten. */
-    public void keep(Question question, long version, byte[] body, long now) {
-        int length = HEAD + question.identity.length + body.length;
-        if (length > capacity / PART) {
-            tooLong++;
+    /** Stores an answer; it replaces an earlier one for the same query. */
+    public void keep(Question query, long version, byte[] body, long now) {
+        int length = HEADER_BYTES + query.identity.length + body.length;
+        if (length > capacity / MIN_RECORDS_IN_LOG) {
+            tooLongCount++;
             return;
         }
-        int at = (int) (head % capacity);
-        if (at + length > capacity) {
-            head += capacity - at;
-            at = 0;
+        int position = (int) (nextOffset % capacity);
+        if (position + length > capacity) {
+            nextOffset += capacity - position;
+            position = 0;
         }
-        int place = bucket(question.hash);
-        for (int i = place; i < bucket(question.hash) + WAYS; i++) {
-            if (isOf(index[i], question)) {
-                place = i;
+        int slot = firstSlot(query.hash);
+        for (int i = slot; i < firstSlot(query.hash) + SLOTS_PER_BUCKET; i++) {
+            if (holds(index[i], query)) {
+                slot = i;
                 break;
             }
-            if (index[i] < index[place]) {
-                place = i;
+            if (index[i] < index[slot]) {
+                slot = i;
             }
         }
-        index[place] = head + 1;
-        log.position(at);
-        log.putLong(question.hash).putLong(version).putLong(now).putInt(question.identity.length)
-                .putInt(body.length).put(question.identity).put(body);
-        head += length;
+        index[slot] = nextOffset + 1;
+        log.position(position);
+        log.putLong(query.hash).putLong(version).putLong(now).putInt(query.identity.length)
+                .putInt(body.length).put(query.identity).put(body);
+        nextOffset += length;
     }
 
-    private int bucket(long hash) {
-        return WAYS * (int) ((hash ^ hash >>> 32) & buckets - 1);
+    private int firstSlot(long hash) {
+        return SLOTS_PER_BUCKET * (int) ((hash ^ hash >>> 32) & bucketCount - 1);
     }
 
-    private boolean isOf(long place, Question question) {
-        // The head of the log may have come round and begun another record over this one.
-        if (place == 0 || place - 1 + capacity < head) {
+    /** Whether the slot refers to a record of this query that has not been overwritten. */
+    private boolean holds(long slotValue, Question query) {
+        // Empty, or overwritten in a later pass through the log.
+        if (slotValue == 0 || slotValue - 1 + capacity < nextOffset) {
             return false;
         }
-        int at = (int) ((place - 1) % capacity);
-        int length = HEAD + question.identity.length;
-        return log.getLong(at) == question.hash
-                && log.getInt(at + 24) == question.identity.length && at + length <= capacity
-                && Arrays.equals(log.array(), at + HEAD, at + length, question.identity, 0,
-                        question.identity.length);
+        int position = (int) ((slotValue - 1) % capacity);
+        int length = HEADER_BYTES + query.identity.length;
+        return log.getLong(position) == query.hash
+                && log.getInt(position + 24) == query.identity.length && position + length <= capacity
+                && Arrays.equals(log.array(), position + HEADER_BYTES, position + length, query.identity, 0,
+                        query.identity.length);
     }
 
-    /** Where the answer to a question stands; negative where none is kept. */
-    public int find(Question question) {
-        int bucket = bucket(question.hash);
-        for (int i = bucket; i < bucket + WAYS && capacity > 0; i++) {
-            if (isOf(index[i], question)) {
+    /** Returns the position of the answer to a query, or a negative number if none is stored. */
+    public int find(Question query) {
+        int first = firstSlot(query.hash);
+        for (int i = first; i < first + SLOTS_PER_BUCKET && capacity > 0; i++) {
+            if (holds(index[i], query)) {
                 return (int) ((index[i] - 1) % capacity);
             }
         }
         return -1;
     }
 
-    public long version(int at) {
-        return log.getLong(at + 8);
+    /** The flag-set version of the answer at a position returned by {@link #find}. */
+    public long version(int position) {
+        return log.getLong(position + 8);
     }
 
-    public long keptAt(int at) {
-        return log.getLong(at + 16);
+    /** The time at which the answer was stored. */
+    public long storedAt(int position) {
+        return log.getLong(position + 16);
     }
 
-    public byte[] body(int at) {
-        int from = at + HEAD + log.getInt(at + 24);
-        return Arrays.copyOfRange(log.array(), from, from + log.getInt(at + 28));
+    /** A copy of the body of the answer. */
+    public byte[] body(int position) {
+        int from = position + HEADER_BYTES + log.getInt(position + 24);
+        return Arrays.copyOfRange(log.array(), from, from + log.getInt(position + 28));
     }
 
-    public long tooLong() {
-        return tooLong;
+    /** Number of answers that were too long to be stored. */
+    public long tooLongCount() {
+        return tooLongCount;
     }
 
-    public long bytes() {
+    /** Memory used in bytes, independent of the number of records. */
+    public long memoryBytes() {
         return capacity + 8L * index.length;
     }
 }
--- a/src/main/java/honeygap/flags/Served.java
+++ b/src/main/java/honeygap/flags/Served.java
@@ -2,29 +2,30 @@
 
 import java.util.Map;
 
-/** One whole answer of a server, or one kept from earlier. */
+/** A complete answer of a server, either just received or taken from the cache. */
 public final class Served {
 
-    /** Of an answer that names none: it stands in no order. */
+    /** The version of an answer that names none; it is not ordered relative to other answers. */
     public static final long NO_VERSION = -1;
 
-    public static final int NO_FLAG = 404;
+    /** HTTP status codes of the flag API. */
+    public static final int STATUS_FLAG_NOT_FOUND = 404;
     public static final int GOOD = 200;
 
     public final int status;
     public final byte[] body;
-    /** The oldest and the newest flag-set version that it speaks of. */
-    public final long oldest;
+    /** The oldest and the newest flag-set version among its flags. */
+    public final long oldestVersion;
     public final long newest;
-    /** Types of the values that it holds, by flag: one of the {@code Kinds} constants. */
-    public final Map<String, Integer> kinds;
+    /** Value types by flag, as type codes of the response parser. */
+    public final Map<String, Integer> flagTypes;
 
-    public Served(int status, byte[] body, long oldest, long newest, Map<String, Integer> kinds) {
+    public Served(int status, byte[] body, long oldestVersion, long newestVersion, Map<String, Integer> flagTypes) {
         this.status = status;
         this.body = body;
-        this.oldest = oldest;
-        this.newest = newest;
-        this.kinds = kinds;
+        this.oldestVersion = oldestVersion;
+        this.newest = newestVersion;
+        this.flagTypes = flagTypes;
     }
 
     public boolean isGood() {
--- /dev/null
+++ b/src/main/java/honeygap/net/door/AdminConnection.java
@@ -0,0 +1,159 @@
+package honeygap.net.door;
+
+import honeygap.net.guests.Guest;
+import honeygap.net.http.Refusal;
+import honeygap.net.http.Requests;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import org.tinylog.Logger;
+
+/** A connection to the admin endpoint; its requests are processed one after another. */
+final class AdminConnection extends Guest {
+
+    private final Door endpoint;
+    private final Requests requests;
+    private boolean hasSentRequest;
+    /** Whether a request is being handled off the loop; the next one is read only after its response. */
+    private boolean isResponsePending;
+
+    AdminConnection(Door endpoint) {
+        super(endpoint.connections);
+        this.endpoint = endpoint;
+        requests = new Requests(endpoint.maxBodyBytes());
+    }
+
+    @Override
+    protected boolean isStarted() {
+        return hasSentRequest;
+    }
+
+    @Override
+    protected boolean isAsking() {
+        return isResponsePending;
+    }
+
+    @Override
+    protected int waiting() {
+        return requests.waiting();
+    }
+
+    @Override
+    protected int longest() {
+        return requests.longest();
+    }
+
+    @Override
+    protected void keep(ByteBuffer bytes) {
+        requests.feed(bytes);
+    }
+
+    @Override
+    protected void leave() {
+    }
+
+    @Override
+    protected ByteBuffer tooLongWord() {
+        return response(408, "{\"error\":\"nothing whole has come in time\"}".getBytes(StandardCharsets.US_ASCII), false);
+    }
+
+    @Override
+    protected ByteBuffer tooManyWord() {
+        return response(503, "{\"error\":\"too many connections\"}".getBytes(StandardCharsets.US_ASCII), false);
+    }
+
+    @Override
+    protected ByteBuffer shutdownWord() {
+        return response(503, "{\"error\":\"shutting down\"}".getBytes(StandardCharsets.US_ASCII), false);
+    }
+
+    @Override
+    protected void giveUp() {
+        isResponsePending = false;
+        end(shutdownWord());
+    }
+
+    @Override
+    protected void read() {
+        try {
+            if (canRead() && requests.next()) {
+                hasSentRequest = true;
+                hasAsked();
+                if (endpoint.connections.isFull()) {
+                    end(tooManyWord());
+                } else {
+                    handleRequest();
+                }
+            }
+        } catch (Refusal e) {
+            end(response(e.status, errorBody(e), false));
+        }
+    }
+
+    private byte[] errorBody(Refusal e) {
+        try {
+            return endpoint.error(e.getMessage());
+        } catch (IOException failure) {
+            return new byte[0];
+        }
+    }
+
+    private void handleRequest() {
+        int status = 200;
+        byte[] body;
+        try {
+            if (!endpoint.isAuthorized(requests.field("authorization"))) {
+                throw new Refusal(401, "token", "a token is wanted, and not this one");
+            }
+            Aside handler = endpoint.aside(requests.target());
+            if (handler != null) {
+                handleAsync(handler);
+                return;
+            }
+            body = endpoint.respond(requests.method(), requests.target(), requests.body());
+        } catch (Refusal e) {
+            status = e.status;
+            body = errorBody(e);
+        } catch (IOException e) {
+            // The ledger cannot be written, so nothing was carried out.
+            Logger.warn("cannot write the command ledger: {}", e.getMessage());
+            status = 500;
+            body = "{\"error\":\"the ledger can't be kept\"}".getBytes(StandardCharsets.US_ASCII);
+        }
+        sendResponse(status, body, requests.isKept());
+    }
+
+    private void sendResponse(int status, byte[] body, boolean keepAlive) {
+        write(response(status, body, keepAlive));
+        if (!keepAlive) {
+            close();
+        }
+    }
+
+    private void handleAsync(Aside handler) {
+        boolean keepAlive = requests.isKept();
+        isResponsePending = true;
+        handler.answer(requests.method(), requests.target(), requests.body().clone(), new Aside.Reply() {
+            @Override
+            public void reply(int status, byte[] body) {
+                endpoint.runOnLoop(() -> {
+                    if (isResponsePending) {
+                        isResponsePending = false;
+                        sendResponse(status, body, keepAlive);
+                    }
+                });
+            }
+
+            @Override
+            public void refuse(Refusal refusal) {
+                reply(refusal.status, errorBody(refusal));
+            }
+        });
+    }
+
+    private static ByteBuffer response(int status, byte[] body, boolean keepAlive) {
+        byte[] head = ("HTTP/1.1 " + status + " x\r\nContent-Type: application/json\r\nContent-Length: " + body.length
+                + (keepAlive ? "" : "\r\nConnection: close") + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+        return ByteBuffer.allocate(head.length + body.length).put(head).put(body).flip();
+    }
+}
--- a/src/main/java/honeygap/net/list/Registry.java
+++ b/src/main/java/honeygap/net/list/Registry.java
@@ -29,60 +29,66 @@
 import java.util.function.IntFunction;
 import org.tinylog.Logger;
 
-/** The list of appliances: the watch on it, the whole of it on demand, and the one it started from. */
+/**
+ * Client of the discovery service: applies the initial list from disk, watches the list for changes and fetches the
+ * complete list on demand.
+ */
 public final class Registry implements Core.Directory, Counters.Group {
 
-    /** As long as nothing changes, the list says so this often. */
-    private static final long BEAT = 20_000;
-    private static final int BEATS_TO_SILENCE = 2;
-    private static final long TENTHS_A_MS = 10;
+    /** Discovery sends a heartbeat this often while nothing changes, in tenths of a millisecond. */
+    private static final long HEARTBEAT_INTERVAL = 20_000;
+    private static final int MISSED_HEARTBEATS_TO_TIMEOUT = 2;
+    private static final long TENTHS_PER_MS = 10;
 
     private final Loop loop;
     private final Rules rules;
     private final Back back;
     private final IntFunction<Build> builds;
     private InetSocketAddress address;
-    private final long answerWithin;
+    private final long responseTimeout;
     private final StartTimes startTimes;
-    private final JsonFactory json = new JsonFactory();
+    private final JsonFactory jsonFactory = new JsonFactory();
     private final Map<String, Remote> remotes = new HashMap<>();
     private final Map<String, Location> locations = new HashMap<>();
     private long version;
-    private long named;
+    private long nextId;
     private Stream watch;
     private Stream fetch;
-    /** A whole list that is older than what is known is believed: the list has moved, or said so before. */
-    private boolean believesOlder;
+    /**
+     * Whether a complete list with a lower version than the known one is accepted: discovery has moved to another
+     * address, or has sent an older list twice in a row.
+     */
+    private boolean acceptsOlder;
     private final OncePerSecond failureLog;
     private final OncePerSecond unreadableLog;
     private long failures;
     private final Map<String, Long> failuresByKind = new TreeMap<>();
-    private long unreadable;
-    private long older;
+    private long unreadableEntries;
+    private long olderLists;
 
-    /** The list is to be asked again within this time, in tenths of a millisecond, or 0 where none is set. */
+    /** The lease of the list is in tenths of a millisecond, or 0 if there is none; calls time out after half of it. */
     public Registry(Loop loop, Rules rules, Back back, IntFunction<Build> builds, InetSocketAddress address,
-            long askWithin) {
+            long leaseDuration) {
         this.loop = loop;
         this.rules = rules;
         this.back = back;
         this.builds = builds;
         this.address = address;
-        answerWithin = (askWithin > 0 ? askWithin : BEATS_TO_SILENCE * BEAT) / 2;
+        responseTimeout = (leaseDuration > 0 ? leaseDuration : MISSED_HEARTBEATS_TO_TIMEOUT * HEARTBEAT_INTERVAL) / 2;
         failureLog = new OncePerSecond(loop);
         unreadableLog = new OncePerSecond(loop);
         startTimes = new StartTimes(InstantSource.system(), loop::clock);
     }
 
-    /** The list as it was last known, perhaps long ago. */
+    /** Applies the list that was stored on disk, which may be arbitrarily old. */
     public void known(Fields list) throws Malformed {
-        take(list, true);
+        apply(list, true);
     }
 
-    /** Asks there from now on, for what has changed since. */
+    /** Switches to another discovery address and restarts open calls there; the known version is kept. */
     public void move(InetSocketAddress address) {
         this.address = address;
-        believesOlder = true;
+        acceptsOlder = true;
         loop.gather(rules::listMoved);
         if (watch != null) {
             watch();
@@ -97,15 +103,15 @@
         if (watch != null) {
             watch.close();
         }
-        watch = stream("?stream=1&index=" + version, new Watched(), new Stream.Ending() {
+        watch = stream("?stream=1&index=" + version, new WatchListener(), new Stream.Ending() {
             @Override
             public void ended(StreamEnd end) {
-                failed(end);
+                callFailed(end);
             }
 
             @Override
             public void taken() {
-                begun();
+                watchAccepted();
             }
         });
     }
@@ -115,59 +121,60 @@
         if (fetch != null) {
             fetch.close();
         }
-        Fetched fetched = new Fetched();
-        fetch = stream("", fetched, end -> {
+        FetchListener listener = new FetchListener();
+        fetch = stream("", listener, end -> {
             fetch = null;
-            if (!end.isComplete() || !fetched.isTold) {
-                failed(end);
+            if (!end.isComplete() || !listener.isReceived) {
+                callFailed(end);
             }
         });
     }
 
-    private Stream stream(String query, Documents.Reader reader, Stream.Ending ending) {
-        return new Stream(loop, address, "/registry/instances" + query, answerWithin,
-                BEATS_TO_SILENCE * BEAT, new Documents(reader), ending);
+    private Stream stream(String query, JsonDocumentReader.Listener listener, Stream.Ending ending) {
+        return new Stream(loop, address, "/registry/instances" + query, responseTimeout,
+                MISSED_HEARTBEATS_TO_TIMEOUT * HEARTBEAT_INTERVAL, new JsonDocumentReader(listener), ending);
     }
 
-    /** The list as it is answered, once. */
-    private final class Fetched implements Documents.Reader {
+    /** Applies the complete list of one fetch. */
+    private final class FetchListener implements JsonDocumentReader.Listener {
 
-        private boolean isTold;
+        private boolean isReceived;
 
         @Override
         public void document(byte[] bytes, int length) throws Malformed {
-            take(parse(bytes, length), false);
-            isTold = true;
+            apply(parse(bytes, length), false);
+            isReceived = true;
         }
 
         @Override
-        public void signOfLife() {
-            // An empty line behind a document, or before it.
+        public void heartbeat() {
+            // Empty lines before or after the document carry no information.
         }
     }
 
-    /** Changes as they come. */
-    private final class Watched implements Documents.Reader {
+    /** Applies the changes that the watch streams. */
+    private final class WatchListener implements JsonDocumentReader.Listener {
 
         @Override
         public void document(byte[] bytes, int length) throws Malformed {
-            take(parse(bytes, length), false);
+            apply(parse(bytes, length), false);
         }
 
         @Override
-        public void signOfLife() {
-            // What is read now came after the last turn began; later than that it is not known to hold.
+        public void heartbeat() {
+            // The heartbeat may have arrived at any time since this loop iteration began, so the list is confirmed
+            // only as of that time.
             long asOf = loop.now();
             loop.gather(() -> rules.listUnchanged(asOf));
         }
     }
 
-    /** Discovery has taken the call: changes or signs of life come on this watch from now on. */
-    private void begun() {
+    /** Discovery has accepted the watch; changes and heartbeats follow on it. */
+    private void watchAccepted() {
         loop.gather(rules::listTaken);
     }
 
-    private void failed(StreamEnd end) {
+    private void callFailed(StreamEnd end) {
         failures++;
         failuresByKind.merge(end.kind(), 1L, Long::sum);
         if (failureLog.isDue()) {
@@ -177,81 +184,84 @@
     }
 
     private Fields parse(byte[] bytes, int length) throws Malformed {
-        try (JsonParser parser = json.createParser(bytes, 0, length)) {
-            Fields whole = Fields.document(parser);
+        try (JsonParser parser = jsonFactory.createParser(bytes, 0, length)) {
+            Fields document = Fields.document(parser);
             if (parser.nextToken() != null) {
-                throw new Malformed("more than one object");
+                throw new Malformed("more than one JSON object");
             }
-            return whole;
+            return document;
         } catch (IOException e) {
             throw new Malformed("not JSON");
         }
     }
 
     /**
-     * Tells a list, or the changes of one. An entry that can't be read costs itself alone: it must not take a
-     * neighbour's drain with it, nor, in a whole list, the appliance that it names.
+     * Applies a complete list or a set of changes. A malformed entry is skipped alone: it must not prevent the drain
+     * of another appliance from being applied, nor remove the appliance that it names from a complete list.
      */
-    private void take(Fields list, boolean disk) throws Malformed {
-        boolean full = list.flag("snapshot", false);
-        long index = list.whole("index");
+    private void apply(Fields list, boolean isFromDisk) throws Malformed {
+        boolean isFull = list.flag("snapshot", false);
+        long listVersion = list.whole("index");
         List<ListEntry> entries = new ArrayList<>();
-        Set<String> kept = new HashSet<>();
-        boolean allNamed = read(list, disk, entries, kept);
-        if (full && index < version && !believesOlder) {
-            // Guards against a list that brings back what has been told to be gone or draining. Where it is as old
-            // the next time, it is the list that began anew. What it says to be draining counts all the same.
-            believesOlder = true;
-            older++;
-            tell(entries.stream().filter(entry -> entry.state() != Appliance.UP).toList(), Set.of(), false, disk);
-            throw new Malformed("a whole list of version " + index + " after " + version);
+        Set<String> unreadableNames = new HashSet<>();
+        boolean haveAllNames = readEntries(list, isFromDisk, entries, unreadableNames);
+        if (isFull && listVersion < version && !acceptsOlder) {
+            // An outdated list must not revive appliances that were reported as deleted or draining. If the next list
+            // is older as well, the versions of discovery have restarted and it is accepted. Entries that are not
+            // serving are applied in any case.
+            acceptsOlder = true;
+            olderLists++;
+            publish(entries.stream().filter(entry -> entry.state() != Appliance.UP).toList(), Set.of(), false,
+                    isFromDisk);
+            throw new Malformed("complete list of version " + listVersion + " received after " + version);
         }
-        version = index;
-        believesOlder = false;
-        if (!disk) {
+        version = listVersion;
+        acceptsOlder = false;
+        if (!isFromDisk) {
             long asOf = loop.now();
             loop.gather(() -> rules.listConfirmed(asOf));
         }
-        tell(entries, kept, full && allNamed, disk);
+        publish(entries, unreadableNames, isFull && haveAllNames, isFromDisk);
     }
 
     /**
-     * Reads all entries; the names of those that can't be read are kept. Whether each has a name at least. An operator's
-     * own file has to be right in every entry.
+     * Reads all entries and collects the names of malformed ones. Returns whether every malformed entry at least has a
+     * name. In a list from disk, which the operator provides, a malformed entry is an error.
      */
-    private boolean read(Fields list, boolean disk, List<ListEntry> entries, Set<String> kept) throws Malformed {
-        if (!(list.value("endpoints") instanceof List<?> all)) {
+    private boolean readEntries(Fields list, boolean isFromDisk, List<ListEntry> entries, Set<String> unreadableNames)
+            throws Malformed {
+        if (!(list.value("endpoints") instanceof List<?> elements)) {
             throw list.fault("endpoints", "is not a list");
         }
-        boolean allNamed = true;
-        for (Object one : all) {
-            Fields entry = one instanceof Fields fields ? fields : new Fields();
+        boolean haveAllNames = true;
+        for (Object element : elements) {
+            Fields entry = element instanceof Fields fields ? fields : new Fields();
             try {
-                entries.add(ListEntry.read(entry));
+                entries.add(ListEntry.parse(entry));
             } catch (Malformed e) {
-                if (disk) {
+                if (isFromDisk) {
                     throw e;
                 }
-                unreadable(entry.value("name"), e);
-                allNamed &= entry.value("name") instanceof String name && !name.isEmpty();
-                kept.add(String.valueOf(entry.value("name")));
+                entryUnreadable(entry.value("name"), e);
+                haveAllNames &= entry.value("name") instanceof String name && !name.isEmpty();
+                unreadableNames.add(String.valueOf(entry.value("name")));
             }
         }
-        return allNamed;
+        return haveAllNames;
     }
 
-    private void unreadable(Object name, Malformed why) {
-        unreadable++;
+    private void entryUnreadable(Object name, Malformed cause) {
+        unreadableEntries++;
         if (unreadableLog.isDue()) {
-            Logger.warn("entry {} of the list can't be read: {}", name, why.getMessage());
+            Logger.warn("malformed entry {} in the discovery list: {}", name, cause.getMessage());
         }
     }
 
-    private void tell(List<ListEntry> entries, Set<String> kept, boolean full, boolean disk) {
+    private void publish(List<ListEntry> entries, Set<String> unreadableNames, boolean isFull, boolean isFromDisk) {
         loop.gather(() -> {
-            rules.listBegins(full, disk);
-            entries.forEach(this::tell);
-            for (String name : kept) {
+            rules.listBegins(isFull, isFromDisk);
+            entries.forEach(this::publish);
+            for (String name : unreadableNames) {
                 Remote remote = remotes.get(name);
                 if (remote != null && remote.state != Appliance.GONE) {
                     rules.listed(remote, remote.build, remote.zone, remote.cell, remote.state, remote.startedAt);
@@ -267,48 +277,49 @@
         });
     }
 
-    private void tell(ListEntry entry) {
+    private void publish(ListEntry entry) {
         boolean isKnown = remotes.containsKey(entry.name());
-        Remote remote = remotes.computeIfAbsent(entry.name(), name -> (Remote) back.appliance(named++));
-        // By the list's own word: what it comes to by a clock that was stepped would look like another start.
-        boolean hasStarted = !isKnown || remote.sinceMs != entry.sinceMs();
-        long startedAt = hasStarted ? startTimes.startedAt(entry.sinceMs()) : remote.startedAt;
-        remote.sinceMs = entry.sinceMs();
+        Remote remote = remotes.computeIfAbsent(entry.name(), name -> (Remote) back.appliance(nextId++));
+        // Compares the wall-clock times as listed: after a clock step the converted monotonic time differs, which would
+        // look like a restart.
+        boolean hasStarted = !isKnown || remote.sinceMs != entry.startedAtMs();
+        long startedAt = hasStarted ? startTimes.toMonotonic(entry.startedAtMs()) : remote.startedAt;
+        remote.sinceMs = entry.startedAtMs();
         boolean hasMoved = entry.address() != null && !entry.address().equals(remote.address);
         if (hasMoved || hasStarted) {
             back.dropIdle(remote);
         }
         remote.address = entry.address() != null ? entry.address() : remote.address;
         Location location = locations.computeIfAbsent(entry.zone(), name -> new Location());
-        rules.listed(remote, builds.apply(entry.release()), location, entry.group(), entry.state(), startedAt);
+        rules.listed(remote, builds.apply(entry.release()), location, entry.cell(), entry.state(), startedAt);
     }
 
-    /** Picks now out, by name. */
+    /** Number of picks in flight by appliance name; appliances without any are left out. */
     public Map<String, Integer> out() {
-        Map<String, Integer> out = new HashMap<>();
+        Map<String, Integer> inFlight = new HashMap<>();
         remotes.forEach((name, remote) -> {
             if (remote.room.out > 0) {
-                out.put(name, remote.room.out);
+                inFlight.put(name, remote.room.out);
             }
         });
-        return out;
+        return inFlight;
     }
 
-    /** What others have out, by name; nothing where they say nothing. */
-    public void others(Map<String, Double> others) {
-        remotes.forEach((name, remote) -> remote.others = others.getOrDefault(name, 0.0));
+    /** Sets the number of picks that other agents have in flight, by appliance name; 0 for names not given. */
+    public void others(Map<String, Double> inFlightElsewhere) {
+        remotes.forEach((name, remote) -> remote.others = inFlightElsewhere.getOrDefault(name, 0.0));
     }
 
     @Override
     public void report(Counters counters) {
         counters.count("version", version);
-        counters.count("age ms", rules.listAge() < 0 ? -1 : rules.listAge() / TENTHS_A_MS);
+        counters.count("age ms", rules.listAge() < 0 ? -1 : rules.listAge() / TENTHS_PER_MS);
         counters.count("appliances", remotes.size());
         counters.count("covered", rules.covered());
         counters.count("failures", failures);
         failuresByKind.forEach((kind, count) -> counters.count("failed: " + kind, count));
-        counters.count("unreadable entries", unreadable);
-        counters.count("older", older);
+        counters.count("unreadable entries", unreadableEntries);
+        counters.count("older", olderLists);
         counters.count("clock stepped", startTimes.hasStepped() ? 1 : 0);
     }
 }
--- a/src/main/java/honeygap/net/list/StartTimes.java
+++ b/src/main/java/honeygap/net/list/StartTimes.java
@@ -5,43 +5,45 @@
 import java.util.function.LongSupplier;
 
 /**
- * Turns the wall-clock time at which discovery says that an appliance started into a time of the loop's monotonic clock.
- * The wall clock may be stepped at any moment, between one entry of a list and the next. Once a step has been seen,
- * wall-clock times can't be trusted for ages: a start that is new here then counts from when it was heard of, which makes
- * the appliance colder than it is, never warmer.
+ * Converts the wall-clock start time that discovery reports for an appliance to the loop's monotonic clock. The wall
+ * clock may be stepped at any moment, even between two entries of a list. Once a step has been detected, wall-clock
+ * times no longer yield reliable ages: a start that is new to this agent then counts from the moment it was reported,
+ * so the appliance can only appear colder than it is, never warmer.
  */
 final class StartTimes {
 
-    private static final long TENTHS_A_MS = 10;
-    /** A difference between the clocks that changes by more than this is a step, and no drift. */
-    private static final long STEP_MS = 1000;
+    private static final long TENTHS_PER_MS = 10;
+    /** A change of the offset between the clocks by more than this is a step rather than drift. */
+    private static final long MIN_STEP_MS = 1000;
 
     private final InstantSource wallClock;
     private final LongSupplier monotonicClock;
-    private long differenceMs;
+    private long clockOffsetMs;
     private boolean hasStepped;
 
     /** The monotonic clock is in tenths of a millisecond. */
     StartTimes(InstantSource wallClock, LongSupplier monotonicClock) {
         this.wallClock = wallClock;
         this.monotonicClock = monotonicClock;
-        differenceMs = differenceNow();
+        clockOffsetMs = currentOffsetMs();
     }
 
-    private long differenceNow() {
-        return wallClock.millis() - monotonicClock.getAsLong() / TENTHS_A_MS;
+    private long currentOffsetMs() {
+        return wallClock.millis() - monotonicClock.getAsLong() / TENTHS_PER_MS;
     }
 
-    /** The loop's time of a start that was not heard of before; 0 is long ago, the future is now. */
-    long startedAt(long sinceMs) {
-        if (sinceMs == 0) {
+    /**
+     * Converts a start time that has not been reported before; 0 means long ago, and a time in the future means now.
+     */
+    long toMonotonic(long startedAtMs) {
+        if (startedAtMs == 0) {
             return Fleet.LONG_AGO;
         }
-        long before = differenceMs;
-        differenceMs = differenceNow();
-        hasStepped |= Math.abs(differenceMs - before) > STEP_MS;
+        long previousOffsetMs = clockOffsetMs;
+        clockOffsetMs = currentOffsetMs();
+        hasStepped |= Math.abs(clockOffsetMs - previousOffsetMs) > MIN_STEP_MS;
         long now = monotonicClock.getAsLong();
-        return hasStepped ? now : Math.min(now, TENTHS_A_MS * (sinceMs - differenceMs));
+        return hasStepped ? now : Math.min(now, TENTHS_PER_MS * (startedAtMs - clockOffsetMs));
     }
 
     boolean hasStepped() {
--- a/src/test/java/honeygap/net/door/LedgerFileTest.java
+++ b/src/test/java/honeygap/net/door/LedgerFileTest.java
@@ -16,21 +16,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A ledger on a disk whose writes, syncs and truncations fail for a while. */
+/** A command ledger on a disk whose writes, syncs and truncations fail temporarily. */
 class LedgerFileTest {
 
     @TempDir
     private Path folder;
 
-    /** What fails, in order: a write after so many bytes, then the sync, then the truncation. */
-    private static final class FailingMedium implements LedgerFile.Medium {
+    /** Storage that fails as configured: in writes after a number of bytes, in syncs, in truncations. */
+    private static final class FailingStorage implements LedgerFile.Storage {
 
         private final FileChannel channel;
         private int bytesBeforeFull = Integer.MAX_VALUE;
         private boolean syncFails;
         private boolean truncationFails;
 
-        FailingMedium(Path file) throws IOException {
+        FailingStorage(Path file) throws IOException {
             channel = FileChannel.open(file, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
         }
 
@@ -39,14 +39,14 @@
             if (bytesBeforeFull <= 0) {
                 throw new IOException("No space left on device");
             }
-            int most = Math.min(bytesBeforeFull, bytes.remaining());
-            channel.write(bytes.slice(bytes.position(), most));
-            bytes.position(bytes.position() + most);
-            bytesBeforeFull -= most;
+            int count = Math.min(bytesBeforeFull, bytes.remaining());
+            channel.write(bytes.slice(bytes.position(), count));
+            bytes.position(bytes.position() + count);
+            bytesBeforeFull -= count;
         }
 
         @Override
-        public void force() throws IOException {
+        public void sync() throws IOException {
             if (syncFails) {
                 throw new IOException("Input/output error");
             }
@@ -81,33 +81,35 @@
         return ledger.entries().stream().map(Ledger.Entry::id).toList();
     }
 
-    /** What was not kept is not there at the next start; what is kept after it can be read. */
+    /** An entry whose write failed is absent at the next start; entries appended after it are readable. */
     @ParameterizedTest
     @CsvSource({"0,false,false", "7,false,false", "7,false,true", "1000,true,false", "1000,true,true"})
     void failedWriteLeavesNothing(int bytesBeforeFull, boolean syncFails, boolean truncationFails) throws Exception {
         Path file = folder.resolve("ledger");
-        FailingMedium[] medium = new FailingMedium[1];
-        try (LedgerFile ledger = new LedgerFile(file, new Ledger(10, 1), path -> medium[0] = new FailingMedium(path))) {
-            ledger.keep(entry("before", 1));
-            medium[0].bytesBeforeFull = bytesBeforeFull;
-            medium[0].syncFails = syncFails;
-            medium[0].truncationFails = truncationFails;
-            assertThrows(IOException.class, () -> ledger.keep(entry("failed", 2)));
-            assertThrows(IOException.class, () -> ledger.keep(entry("failed", 2)), "the disk still fails");
-            medium[0].bytesBeforeFull = Integer.MAX_VALUE;
-            medium[0].syncFails = false;
-            medium[0].truncationFails = false;
-            ledger.keep(entry("after", 3));
+        FailingStorage[] storage = new FailingStorage[1];
+        try (LedgerFile ledger = new LedgerFile(file, new Ledger(10, 1), path -> storage[0] = new FailingStorage(path))) {
+            ledger.append(entry("before", 1));
+            storage[0].bytesBeforeFull = bytesBeforeFull;
+            storage[0].syncFails = syncFails;
+            storage[0].truncationFails = truncationFails;
+            assertThrows(IOException.class, () -> ledger.append(entry("failed", 2)));
+            assertThrows(IOException.class, () -> ledger.append(entry("failed", 2)), "the disk still fails");
+            storage[0].bytesBeforeFull = Integer.MAX_VALUE;
+            storage[0].syncFails = false;
+            storage[0].truncationFails = false;
+            ledger.append(entry("after", 3));
         }
         assertEquals(List.of("before", "after"), restored(file));
     }
 
-    /** A kill in the middle of a write: the torn line was not answered, all before it was. */
+    /**
+     * The process is killed during a write: the command of the torn line was not acknowledged, all earlier ones were.
+     */
     @Test
-    void tornLine() throws Exception {
+    void tornLastLineIsDropped() throws Exception {
         Path file = folder.resolve("ledger");
         try (LedgerFile ledger = new LedgerFile(file, new Ledger(10, 1))) {
-            ledger.keep(entry("before", 1));
+            ledger.append(entry("before", 1));
         }
         Files.writeString(file, "{\"id\":\"torn", StandardOpenOption.APPEND);
         assertEquals(List.of("before"), restored(file));
--- a/src/test/java/honeygap/wire/WireHostTest.java
+++ b/src/test/java/honeygap/wire/WireHostTest.java
@@ -22,7 +22,7 @@
     private static final String RPC = "{'cmd':'NewRequest','Who':3,'Xid':'r','Category':0,'NameKey':null,"
             + "'TimeBudgetNs':240000001}";
 
-    /** Batches, split at bars, and the last reply. */
+    /** Batches, separated by '|', and the reply to the last one. */
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {
         "; []",
@@ -33,16 +33,16 @@
             + "[{'cmd':'PassOn','Who':3,'Xid':'r','Appliance':4294967295,'WithinNs':240000000}]",
         "BOOT,LIST|RPC|{'cmd':'Completed','Who':3,'Xid':'r','Go':0,'Appliance':4294967295,'Reason':0,"
             + "'LagNs':1,'NoMore':true,'Pressure':null},{'cmd':'Left','Who':3,'Xid':'r'}; []"})
-    void replies(String batches, String steps) throws IOException {
+    void replyOfLastBatch(String batches, String expectedSteps) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(0, host(batches == null ? "" : batches, out, err));
         String[] lines = out.toString(StandardCharsets.UTF_8).split("\n");
-        assertEquals(("{'steps':" + steps + "}").replace('\'', '"'), lines[lines.length - 1]);
+        assertEquals(("{'steps':" + expectedSteps + "}").replace('\'', '"'), lines[lines.length - 1]);
         assertEquals("", err.toString(StandardCharsets.UTF_8));
     }
 
-    /** A fault is one plain line on standard error with the line's number, and a status other than 0. */
+    /** A malformed line ends the host with status 1 and one line on standard error that names the line number. */
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {
         "BOOT|{'cmd':'Left','Who':4,'Xid':'r'}; line 2: instance 4 is not running",
@@ -52,13 +52,13 @@
         "BOOT|{'cmd':'Left','Who':'3','Xid':'r'}; line 2: field msgs[0].Who is not a whole number",
         "{'cmd':'Boot','Who':3,'InitSeed':1,'BootInfo':{'TickNs':1}}; line 1: field msgs[0].BootInfo.Classes is missing",
         "{'Who':1}; line 1: field msgs[0].cmd is missing", "{; line 1: not JSON", "7; line 1: field msgs holds"})
-    void faults(String batches, String fault) throws IOException {
+    void faultIsReportedWithLineNumber(String batches, String expectedFault) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(1, host(batches, out, err));
-        String said = err.toString(StandardCharsets.UTF_8);
-        assertTrue(said.startsWith("wirehost: " + fault), said);
-        assertEquals(1, said.lines().count());
+        String message = err.toString(StandardCharsets.UTF_8);
+        assertTrue(message.startsWith("wirehost: " + expectedFault), message);
+        assertEquals(1, message.lines().count());
     }
 
     private static int host(String batches, ByteArrayOutputStream out, ByteArrayOutputStream err)
