--- a/src/main/java/honeygap/net/askers/Askers.java
+++ b/src/main/java/honeygap/net/askers/Askers.java
@@ -17,43 +17,43 @@
 public final class Askers implements Front {
 
     /** A client that has had no evaluation open for so long may be closed, in tenths of a millisecond. */
-    private static final long KEPT = 600_000;
+    private static final long IDLE_TIMEOUT = 600_000;
 
     private final Loop loop;
-    final Exchange exchange;
-    final Guests guests;
-    final int longestBody;
+    final Exchange dispatcher;
+    final Guests connections;
+    final int maxBodyLength;
     final long tick;
-    private final Method one;
-    private final Method bulk;
-    private final Method track;
-    private final Method tracked;
-    private final Map<String, Long> refused = new TreeMap<>();
+    private final Method evaluateMethod;
+    private final Method bulkMethod;
+    private final Method trackMethod;
+    private final Method keyedTrackMethod;
+    private final Map<String, Long> rejectedByKind = new TreeMap<>();
     private final ShutdownLog shutdownLog;
-    private long pushedBack;
+    private long pushedBackCount;
 
     /** Methods: one flag, all flags, an event, an event with a key; most connections; the longest body. */
-    public Askers(Loop loop, Exchange exchange, Method one, Method bulk, Method track, Method tracked, long tick,
-                  int most, int longestBody) {
+    public Askers(Loop loop, Exchange dispatcher, Method evaluateMethod, Method bulkMethod, Method trackMethod, Method keyedTrackMethod, long tick,
+                  int maxConnections, int maxBodyLength) {
         this.loop = loop;
-        this.exchange = exchange;
-        this.one = one;
-        this.bulk = bulk;
-        this.track = track;
-        this.tracked = tracked;
+        this.dispatcher = dispatcher;
+        this.evaluateMethod = evaluateMethod;
+        this.bulkMethod = bulkMethod;
+        this.trackMethod = trackMethod;
+        this.keyedTrackMethod = keyedTrackMethod;
         this.tick = tick;
-        this.longestBody = longestBody;
+        this.maxBodyLength = maxBodyLength;
         shutdownLog = new ShutdownLog(loop);
-        guests = new Guests(loop, most, Math.max(1, most / 2), KEPT, shutdownLog);
+        connections = new Guests(loop, maxConnections, Math.max(1, maxConnections / 2), IDLE_TIMEOUT, shutdownLog);
     }
 
     @Override
     public Peer comer() {
-        return new Asker(this);
+        return new FlagClientConnection(this);
     }
 
-    Method method(Paths.Where where, boolean hasKey) {
-        return where.isTracking() ? hasKey ? tracked : track : where.flag() == null ? bulk : one;
+    Method method(Paths.Route route, boolean hasKey) {
+        return route.isTracking() ? hasKey ? keyedTrackMethod : trackMethod : route.flag() == null ? bulkMethod : evaluateMethod;
     }
 
     long clock() {
@@ -61,25 +61,25 @@
     }
 
     /** How long an evaluation may take: as the method has it, or less where the client says so. */
-    long within(Method method, String ms) throws Refusal {
-        long within = method.deadline;
-        if (ms != null) {
-            if (!ms.matches("[0-9]{1,9}")) {
+    long timeout(Method method, String requestedMs) throws Refusal {
+        long timeout = method.deadline;
+        if (requestedMs != null) {
+            if (!requestedMs.matches("[0-9]{1,9}")) {
                 throw new Refusal(400, "INVALID_CONTEXT", "field x-deadline-ms is not a whole number of ms");
             }
-            within = Math.min(within, 10 * Long.parseLong(ms));
+            timeout = Math.min(timeout, 10 * Long.parseLong(requestedMs));
         }
-        return Math.max(0, within - tick);
+        return Math.max(0, timeout - tick);
     }
 
-    void refused(String kind) {
-        refused.merge(kind, 1L, Long::sum);
+    void countRejected(String kind) {
+        rejectedByKind.merge(kind, 1L, Long::sum);
     }
 
     /** The process was told to end, and goes by this schedule. */
     public void shutDown(ShutdownSchedule schedule) {
-        shutdownLog.signalled(schedule, guests.stages());
-        guests.shutDown(schedule, tick);
+        shutdownLog.signalled(schedule, connections.countByStage());
+        connections.shutDown(schedule, tick);
     }
 
     /** What happened since the signal to end. */
@@ -87,34 +87,34 @@
         return shutdownLog;
     }
 
-    void pushedBack() {
-        pushedBack++;
+    void countPushedBack() {
+        pushedBackCount++;
     }
 
     @Override
     public void leave() {
-        guests.leave();
+        connections.closeBetweenRpcs();
     }
 
     @Override
     public void drain(boolean isDrained) {
-        guests.drain(isDrained);
+        connections.drain(isDrained);
     }
 
     @Override
     public int count() {
-        return guests.count();
+        return connections.count();
     }
 
     /** How many connections are let in at most. */
     public int places() {
-        return guests.places();
+        return connections.places();
     }
 
     @Override
     public void report(Counters counters) {
-        guests.report(counters);
-        counters.count("pushed back", pushedBack);
-        refused.forEach((kind, many) -> counters.count("refused: " + kind, many));
+        connections.report(counters);
+        counters.count("pushed back", pushedBackCount);
+        rejectedByKind.forEach((kind, count) -> counters.count("refused: " + kind, count));
     }
 }
--- a/src/main/java/honeygap/net/askers/Tags.java
+++ b/src/main/java/honeygap/net/askers/EntityTags.java
@@ -1,28 +1,28 @@
 package honeygap.net.askers;
 
 import honeygap.flags.Served;
-import honeygap.net.ofrep.Request;
+import honeygap.net.ofrep.OfrepRequest;
 
 /**
  * Entity tags of bulk answers, made by the agent of what the answer says, so that they hold whichever server
  * gave it; each also tells the newest flag-set version in it. And the words of statuses.
  */
-final class Tags {
+final class EntityTags {
 
-    private static final int MOST_TAGS = 16;
+    private static final int MAX_TAGS = 16;
 
-    private Tags() {
+    private EntityTags() {
     }
 
     static String of(Served served) {
         return "\"" + (served.newest == Served.NO_VERSION ? "" : served.newest) + "-"
-                + Long.toHexString(Request.hash(served.body)) + "\"";
+                + Long.toHexString(OfrepRequest.hash(served.body)) + "\"";
     }
 
     /** Whether a list of tags, perhaps null, holds this one; weak ones count, as RFC 9110 has it. */
-    static boolean isAmong(String tag, String list) {
-        for (String one : split(list)) {
-            if (one.equals(tag)) {
+    static boolean isListed(String tag, String list) {
+        for (String candidate : split(list)) {
+            if (candidate.equals(tag)) {
                 return true;
             }
         }
@@ -30,19 +30,19 @@
     }
 
     /** The newest version that a client holds by the tags that it names. */
-    static long version(String list) {
-        long version = Served.NO_VERSION;
-        for (String one : split(list)) {
-            int dash = one.indexOf('-');
-            if (dash > 1 && dash <= 19 && one.substring(1, dash).chars().allMatch(c -> c >= '0' && c <= '9')) {
-                version = Math.max(version, Long.parseLong(one.substring(1, dash)));
+    static long newestVersion(String list) {
+        long newest = Served.NO_VERSION;
+        for (String tag : split(list)) {
+            int dash = tag.indexOf('-');
+            if (dash > 1 && dash <= 19 && tag.substring(1, dash).chars().allMatch(c -> c >= '0' && c <= '9')) {
+                newest = Math.max(newest, Long.parseLong(tag.substring(1, dash)));
             }
         }
-        return version;
+        return newest;
     }
 
     private static String[] split(String list) {
-        String[] tags = list == null ? new String[0] : list.split(",", MOST_TAGS);
+        String[] tags = list == null ? new String[0] : list.split(",", MAX_TAGS);
         for (int i = 0; i < tags.length; i++) {
             String tag = tags[i].strip();
             tags[i] = tag.startsWith("W/") ? tag.substring(2) : tag;
@@ -50,7 +50,7 @@
         return tags;
     }
 
-    static String reason(int status) {
+    static String reasonPhrase(int status) {
         switch (status) {
             case 200:
                 return "OK";
--- /dev/null
+++ b/src/main/java/honeygap/net/askers/FlagClientConnection.java
@@ -0,0 +1,267 @@
+package honeygap.net.askers;
+
+import honeygap.flags.Answers;
+import honeygap.flags.Served;
+import honeygap.net.guests.Guest;
+import honeygap.net.http.Refusal;
+import honeygap.net.http.Requests;
+import honeygap.net.ofrep.PendingEvaluation;
+import honeygap.net.ofrep.Bodies;
+import honeygap.net.ofrep.OfrepRequest;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+
+/**
+ * A client that asks for flags over HTTP/1.1. Requests may be sent one behind another; they are read one by
+ * one, so that the answers go out in their order.
+ */
+final class FlagClientConnection extends Guest {
+
+    private static final byte[] NO_BODY = {};
+
+    private final Askers clients;
+    private final Requests parser;
+    private ClientEvaluation openEvaluation;
+    private boolean continueSent;
+    private boolean started;
+
+    FlagClientConnection(Askers clients) {
+        super(clients.connections);
+        this.clients = clients;
+        parser = new Requests(clients.maxBodyLength);
+    }
+
+    /** One evaluation of this client. */
+    private final class ClientEvaluation extends PendingEvaluation {
+
+        private final boolean isKeepAlive;
+
+        ClientEvaluation(OfrepRequest request, long takenAt, long deadline, long knownVersion) {
+            super(request, takenAt, deadline, knownVersion);
+            isKeepAlive = parser.isKept();
+        }
+
+        @Override
+        public void answer(Served served, int origin) {
+            FlagClientConnection.this.sendResponse(this, served, origin);
+        }
+
+        @Override
+        public void pushBack(long retryAfter) {
+            clients.countPushedBack();
+            long delay = Math.max(retryAfter, clients.dispatcher.suggestedRetryAfter());
+            finishEvaluation(this, 429, errorBody("GENERAL", "pushed back, trying again is harmless"),
+                    "Retry-After: " + Math.max(1, (delay + 9_999) / 10_000) + "\r\n");
+        }
+
+        @Override
+        public void abort() {
+            finishEvaluation(this, 500, errorBody("GENERAL", "aborted"), "");
+        }
+
+        private byte[] errorBody(String code, String details) {
+            return Bodies.error(question.flag, code, details);
+        }
+    }
+
+    /** A connection of HTTP begins with nothing but the first request. */
+    @Override
+    protected boolean isStarted() {
+        return started;
+    }
+
+    @Override
+    protected boolean isAsking() {
+        return openEvaluation != null;
+    }
+
+    @Override
+    protected int waiting() {
+        return parser.waiting();
+    }
+
+    @Override
+    protected int longest() {
+        return parser.longest();
+    }
+
+    @Override
+    protected ByteBuffer tooLongWord() {
+        clients.countRejected("too slow");
+        return createResponse(408, Bodies.error(null, null, "nothing whole has come in time"), "", false);
+    }
+
+    @Override
+    protected ByteBuffer tooManyWord() {
+        clients.countRejected("too many connections");
+        return createResponse(503, Bodies.error(null, null, "too many connections"), "Retry-After: 1\r\n", false);
+    }
+
+    @Override
+    protected ByteBuffer shutdownWord() {
+        clients.countRejected("shutting down");
+        return createResponse(503, Bodies.error(null, null, "this agent is shutting down"), "Retry-After: 1\r\n", false);
+    }
+
+    @Override
+    protected void giveUp() {
+        ClientEvaluation abandoned = openEvaluation;
+        clients.dispatcher.abandon(abandoned);
+        abandoned.abort();
+    }
+
+    @Override
+    protected void keep(ByteBuffer bytes) {
+        parser.feed(bytes);
+    }
+
+    @Override
+    protected void leave() {
+        if (openEvaluation != null) {
+            ClientEvaluation abandoned = openEvaluation;
+            closeEvaluation();
+            clients.dispatcher.abandon(abandoned);
+        }
+    }
+
+    @Override
+    protected void read() {
+        try {
+            while (canRead() && parser.next()) {
+                started = true;
+                hasAsked();
+                continueSent = false;
+                if (clients.connections.isFull()) {
+                    end(tooManyWord());
+                } else {
+                    handleRequest();
+                }
+            }
+            if (canRead() && !continueSent && parser.expectsContinue()) {
+                continueSent = true;
+                write(ByteBuffer.wrap("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+            }
+        } catch (Refusal e) {
+            // What follows on the connection can't be read for sure.
+            clients.countRejected(e.kind);
+            end(createResponse(e.status, Bodies.error(null, null, e.getMessage()), "", false));
+        }
+    }
+
+    /** A request read whole; one that is turned down leaves the connection as it is. */
+    private void handleRequest() {
+        String flag = null;
+        try {
+            String contentCoding = parser.field("content-encoding");
+            if (contentCoding != null && !contentCoding.equalsIgnoreCase("identity")) {
+                throw new Refusal(415, "other coding", "content-encoding " + contentCoding);
+            }
+            Paths.Route route = Paths.parse(parser.target());
+            flag = route.flag();
+            if (!parser.method().equals("POST")) {
+                throw new Refusal(405, "other method", parser.method() + " is not taken here");
+            }
+            String contentType = parser.field("content-type");
+            if (contentType != null && !contentType.toLowerCase(Locale.ROOT).startsWith("application/json")) {
+                throw new Refusal(415, "other type", "content-type " + contentType);
+            }
+            openEvaluation = createEvaluation(route);
+            clients.dispatcher.submit(openEvaluation, clients.tick);
+        } catch (Refusal e) {
+            clients.countRejected(e.kind);
+            boolean hasErrorCode = e.status == 400;
+            writeResponse(parser.isKept(), e.status, Bodies.error(hasErrorCode ? flag : null, hasErrorCode ? e.kind : null,
+                    e.getMessage()), e.status == 405 ? "Allow: POST\r\n" : "");
+        }
+    }
+
+    private ClientEvaluation createEvaluation(Paths.Route route) throws Refusal {
+        String token = parser.field("idempotency-key");
+        boolean isTracking = route.isTracking();
+        long targetingKeyHash = Bodies.subject(parser.body());
+        long knownVersion = isTracking || route.flag() != null ? Served.NO_VERSION
+                : EntityTags.newestVersion(parser.field("if-none-match"));
+        StringBuilder fields = new StringBuilder();
+        appendField(fields, "Authorization", parser.field("authorization"));
+        appendField(fields, "X-API-Key", parser.field("x-api-key"));
+        if (isTracking && token != null) {
+            if (token.isEmpty() || token.length() > 255) {
+                throw new Refusal(400, "INVALID_CONTEXT", "field idempotency-key is empty or over 255 long");
+            }
+            appendField(fields, "Idempotency-Key", token);
+        }
+        OfrepRequest request = OfrepRequest.of(clients.method(route, token != null), route.flag(), targetingKeyHash, route.path(),
+                fields.toString(), parser.body(), !isTracking);
+        long now = clients.clock();
+        return new ClientEvaluation(request, now, now + clients.timeout(request.method, parser.field("x-deadline-ms")), knownVersion);
+    }
+
+    private static void appendField(StringBuilder fields, String name, String value) {
+        if (value != null) {
+            fields.append(name).append(": ").append(value).append("\r\n");
+        }
+    }
+
+    private void sendResponse(ClientEvaluation evaluation, Served served, int origin) {
+        if (evaluation.question.flag != null || !evaluation.question.shareable || !served.isGood()) {
+            byte[] body = origin == Answers.FRESH ? served.body
+                    : Bodies.withReason(served.body, false, reasonFor(origin));
+            finishEvaluation(evaluation, served.status, body, "");
+            return;
+        }
+        String tag = EntityTags.of(served);
+        if (EntityTags.isListed(tag, parser.field("if-none-match"))) {
+            finishEvaluation(evaluation, 304, NO_BODY, "ETag: " + tag + "\r\n");
+        } else {
+            byte[] body = origin == Answers.FRESH ? served.body
+                    : Bodies.withReason(served.body, true, reasonFor(origin));
+            finishEvaluation(evaluation, 200, body, "ETag: " + tag + "\r\n");
+        }
+    }
+
+    private static String reasonFor(int origin) {
+        return origin == Answers.CACHED ? "CACHED" : "STALE";
+    }
+
+    private void finishEvaluation(ClientEvaluation evaluation, int status, byte[] body, String fields) {
+        if (openEvaluation == evaluation) {
+            closeEvaluation();
+            writeResponse(evaluation.isKeepAlive, status, body, fields);
+        }
+    }
+
+    /** Parts from the evaluation: it is answered, or nobody waits any more. */
+    private void closeEvaluation() {
+        openEvaluation.guard.callOff();
+        openEvaluation = null;
+    }
+
+    private void writeResponse(boolean isKeepAlive, int status, byte[] body, String fields) {
+        boolean keepsOpen = isKeepAlive && !clients.connections.isClosing();
+        write(createResponse(status, body, fields, keepsOpen));
+        if (!keepsOpen) {
+            close();
+        }
+    }
+
+    /** A whole answer: status, fields and body. */
+    private static ByteBuffer createResponse(int status, byte[] body, String fields, boolean keepsOpen) {
+        boolean hasBody = status != 204 && status != 304;
+        StringBuilder lines = new StringBuilder(160).append("HTTP/1.1 ").append(status).append(' ')
+                .append(EntityTags.reasonPhrase(status)).append("\r\n");
+        if (hasBody) {
+            lines.append("Content-Type: application/json\r\nContent-Length: ").append(body.length).append("\r\n");
+        }
+        if (!keepsOpen) {
+            lines.append("Connection: close\r\n");
+        }
+        byte[] head = lines.append(fields).append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer response = ByteBuffer.allocate(head.length + (hasBody ? body.length : 0));
+        response.put(head);
+        if (hasBody) {
+            response.put(body);
+        }
+        return response.flip();
+    }
+}
--- a/src/main/java/honeygap/net/askers/Paths.java
+++ b/src/main/java/honeygap/net/askers/Paths.java
@@ -8,45 +8,45 @@
 /** Paths of the remote evaluation protocol, and the one for tracking events beside them. */
 final class Paths {
 
-    private static final String ALL = "/ofrep/v1/evaluate/flags";
+    private static final String EVALUATE = "/ofrep/v1/evaluate/flags";
     private static final String TRACK = "/ofrep/v1/track";
-    private static final int LONGEST_FLAG = 256;
+    private static final int MAX_FLAG_LENGTH = 256;
     private static final String UNRESERVED = "-._~";
 
     /** What is asked for: one flag, all where it is null, or that an event be tracked; and its path anew. */
-    record Where(String flag, boolean isTracking, String path) { }
+    record Route(String flag, boolean isTracking, String path) { }
 
     private Paths() {
     }
 
-    static Where read(String target) throws Refusal {
+    static Route parse(String target) throws Refusal {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
-        if (path.equals(ALL)) {
-            return new Where(null, false, ALL);
+        if (path.equals(EVALUATE)) {
+            return new Route(null, false, EVALUATE);
         }
         if (path.equals(TRACK)) {
-            return new Where(null, true, TRACK);
+            return new Route(null, true, TRACK);
         }
-        if (!path.startsWith(ALL + "/")) {
+        if (!path.startsWith(EVALUATE + "/")) {
             throw new Refusal(404, "other path", "nothing is here");
         }
-        String flag = decoded(path.substring(ALL.length() + 1));
-        if (flag.isEmpty() || flag.length() > LONGEST_FLAG || flag.equals(".") || flag.equals("..")) {
-            throw new Refusal(400, "PARSE_ERROR", "no name of a flag, or one over " + LONGEST_FLAG + " long");
+        String flag = percentDecode(path.substring(EVALUATE.length() + 1));
+        if (flag.isEmpty() || flag.length() > MAX_FLAG_LENGTH || flag.equals(".") || flag.equals("..")) {
+            throw new Refusal(400, "PARSE_ERROR", "no name of a flag, or one over " + MAX_FLAG_LENGTH + " long");
         }
-        return new Where(flag, false, ALL + "/" + encoded(flag));
+        return new Route(flag, false, EVALUATE + "/" + percentEncode(flag));
     }
 
-    private static String decoded(String words) throws Refusal {
-        if (words.indexOf('/') >= 0) {
+    private static String percentDecode(String text) throws Refusal {
+        if (text.indexOf('/') >= 0) {
             throw new Refusal(404, "other path", "nothing is here");
         }
-        byte[] bytes = words.getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer plain = ByteBuffer.allocate(bytes.length);
+        byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer decoded = ByteBuffer.allocate(bytes.length);
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] != '%') {
-                plain.put(bytes[i]);
+                decoded.put(bytes[i]);
                 continue;
             }
             int high = i + 2 < bytes.length ? Character.digit(bytes[i + 1], 16) : -1;
@@ -55,25 +55,25 @@
                 throw new Refusal(400, "PARSE_ERROR", "a percent sign without two digits at byte " + i
                         + " of the flag's name");
             }
-            plain.put((byte) (16 * high + low));
+            decoded.put((byte) (16 * high + low));
             i += 2;
         }
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(plain.flip()).toString();
+            return StandardCharsets.UTF_8.newDecoder().decode(decoded.flip()).toString();
         } catch (CharacterCodingException e) {
             throw new Refusal(400, "PARSE_ERROR", "the flag's name is not UTF-8");
         }
     }
 
-    private static String encoded(String flag) {
-        StringBuilder words = new StringBuilder(flag.length());
-        for (byte one : flag.getBytes(StandardCharsets.UTF_8)) {
-            if (one >= 0 && (Character.isLetterOrDigit(one) || UNRESERVED.indexOf(one) >= 0)) {
-                words.append((char) one);
+    private static String percentEncode(String flag) {
+        StringBuilder encoded = new StringBuilder(flag.length());
+        for (byte octet : flag.getBytes(StandardCharsets.UTF_8)) {
+            if (octet >= 0 && (Character.isLetterOrDigit(octet) || UNRESERVED.indexOf(octet) >= 0)) {
+                encoded.append((char) octet);
             } else {
-                words.append(String.format("%%%02X", one));
+                encoded.append(String.format("%%%02X", octet));
             }
         }
-        return words.toString();
+        return encoded.toString();
     }
 }
--- a/src/main/java/honeygap/net/clients/Clients.java
+++ b/src/main/java/honeygap/net/clients/Clients.java
@@ -28,43 +28,43 @@
 public final class Clients implements Front {
 
     /** The protocol lets a connection go that has had no open RPC for so long. */
-    private static final long KEPT = 20_000;
+    private static final long IDLE_TIMEOUT = 20_000;
     /** Log lines a second at most on RPCs that were refused or failed. */
-    private static final int GIVEN_UP_LINES = 2;
-    private static final long TENTHS_A_MS = 10;
+    private static final int MAX_FAILURE_LINES_PER_SECOND = 2;
+    private static final long TENTHS_PER_MS = 10;
 
     final Loop loop;
     private final Rules rules;
     private final Map<String, Method> methods;
     private final Map<String, Tenant> tenants = new HashMap<>();
-    private final Tenant unnamed = new Tenant();
+    private final Tenant defaultTenant = new Tenant();
     private final long tick;
-    private final int mostOpen;
-    final Guests guests;
-    private final Map<String, Query> open = new HashMap<>();
-    private long malformed;
-    private long unknown;
-    private long twice;
-    private long pushedBack;
-    private long rescued;
+    private final int maxOpenRpcs;
+    final Guests connections;
+    private final Map<String, Query> openRpcs = new HashMap<>();
+    private long malformedCount;
+    private long unknownCount;
+    private long duplicateIdCount;
+    private long pushedBackCount;
+    private long rescuedCount;
     final Statement statement = new Statement();
-    private final Map<Method, String> names = new HashMap<>();
+    private final Map<Method, String> methodNames = new HashMap<>();
     private final ShutdownLog shutdownLog;
-    private final LogBudget givenUpLines;
-    private final Map<GivenUp, Long> givenUp = new EnumMap<>(GivenUp.class);
+    private final LogBudget failureLogBudget;
+    private final Map<GivenUp, Long> failuresByReason = new EnumMap<>(GivenUp.class);
 
     /** Methods and customers by the names of their lists; above a crowd idle ones go; most is the limit. */
     public Clients(Loop loop, Rules rules, Map<String, Method> methods, Fields info,
-                   int most, int crowd) throws Malformed {
+                   int maxConnections, int idleCloseThreshold) throws Malformed {
         this.loop = loop;
         this.rules = rules;
         this.methods = methods;
-        methods.forEach((name, method) -> names.put(method, name));
+        methods.forEach((name, method) -> methodNames.put(method, name));
         shutdownLog = new ShutdownLog(loop);
-        givenUpLines = new LogBudget(loop, GIVEN_UP_LINES);
-        guests = new Guests(loop, most, crowd, KEPT, shutdownLog);
+        failureLogBudget = new LogBudget(loop, MAX_FAILURE_LINES_PER_SECOND);
+        connections = new Guests(loop, maxConnections, idleCloseThreshold, IDLE_TIMEOUT, shutdownLog);
         tick = Math.max(1, info.tenths("TickNs"));
-        mostOpen = info.part("Ceilings").index("MaxOpen", Integer.MAX_VALUE);
+        maxOpenRpcs = info.part("Ceilings").index("MaxOpen", Integer.MAX_VALUE);
         if (info.has("Accounts")) {
             for (Fields account : info.objects("Accounts")) {
                 tenants.put(account.text("Name"), new Tenant());
@@ -74,38 +74,38 @@
 
     @Override
     public Peer comer() {
-        return new Client(this);
+        return new PgClientConnection(this);
     }
 
     /**
      * The RPC that the statement just read asks for; null where its method is not known, or its id is that of
      * an RPC that is open: who gave it out twice can't have two answers.
      */
-    Query taken(Client client, Statement statement) {
+    Query openRpc(PgClientConnection client, Statement statement) {
         Method method = methods.get(statement.method());
         if (method == null) {
-            unknown++;
+            unknownCount++;
             return null;
         }
-        if (open.containsKey(statement.id())) {
-            twice++;
+        if (openRpcs.containsKey(statement.id())) {
+            duplicateIdCount++;
             return null;
         }
         loop.rpcTaken();
         long now = loop.clock();
         // Rounded down: the client has counted since it sent, and the answer has a way to go.
         long deadline = now + Math.max(0, Math.min(statement.timeMs() * 10, method.deadline) - tick);
-        Query call = new Query(statement.id(), method, tenants.getOrDefault(statement.tenant(), unnamed),
+        Query call = new Query(statement.id(), method, tenants.getOrDefault(statement.tenant(), defaultTenant),
                 statement.key(), now, deadline, statement.hintMicros() / 100, statement.retry(), client,
                 statement.before(), statement.after());
-        open.put(call.id, call);
-        shutdown(ShutdownEvent.TAKEN, call, client);
-        call.guard = loop.at(deadline + 2 * tick, () -> loop.post(() -> rescue(call)));
+        openRpcs.put(call.id, call);
+        recordShutdownEvent(ShutdownEvent.TAKEN, call, client);
+        call.guard = loop.at(deadline + 2 * tick, () -> loop.post(() -> abortIfUnanswered(call)));
         return call;
     }
 
-    void tell(Query call) {
-        if (open.size() > mostOpen) {
+    void submit(Query call) {
+        if (openRpcs.size() > maxOpenRpcs) {
             call.closed = true;
             loop.gather(() -> call.pushBack(0));
         } else {
@@ -114,37 +114,37 @@
     }
 
     /** Guards against an RPC that the rules have lost by a fault: after they had their say in this turn. */
-    void rescue(Query call) {
-        if (call.isAwaited()) {
-            rescued++;
+    void abortIfUnanswered(Query call) {
+        if (call.isAwaitingResponse()) {
+            rescuedCount++;
             call.closed = true;
             call.abort();
         }
     }
 
     /** An RPC was refused or failed: counted by its reason, and told with what was known of the appliances. */
-    void givenUp(Query call) {
+    void recordFailure(Query call) {
         if (call.givenUp == null) {
             return;
         }
-        givenUp.merge(call.givenUp, 1L, Long::sum);
-        if (givenUpLines.allows()) {
-            Pick last = call.picks.isEmpty() ? null : call.picks.get(call.picks.size() - 1);
-            Events.givenUp(call.id, names.get(call.method), call.givenUp.word, last == null ? -1 : last.appliance.id,
-                    (call.deadline - loop.clock()) / TENTHS_A_MS, "list confirmed " + rules.listAge() / TENTHS_A_MS
+        failuresByReason.merge(call.givenUp, 1L, Long::sum);
+        if (failureLogBudget.allows()) {
+            Pick lastPick = call.picks.isEmpty() ? null : call.picks.get(call.picks.size() - 1);
+            Events.givenUp(call.id, methodNames.get(call.method), call.givenUp.word, lastPick == null ? -1 : lastPick.appliance.id,
+                    (call.deadline - loop.clock()) / TENTHS_PER_MS, "list confirmed " + rules.listAge() / TENTHS_PER_MS
                             + " ms ago, " + rules.covered() + " appliances known to serve");
         }
     }
 
     /** Notes what happened to an RPC, where the process has been told to end. */
-    void shutdown(ShutdownEvent event, Query call, Client client) {
-        shutdownLog.rpc(event, call.id, names.get(call.method), client.age(), call.deadline - loop.clock());
+    void recordShutdownEvent(ShutdownEvent event, Query call, PgClientConnection client) {
+        shutdownLog.rpc(event, call.id, methodNames.get(call.method), client.age(), call.deadline - loop.clock());
     }
 
     /** The process was told to end, and goes by this schedule. */
     public void shutDown(ShutdownSchedule schedule) {
-        shutdownLog.signalled(schedule, guests.stages());
-        guests.shutDown(schedule, tick);
+        shutdownLog.signalled(schedule, connections.countByStage());
+        connections.shutDown(schedule, tick);
     }
 
     /** What happened since the signal to end. */
@@ -152,56 +152,56 @@
         return shutdownLog;
     }
 
-    void left(Query call) {
+    void abandoned(Query call) {
         loop.gather(() -> rules.left(call));
     }
 
-    void closed(Query call) {
-        Loop.holds(open.remove(call.id, call));
+    void removeRpc(Query call) {
+        Loop.holds(openRpcs.remove(call.id, call));
     }
 
-    void malformed() {
-        malformed++;
+    void countMalformed() {
+        malformedCount++;
     }
 
-    void unknown() {
-        unknown++;
+    void countUnknown() {
+        unknownCount++;
     }
 
-    void pushedBack() {
-        pushedBack++;
+    void countPushedBack() {
+        pushedBackCount++;
     }
 
     @Override
     public void leave() {
-        guests.leave();
+        connections.closeBetweenRpcs();
     }
 
     @Override
     public void drain(boolean isDrained) {
-        guests.drain(isDrained);
+        connections.drain(isDrained);
     }
 
     @Override
     public int count() {
-        return guests.count();
+        return connections.count();
     }
 
     /** How many connections are let in at most. */
     public int places() {
-        return guests.places();
+        return connections.places();
     }
 
     @Override
     public void report(Counters counters) {
-        guests.report(counters);
-        counters.count("open RPCs", open.size());
-        counters.count("malformed", malformed);
-        counters.count("unknown", unknown);
-        counters.count("open ids", twice);
-        counters.count("pushed back", pushedBack);
-        counters.count("rescued", rescued);
-        givenUp.forEach((why, many) -> counters.count("given up: " + why.word, many));
-        counters.count("given up, lines left out", givenUpLines.leftOut());
+        connections.report(counters);
+        counters.count("open RPCs", openRpcs.size());
+        counters.count("malformed", malformedCount);
+        counters.count("unknown", unknownCount);
+        counters.count("open ids", duplicateIdCount);
+        counters.count("pushed back", pushedBackCount);
+        counters.count("rescued", rescuedCount);
+        failuresByReason.forEach((reason, count) -> counters.count("given up: " + reason.word, count));
+        counters.count("given up, lines left out", failureLogBudget.leftOut());
     }
 }
--- a/src/main/java/honeygap/net/clients/Client.java
+++ b/src/main/java/honeygap/net/clients/PgClientConnection.java
@@ -13,22 +13,22 @@
 import java.util.Locale;
 
 /** A client that speaks PostgreSQL's wire protocol. */
-final class Client extends Guest implements Query.Asker {
+final class PgClientConnection extends Guest implements Query.ResponseHandler {
 
     /** A value of 64 KiB as hexadecimal digits, and the statement round it. */
-    private static final int LONGEST = 2 * 65536 + 4096;
-    private static final int LONGEST_STARTUP = 10_000;
+    private static final int MAX_MESSAGE_LENGTH = 2 * 65536 + 4096;
+    private static final int MAX_STARTUP_LENGTH = 10_000;
     /** Whole messages that may wait behind an open RPC: clients ask one by one and open more when busy. */
-    private static final int MOST_WAITING = 64;
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
-    private final Clients all;
-    private final Frames frames = new Frames(LONGEST);
+    private final Clients clients;
+    private final Frames decoder = new Frames(MAX_MESSAGE_LENGTH);
     private boolean started;
     private Query call;
 
-    Client(Clients all) {
-        super(all.guests);
-        this.all = all;
+    PgClientConnection(Clients clients) {
+        super(clients.connections);
+        this.clients = clients;
     }
 
     @Override
@@ -43,17 +43,17 @@
 
     @Override
     protected int waiting() {
-        return frames.waiting();
+        return decoder.waiting();
     }
 
     @Override
     protected int longest() {
-        return LONGEST;
+        return MAX_MESSAGE_LENGTH;
     }
 
     @Override
     protected ByteBuffer tooLongWord() {
-        return Words.fatal(Words.PROTOCOL, "nothing whole has come in time");
+        return Words.fatal(Words.PROTOCOL_VIOLATION, "nothing whole has come in time");
     }
 
     @Override
@@ -63,65 +63,65 @@
 
     @Override
     protected ByteBuffer shutdownWord() {
-        return Words.fatal(Words.SHUTTING_DOWN, "this agent is shutting down, trying again is harmless");
+        return Words.fatal(Words.CANNOT_CONNECT_NOW, "this agent is shutting down, trying again is harmless");
     }
 
     @Override
     protected void giveUp() {
-        all.rescue(call);
+        clients.abortIfUnanswered(call);
     }
 
     @Override
     protected void keep(ByteBuffer bytes) {
-        frames.feed(bytes);
+        decoder.feed(bytes);
     }
 
     @Override
     protected void leave() {
         if (call != null) {
-            Query left = call;
-            all.shutdown(ShutdownEvent.ABANDONED, left, this);
-            drop();
-            all.left(left);
+            Query abandoned = call;
+            clients.recordShutdownEvent(ShutdownEvent.ABANDONED, abandoned, this);
+            closeCall();
+            clients.abandoned(abandoned);
         }
     }
 
     @Override
     protected void read() {
         try {
-            while (canRead() && (started ? frames.next() : frames.nextUntyped(LONGEST_STARTUP))) {
+            while (canRead() && (started ? decoder.next() : decoder.nextUntyped(MAX_STARTUP_LENGTH))) {
                 if (started) {
-                    message();
+                    handleMessage();
                 } else {
-                    startup(frames.body());
+                    handleStartup(decoder.body());
                 }
             }
         } catch (Malformed e) {
-            turnDown(e.getMessage());
+            rejectMalformed(e.getMessage());
         }
-        if (!isEnding() && started && frames.waitsMoreThan(MOST_WAITING)) {
-            turnDown("too many commands at once");
+        if (!isEnding() && started && decoder.hasMoreMessagesThan(MAX_QUEUED_MESSAGES)) {
+            rejectMalformed("too many commands at once");
         }
     }
 
-    private void startup(ByteBuffer body) throws Malformed {
+    private void handleStartup(ByteBuffer body) throws Malformed {
         if (body.remaining() < 4) {
             throw new Malformed("a startup of length " + body.remaining());
         }
         switch (body.getInt(0)) {
             case Words.TLS:
             case Words.GSS:
-                write(Words.noTls());
+                write(Words.encryptionRefused());
                 break;
             case Words.VERSION:
                 started = true;
-                if (all.guests.isFull()) {
+                if (clients.connections.isFull()) {
                     end(tooManyWord());
                 } else {
                     write(Words.welcome());
                 }
                 break;
-            case Words.CANCEL:
+            case Words.CANCEL_REQUEST:
                 closeNow();
                 break;
             default:
@@ -129,10 +129,10 @@
         }
     }
 
-    private void message() throws Malformed {
-        switch (frames.type()) {
+    private void handleMessage() throws Malformed {
+        switch (decoder.type()) {
             case 'Q':
-                query(frames.body());
+                handleQuery(decoder.body());
                 break;
             case 'X':
                 closeNow();
@@ -142,75 +142,75 @@
         }
     }
 
-    private void query(ByteBuffer body) throws Malformed {
+    private void handleQuery(ByteBuffer body) throws Malformed {
         hasAsked();
         if (!body.hasRemaining() || body.get(body.limit() - 1) != 0) {
             throw new Malformed("a query without an end");
         }
-        Statement statement = all.statement;
+        Statement statement = clients.statement;
         if (statement.read(body)) {
-            call = all.taken(this, statement);
+            call = clients.openRpc(this, statement);
             if (call != null) {
-                all.tell(call);
+                clients.submit(call);
             } else {
-                write(Words.error(Words.SYNTAX, "unknown method, or an id that is open", 0));
+                write(Words.error(Words.SYNTAX_ERROR, "unknown method, or an id that is open", 0));
             }
             return;
         }
-        String words = body.remaining() > 64 ? "?"
+        String text = body.remaining() > 64 ? "?"
                 : StandardCharsets.UTF_8.decode(body.duplicate()).toString()
                 .replace('\0', ' ').replace(';', ' ').strip().toUpperCase(Locale.ROOT);
-        String first = words.split("\\s", 2)[0];
-        if (words.isEmpty()) {
+        String command = text.split("\\s", 2)[0];
+        if (text.isEmpty()) {
             write(Words.emptyQuery());
-        } else if (first.equals("SET") || first.equals("RESET") || first.equals("DISCARD")) {
-            write(Words.set());
+        } else if (command.equals("SET") || command.equals("RESET") || command.equals("DISCARD")) {
+            write(Words.setComplete());
         } else {
-            all.unknown();
-            write(Words.error(Words.SYNTAX, "not a statement that is taken here", 0));
+            clients.countUnknown();
+            write(Words.error(Words.SYNTAX_ERROR, "not a statement that is taken here", 0));
         }
     }
 
     @Override
     public void answer(ByteBuffer... row) {
-        all.shutdown(ShutdownEvent.SERVED, call, this);
+        clients.recordShutdownEvent(ShutdownEvent.SERVED, call, this);
         ByteBuffer[] parts = Arrays.copyOf(row, row.length + 1);
         parts[row.length] = Words.ready();
-        finish(parts);
+        finishCall(parts);
     }
 
     @Override
-    public void pushBack(long stayAwayMs) {
-        all.shutdown(ShutdownEvent.REFUSED, call, this);
-        all.givenUp(call);
-        all.pushedBack();
-        finish(Words.error(Words.TOO_MANY, "pushed back, trying again is harmless", stayAwayMs));
+    public void pushBack(long retryAfterMs) {
+        clients.recordShutdownEvent(ShutdownEvent.REFUSED, call, this);
+        clients.recordFailure(call);
+        clients.countPushedBack();
+        finishCall(Words.error(Words.TOO_MANY, "pushed back, trying again is harmless", retryAfterMs));
     }
 
     @Override
     public void abort() {
-        all.shutdown(ShutdownEvent.FAILED, call, this);
-        all.givenUp(call);
-        finish(Words.error(Words.GIVEN_UP, "aborted", 0));
+        clients.recordShutdownEvent(ShutdownEvent.FAILED, call, this);
+        clients.recordFailure(call);
+        finishCall(Words.error(Words.GIVEN_UP, "aborted", 0));
     }
 
-    private void finish(ByteBuffer... parts) {
-        drop();
+    private void finishCall(ByteBuffer... parts) {
+        closeCall();
         write(parts);
     }
 
     /** Parts from the RPC: it is answered, or nobody waits any more. */
-    private void drop() {
+    private void closeCall() {
         call.guard.callOff();
-        call.forget();
-        all.closed(call);
+        call.detachHandler();
+        clients.removeRpc(call);
         call = null;
     }
 
     /** What follows can't be read: the last word is also the answer to an RPC that is open here. */
-    private void turnDown(String why) {
-        all.malformed();
+    private void rejectMalformed(String reason) {
+        clients.countMalformed();
         leave();
-        end(Words.fatal(Words.PROTOCOL, why));
+        end(Words.fatal(Words.PROTOCOL_VIOLATION, reason));
     }
 }
--- a/src/main/java/honeygap/net/guests/Guest.java
+++ b/src/main/java/honeygap/net/guests/Guest.java
@@ -15,36 +15,36 @@
 public abstract class Guest implements Peer {
 
     /** A client that can't be served is owed a word or a close by then after it came, or was answered. */
-    private static final long OWED = 30_000;
+    private static final long STAGE_TIMEOUT = 30_000;
     /** The same where it has asked before, or has much to send. */
-    private static final long OWED_LATER = 2 * OWED;
-    private static final long GRACE = OWED / 20;
+    private static final long PARTIAL_REQUEST_TIMEOUT = 2 * STAGE_TIMEOUT;
+    private static final long STAGE_GRACE = STAGE_TIMEOUT / 20;
     /** A connection that has just come is owed so long for its first RPC; its client may be held up as well. */
-    private static final long FIRST_RPC_WITHIN = OWED / 6;
+    private static final long FIRST_RPC_TIMEOUT = STAGE_TIMEOUT / 6;
 
     /** What a connection waits for. */
     private enum Stage { NEW, START, REST, HALF, ANSWER, UNREAD }
 
-    private final Guests guests;
+    private final Guests connections;
     private final Loop loop;
     private IoSession session;
     /** An answer of the agent's own, or of an RPC, is not yet handed over. */
     private boolean writing;
     private boolean ending;
-    private boolean gone;
+    private boolean disconnected;
     private Stage stage = Stage.NEW;
-    private long cameAt;
-    private long owedSince;
-    private long waitsSince;
+    private long openedAt;
+    private long earliestAcceptedAt;
+    private long stageSince;
     /** Kept by the one that closes clients idle for long. */
     long idleSince;
-    private boolean hasAsked;
+    private boolean hasReceivedRequest;
     /** Ends a stage that lasts for too long. */
-    private Loop.Timer timer;
+    private Loop.Timer stageTimer;
 
-    protected Guest(Guests guests) {
-        this.guests = guests;
-        loop = guests.loop;
+    protected Guest(Guests connections) {
+        this.connections = connections;
+        loop = connections.loop;
     }
 
     /** Whether it has said what a connection begins with. */
@@ -90,7 +90,7 @@
 
     /** From now on it has longer for the rest of a message. */
     protected final void hasAsked() {
-        hasAsked = true;
+        hasReceivedRequest = true;
     }
 
     @Override
@@ -98,16 +98,16 @@
         this.session = session;
         // It came at some time since the last turn began, which may be long ago where little came or the process stood still:
         // what it is owed in time counts from then, what it is given time for from now.
-        owedSince = loop.now();
-        cameAt = loop.clock();
-        guests.noted(ShutdownEvent.ACCEPTED, this);
-        stage();
-        guests.came(this);
+        earliestAcceptedAt = loop.now();
+        openedAt = loop.clock();
+        connections.recordShutdownEvent(ShutdownEvent.ACCEPTED, this);
+        updateStage();
+        connections.add(this);
     }
 
     @Override
     public final void unreachable() {
-        gone = true;
+        disconnected = true;
     }
 
     @Override
@@ -136,71 +136,71 @@
 
     @Override
     public final void closed() {
-        gone = true;
-        stage();
-        guests.went(this);
-        guests.closed();
+        disconnected = true;
+        updateStage();
+        connections.remove(this);
+        connections.connectionClosed();
         leave();
     }
 
     protected final void advance() {
         read();
-        stage();
-        guests.idle(this, isIdle());
+        updateStage();
+        connections.updateIdle(this, isIdle());
     }
 
     /**
      * One timer for whatever is waited for from this client: its start, the rest of a message, the reading of
      * an answer. Guards against connections that say nothing, or half of something, and keep a place.
      */
-    private void stage() {
-        Stage next = gone ? Stage.REST : writing || ending ? Stage.UNREAD : !isStarted() ? Stage.START
+    private void updateStage() {
+        Stage next = disconnected ? Stage.REST : writing || ending ? Stage.UNREAD : !isStarted() ? Stage.START
                 : isAsking() ? Stage.ANSWER : waiting() > 0 ? Stage.HALF : Stage.REST;
         if (next == stage) {
             return;
         }
         stage = next;
-        waitsSince = loop.clock();
-        if (timer != null) {
-            timer.callOff();
-            timer = null;
+        stageSince = loop.clock();
+        if (stageTimer != null) {
+            stageTimer.callOff();
+            stageTimer = null;
         }
         if (next != Stage.REST && next != Stage.ANSWER) {
             // An agent that stood still itself first reads what has come meanwhile.
-            long from = next == Stage.UNREAD || hasAsked ? loop.clock() : owedSince;
-            timer = loop.at(from + (next == Stage.HALF && hasAsked ? OWED_LATER : OWED - 2 * GRACE),
-                    () -> timer = loop.at(loop.now() + GRACE, this::tooLong));
+            long start = next == Stage.UNREAD || hasReceivedRequest ? loop.clock() : earliestAcceptedAt;
+            stageTimer = loop.at(start + (next == Stage.HALF && hasReceivedRequest ? PARTIAL_REQUEST_TIMEOUT : STAGE_TIMEOUT - 2 * STAGE_GRACE),
+                    () -> stageTimer = loop.at(loop.now() + STAGE_GRACE, this::stageTimedOut));
         }
-        guests.waitsFor(this, next == Stage.START || next == Stage.HALF);
+        connections.updateAwaitingInput(this, next == Stage.START || next == Stage.HALF);
     }
 
-    private void tooLong() {
-        guests.tooLong();
-        drop(tooLongWord());
+    private void stageTimedOut() {
+        connections.countTimedOut();
+        terminate(tooLongWord());
     }
 
-    final boolean hasBeenServed() {
-        return hasAsked;
+    final boolean hasReceivedRequest() {
+        return hasReceivedRequest;
     }
 
     /** It has asked, or has had time to: one that has just come sends its first RPC yet. */
-    final boolean hadItsTurn() {
-        return hasAsked || loop.now() >= hasItsTurnAt();
+    final boolean hadTimeForFirstRpc() {
+        return hasReceivedRequest || loop.now() >= firstRpcDeadline();
     }
 
     /** What it waits for, in small letters. */
-    final String waitsFor() {
+    final String stageName() {
         return stage.name().toLowerCase(Locale.ROOT);
     }
 
     /** For how long its connection has been here. */
     public final long age() {
-        return loop.clock() - cameAt;
+        return loop.clock() - openedAt;
     }
 
     /** When at the latest it has had its turn. */
-    final long hasItsTurnAt() {
-        return cameAt + FIRST_RPC_WITHIN;
+    final long firstRpcDeadline() {
+        return openedAt + FIRST_RPC_TIMEOUT;
     }
 
     /**
@@ -220,7 +220,7 @@
     }
 
     /** The agent ends: whatever is open or half read gets its last word now. */
-    final void endsNow() {
+    final void endForShutdown() {
         if (isAsking()) {
             giveUp();
         } else if (!writing && !ending) {
@@ -229,21 +229,21 @@
     }
 
     /** Closes at once, with a last word where none is on its way. */
-    final void drop(ByteBuffer last) {
+    final void terminate(ByteBuffer response) {
         if (stage == Stage.UNREAD) {
             session.closeNow();
         } else {
-            end(last);
+            end(response);
         }
     }
 
     /** What is waited for could have been read by now. */
-    final boolean isLate() {
-        return waitsSince + GRACE < loop.now();
+    final boolean isOverdue() {
+        return stageSince + STAGE_GRACE < loop.now();
     }
 
     /** Nothing has come from it yet that is kept. */
-    final boolean isSilent() {
+    final boolean hasSentNothing() {
         return !isStarted() && !writing && !ending && waiting() == 0;
     }
 
@@ -253,10 +253,10 @@
     }
 
     protected final void close() {
-        guests.noted(ShutdownEvent.CLOSED, this);
+        connections.recordShutdownEvent(ShutdownEvent.CLOSED, this);
         ending = true;
         session.closeOnFlush();
-        stage();
+        updateStage();
     }
 
     protected final void closeNow() {
@@ -265,14 +265,14 @@
     }
 
     protected final void write(ByteBuffer... parts) {
-        if (!gone) {
+        if (!disconnected) {
             writing = true;
             session.write(new Gathered(parts));
         }
     }
 
-    protected final void end(ByteBuffer last) {
-        write(last);
+    protected final void end(ByteBuffer response) {
+        write(response);
         close();
     }
 }
--- a/src/main/java/honeygap/net/guests/Guests.java
+++ b/src/main/java/honeygap/net/guests/Guests.java
@@ -18,119 +18,119 @@
 public final class Guests {
 
     /** One place over for so many that may stay. */
-    private static final int OVER = 16;
+    private static final int CONNECTIONS_PER_EXTRA = 16;
 
     final Loop loop;
-    private final int most;
-    private final int crowd;
-    private final long kept;
+    private final int maxConnections;
+    private final int idleCloseThreshold;
+    private final long idleTimeout;
     private final ShutdownLog shutdownLog;
-    private final Set<Guest> here = new LinkedHashSet<>();
+    private final Set<Guest> connections = new LinkedHashSet<>();
     /** Longest idle first. */
     private final Set<Guest> idle = new LinkedHashSet<>();
     /** Those whose start, or the rest of whose message, is waited for; longest so first. */
-    private final Set<Guest> waitedFor = new LinkedHashSet<>();
-    private Loop.Timer sweep;
+    private final Set<Guest> awaitingInput = new LinkedHashSet<>();
+    private Loop.Timer idleTimer;
     /** Connections that are here, or that are closed once all has been written to them. */
     private int connected;
-    private boolean leaving;
+    private boolean closing;
     private boolean isShuttingDown;
     private boolean drained;
-    private long tooLong;
-    private long madeRoom;
-    private long crowded;
-    private long full;
+    private long timedOutCount;
+    private long evictedCount;
+    private long closedAboveThresholdCount;
+    private long rejectedCount;
 
     /** Above a crowd idle ones go, most is the limit; one idle for so long, in tenths of a millisecond, goes. */
-    public Guests(Loop loop, int most, int crowd, long kept, ShutdownLog shutdownLog) {
+    public Guests(Loop loop, int maxConnections, int idleCloseThreshold, long idleTimeout, ShutdownLog shutdownLog) {
         this.loop = loop;
         this.shutdownLog = shutdownLog;
-        this.most = most;
-        this.crowd = crowd;
-        this.kept = kept;
+        this.maxConnections = maxConnections;
+        this.idleCloseThreshold = idleCloseThreshold;
+        this.idleTimeout = idleTimeout;
     }
 
     /**
      * At the limit whoever has been waited for longest makes room, or else has been idle longest. Guards
      * against turning down those that came in the same moment and have not been read: they ask at once again.
      */
-    void came(Guest guest) {
+    void add(Guest connection) {
         connected++;
-        here.add(guest);
-        waitedFor.add(guest);
-        if (leaving) {
-            closeAtLast(guest);
+        connections.add(connection);
+        awaitingInput.add(connection);
+        if (closing) {
+            closeAfterFirstRpcDeadline(connection);
         }
-        while (here.size() > most) {
-            Guest longest = waitedFor.iterator().next();
-            if (!longest.isLate() && !idle.isEmpty()) {
+        while (connections.size() > maxConnections) {
+            Guest evicted = awaitingInput.iterator().next();
+            if (!evicted.isOverdue() && !idle.isEmpty()) {
                 // One that has just come goes last: its first RPC may be one that another close has crossed, and is not sent a third time.
-                longest = longestIdle().orElse(idle.iterator().next());
+                evicted = evictionCandidate().orElse(idle.iterator().next());
             }
-            if (longest == guest) {
+            if (evicted == connection) {
                 return;
             }
-            madeRoom++;
-            if (longest.isIdle()) {
-                closeIdle(longest);
+            evictedCount++;
+            if (evicted.isIdle()) {
+                closeIdle(evicted);
             } else {
-                went(longest);
-                longest.drop(longest.tooManyWord());
+                remove(evicted);
+                evicted.terminate(evicted.tooManyWord());
             }
         }
     }
 
     /** The one to close where some must: one that has been answered before one that has had time to ask and has not. */
-    private Optional<Guest> longestIdle() {
-        return idle.stream().filter(Guest::hasBeenServed).findFirst()
-                .or(() -> idle.stream().filter(Guest::hadItsTurn).findFirst());
+    private Optional<Guest> evictionCandidate() {
+        return idle.stream().filter(Guest::hasReceivedRequest).findFirst()
+                .or(() -> idle.stream().filter(Guest::hadTimeForFirstRpc).findFirst());
     }
 
     /** Between RPCs; it has left where it was closed, and is busy where its next RPC had come. */
-    private void closeIdle(Guest guest) {
-        idle.remove(guest);
-        if (guest.closeIdle()) {
-            went(guest);
+    private void closeIdle(Guest connection) {
+        idle.remove(connection);
+        if (connection.closeIdle()) {
+            remove(connection);
         }
     }
 
-    void noted(ShutdownEvent event, Guest guest) {
-        shutdownLog.connection(event, guest.age());
+    void recordShutdownEvent(ShutdownEvent event, Guest connection) {
+        shutdownLog.connection(event, connection.age());
     }
 
     /** A connection has gone. */
-    void closed() {
+    void connectionClosed() {
         connected--;
     }
 
-    void went(Guest guest) {
-        here.remove(guest);
-        idle.remove(guest);
-        waitedFor.remove(guest);
+    void remove(Guest connection) {
+        connections.remove(connection);
+        idle.remove(connection);
+        awaitingInput.remove(connection);
     }
 
-    void waitsFor(Guest guest, boolean waits) {
-        if (waits && here.contains(guest)) {
-            waitedFor.add(guest);
+    void updateAwaitingInput(Guest connection, boolean isAwaited) {
+        if (isAwaited && connections.contains(connection)) {
+            awaitingInput.add(connection);
         } else {
-            waitedFor.remove(guest);
+            awaitingInput.remove(connection);
         }
     }
 
     /** Whether the one that asks is one too many, or comes while nobody is taken; counted. */
     public boolean isFull() {
-        boolean isFull = here.size() > most || drained;
-        full += isFull ? 1 : 0;
-        return isFull;
+        boolean isRejected = connections.size() > maxConnections || drained;
+        rejectedCount += isRejected ? 1 : 0;
+        return isRejected;
     }
 
     /** Takes nobody and closes connections between RPCs, or takes them again. */
     public void drain(boolean isDrained) {
         drained = isDrained;
         if (isDrained) {
-            leave();
+            closeBetweenRpcs();
         } else if (!isShuttingDown) {
-            leaving = false;
+            closing = false;
         }
     }
 
@@ -140,25 +140,25 @@
      */
     public void shutDown(ShutdownSchedule schedule, long tick) {
         isShuttingDown = true;
-        loop.at(schedule.answersBy() + 2 * tick, () -> loop.post(() -> new ArrayList<>(here).forEach(Guest::endsNow)));
-    }
-
-    void idle(Guest guest, boolean isIdle) {
-        if (!isIdle || !here.contains(guest)) {
-            idle.remove(guest);
-        } else if (leaving) {
-            closeAtLast(guest);
-        } else if (idle.add(guest)) {
-            guest.idleSince = loop.now();
-            if (sweep == null) {
-                sweep = loop.at(loop.now() + kept, this::closeIdle);
+        loop.at(schedule.answersBy() + 2 * tick, () -> loop.post(() -> new ArrayList<>(connections).forEach(Guest::endForShutdown)));
+    }
+
+    void updateIdle(Guest connection, boolean isIdle) {
+        if (!isIdle || !connections.contains(connection)) {
+            idle.remove(connection);
+        } else if (closing) {
+            closeAfterFirstRpcDeadline(connection);
+        } else if (idle.add(connection)) {
+            connection.idleSince = loop.now();
+            if (idleTimer == null) {
+                idleTimer = loop.at(loop.now() + idleTimeout, this::closeExpiredIdle);
             }
-            if (here.size() > crowd) {
+            if (connections.size() > idleCloseThreshold) {
                 // Guards against clients that ask once a connection: they may open no more until some go. One that has
                 // not asked yet is spared: its first RPC may be on its way, and may be one that another close has crossed.
-                idle.stream().filter(Guest::hasBeenServed).findFirst().ifPresent(longest -> {
-                    crowded++;
-                    closeIdle(longest);
+                idle.stream().filter(Guest::hasReceivedRequest).findFirst().ifPresent(longestIdle -> {
+                    closedAboveThresholdCount++;
+                    closeIdle(longestIdle);
                 });
             }
         }
@@ -168,52 +168,52 @@
      * Guards against clients that ask once and stay: their connections would leave no place for others. Those
      * that ask again within the time are never among them.
      */
-    private void closeIdle() {
-        sweep = null;
+    private void closeExpiredIdle() {
+        idleTimer = null;
         while (!idle.isEmpty()) {
-            Guest longest = idle.iterator().next();
-            if (longest.idleSince + kept > loop.now()) {
-                sweep = loop.at(longest.idleSince + kept, this::closeIdle);
+            Guest longestIdle = idle.iterator().next();
+            if (longestIdle.idleSince + idleTimeout > loop.now()) {
+                idleTimer = loop.at(longestIdle.idleSince + idleTimeout, this::closeExpiredIdle);
                 return;
             }
-            closeIdle(longest);
+            closeIdle(longestIdle);
         }
     }
 
     /** Guards against closing a connection that has just come and whose first RPC is on its way. */
-    private void closeAtLast(Guest guest) {
-        if (guest.hadItsTurn()) {
-            closeAtRest(guest);
+    private void closeAfterFirstRpcDeadline(Guest connection) {
+        if (connection.hadTimeForFirstRpc()) {
+            closeIfInactive(connection);
         } else {
-            loop.at(guest.hasItsTurnAt(), () -> closeAtRest(guest));
+            loop.at(connection.firstRpcDeadline(), () -> closeIfInactive(connection));
         }
     }
 
     /** One that has said nothing rests as well: its client is told by the close that nothing was taken. */
-    private void closeAtRest(Guest guest) {
-        if (leaving && here.contains(guest) && (guest.isIdle() || guest.isSilent())) {
-            closeIdle(guest);
+    private void closeIfInactive(Guest connection) {
+        if (closing && connections.contains(connection) && (connection.isIdle() || connection.hasSentNothing())) {
+            closeIdle(connection);
         }
     }
 
-    void tooLong() {
-        tooLong++;
+    void countTimedOut() {
+        timedOutCount++;
     }
 
-    public boolean isLeaving() {
-        return leaving;
+    public boolean isClosing() {
+        return closing;
     }
 
     /** From now on connections are closed between RPCs. */
-    public void leave() {
-        leaving = true;
+    public void closeBetweenRpcs() {
+        closing = true;
         idle.clear();
-        new ArrayList<>(here).forEach(this::closeAtLast);
+        new ArrayList<>(connections).forEach(this::closeAfterFirstRpcDeadline);
     }
 
     /** How many connections are in each stage. */
-    public Map<String, Long> stages() {
-        return here.stream().collect(Collectors.groupingBy(Guest::waitsFor, TreeMap::new, Collectors.counting()));
+    public Map<String, Long> countByStage() {
+        return connections.stream().collect(Collectors.groupingBy(Guest::stageName, TreeMap::new, Collectors.counting()));
     }
 
     /** Connections, those included that are closed once all has been written to them. */
@@ -223,16 +223,16 @@
 
     /** So many are let in: a few more than may stay, so that whoever makes room can be told. */
     public int places() {
-        return most + most / OVER + 1;
+        return maxConnections + maxConnections / CONNECTIONS_PER_EXTRA + 1;
     }
 
     /** Tells the counters that concern connections. */
     public void report(Counters counters) {
-        counters.count("here", here.size());
+        counters.count("here", connections.size());
         counters.count("idle", idle.size());
-        counters.count("too long", tooLong);
-        counters.count("made room", madeRoom);
-        counters.count("crowded", crowded);
-        counters.count("full", full);
+        counters.count("too long", timedOutCount);
+        counters.count("made room", evictedCount);
+        counters.count("crowded", closedAboveThresholdCount);
+        counters.count("full", rejectedCount);
     }
 }
--- a/src/main/java/honeygap/net/http/Answers.java
+++ b/src/main/java/honeygap/net/http/Answers.java
@@ -23,71 +23,71 @@
         void end() throws Malformed;
     }
 
-    private static final int LONGEST_LINE = 8192;
-    private static final int MOST_LINES = 100;
+    private static final int MAX_LINE_LENGTH = 8192;
+    private static final int MAX_HEAD_LINES = 100;
 
-    private static final int STATUS = 0, HEAD = 1, BODY = 2, CHUNK_SIZE = 3, CHUNK = 4, CHUNK_END = 5,
+    private static final int STATUS_LINE = 0, HEADER_FIELDS = 1, BODY = 2, CHUNK_SIZE = 3, CHUNK_DATA = 4, CHUNK_END = 5,
             TRAILER = 6, UNTIL_CLOSE = 7;
 
-    private final Reader reader;
+    private final Reader handler;
     private byte[] line = new byte[128];
-    private int length;
-    private int state = STATUS;
-    private int lines;
+    private int lineLength;
+    private int state = STATUS_LINE;
+    private int headLines;
     private int status;
-    private long left;
+    private long remaining;
     private boolean chunked;
-    private boolean lengthSeen;
+    private boolean hasContentLength;
 
-    public Answers(Reader reader) {
-        this.reader = reader;
+    public Answers(Reader handler) {
+        this.handler = handler;
     }
 
     public void feed(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             switch (state) {
                 case BODY:
-                case CHUNK:
-                    int part = (int) Math.min(left, bytes.remaining());
-                    reader.data(bytes.slice(bytes.position(), part));
+                case CHUNK_DATA:
+                    int part = (int) Math.min(remaining, bytes.remaining());
+                    handler.data(bytes.slice(bytes.position(), part));
                     bytes.position(bytes.position() + part);
-                    left -= part;
-                    if (left == 0) {
-                        if (state == CHUNK) {
+                    remaining -= part;
+                    if (remaining == 0) {
+                        if (state == CHUNK_DATA) {
                             state = CHUNK_END;
                         } else {
-                            done();
+                            completeResponse();
                         }
                     }
                     break;
                 case UNTIL_CLOSE:
-                    reader.data(bytes.slice());
+                    handler.data(bytes.slice());
                     bytes.position(bytes.limit());
                     break;
                 default:
-                    if (isLine(bytes)) {
-                        String words = new String(line, 0, length, StandardCharsets.ISO_8859_1).stripTrailing();
-                        length = 0;
-                        line(words);
+                    if (readLine(bytes)) {
+                        String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1).stripTrailing();
+                        lineLength = 0;
+                        handleLine(text);
                     }
             }
         }
     }
 
     /** Takes in bytes up to the end of a line; whether it is there. */
-    private boolean isLine(ByteBuffer bytes) throws Malformed {
+    private boolean readLine(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
                 return true;
             }
-            if (length == line.length) {
-                if (length >= LONGEST_LINE) {
+            if (lineLength == line.length) {
+                if (lineLength >= MAX_LINE_LENGTH) {
                     throw new Malformed("a line too long");
                 }
-                line = Arrays.copyOf(line, 2 * length);
+                line = Arrays.copyOf(line, 2 * lineLength);
             }
-            line[length++] = next;
+            line[lineLength++] = next;
         }
         return false;
     }
@@ -95,80 +95,80 @@
     /** The connection has ended, which may be the end of an answer. */
     public void close() throws Malformed {
         if (state == UNTIL_CLOSE) {
-            done();
+            completeResponse();
         }
     }
 
-    private void line(String words) throws Malformed {
+    private void handleLine(String text) throws Malformed {
         switch (state) {
-            case STATUS:
-                if (!words.startsWith("HTTP/1.") || words.length() < 12) {
+            case STATUS_LINE:
+                if (!text.startsWith("HTTP/1.") || text.length() < 12) {
                     throw new Malformed("no status line");
                 }
-                status = (int) number(words.substring(9, 12), 10);
-                chunked = lengthSeen = false;
-                left = 0;
-                lines = 0;
-                state = HEAD;
-                reader.field("", words.substring(0, 8));
+                status = (int) parseNumber(text.substring(9, 12), 10);
+                chunked = hasContentLength = false;
+                remaining = 0;
+                headLines = 0;
+                state = HEADER_FIELDS;
+                handler.field("", text.substring(0, 8));
                 break;
-            case HEAD:
-                head(words);
+            case HEADER_FIELDS:
+                handleHeadLine(text);
                 break;
             case CHUNK_SIZE:
-                left = number(words.split(";", 2)[0].strip(), 16);
-                state = left == 0 ? TRAILER : CHUNK;
+                remaining = parseNumber(text.split(";", 2)[0].strip(), 16);
+                state = remaining == 0 ? TRAILER : CHUNK_DATA;
                 break;
             case CHUNK_END:
-                if (!words.isEmpty()) {
+                if (!text.isEmpty()) {
                     throw new Malformed("a chunk without an end");
                 }
                 state = CHUNK_SIZE;
                 break;
             default:
-                if (words.isEmpty()) {
-                    done();
+                if (text.isEmpty()) {
+                    completeResponse();
                 }
         }
     }
 
-    private void head(String words) throws Malformed {
-        if (++lines > MOST_LINES) {
+    private void handleHeadLine(String text) throws Malformed {
+        if (++headLines > MAX_HEAD_LINES) {
             throw new Malformed("too many fields");
         }
-        if (!words.isEmpty()) {
-            int colon = words.indexOf(':');
-            String name = words.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
-            String value = words.substring(colon + 1).strip();
+        if (!text.isEmpty()) {
+            int colon = text.indexOf(':');
+            String name = text.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
+            String value = text.substring(colon + 1).strip();
             if (name.equals("content-length")) {
-                long told = number(value, 10);
-                if (lengthSeen && told != left) {
+                long declared = parseNumber(value, 10);
+                if (hasContentLength && declared != remaining) {
                     throw new Malformed("two lengths");
                 }
-                left = told;
-                lengthSeen = true;
+                remaining = declared;
+                hasContentLength = true;
             } else if (name.equals("transfer-encoding")) {
                 chunked = value.equalsIgnoreCase("chunked");
             }
-            reader.field(name, value);
+            handler.field(name, value);
             return;
         }
         if (status / 100 == 1) {
-            state = STATUS;
+            state = STATUS_LINE;
             return;
         }
-        if (chunked && lengthSeen) {
+        if (chunked && hasContentLength) {
             throw new Malformed("both a length and chunks");
         }
-        reader.head(status);
+        handler.head(status);
         if (status == 204 || status == 304) {
-            done();
+            completeResponse();
         } else if (chunked) {
             state = CHUNK_SIZE;
-        } else if (lengthSeen) {
+        } else if (hasContentLength) {
             state = BODY;
-            if (left == 0) {
-                done();
+            if (remaining == 0) {
+                completeResponse();
             }
         } else {
             state = UNTIL_CLOSE;
@@ -177,7 +177,7 @@
 
     /** Whether nothing is half read. */
     public boolean isBetween() {
-        return state == STATUS && length == 0;
+        return state == STATUS_LINE && lineLength == 0;
     }
 
     /** Whether only the end of the connection will end the answer, so that a cut one looks whole. */
@@ -185,12 +185,12 @@
         return state == UNTIL_CLOSE;
     }
 
-    private void done() throws Malformed {
-        state = STATUS;
-        reader.end();
+    private void completeResponse() throws Malformed {
+        state = STATUS_LINE;
+        handler.end();
     }
 
-    private static long number(String digits, int radix) throws Malformed {
+    private static long parseNumber(String digits, int radix) throws Malformed {
         try {
             long number = Long.parseLong(digits, radix);
             if (number >= 0) {
--- a/src/main/java/honeygap/net/http/Connection.java
+++ b/src/main/java/honeygap/net/http/Connection.java
@@ -14,27 +14,27 @@
 public final class Connection implements Peer {
 
     /** Hears how the connection ended, and whether the last request's last byte had been handed over. */
-    public interface Ending {
+    public interface EndListener {
 
-        void ended(ConnectionEnd end, boolean handedOver);
+        void onEnd(ConnectionEnd end, boolean requestWritten);
     }
 
     private final Loop loop;
-    private final Answers answers;
-    private final Ending ending;
+    private final Answers parser;
+    private final EndListener listener;
     private final String host;
     private final ConnectFuture connecting;
     private IoSession session;
-    private ByteBuffer waiting;
-    private boolean handedOver;
-    private boolean over;
+    private ByteBuffer unsent;
+    private boolean requestWritten;
+    private boolean ended;
 
-    public Connection(Loop loop, InetSocketAddress address, Answers.Reader reader, Ending ending) {
+    public Connection(Loop loop, InetSocketAddress address, Answers.Reader handler, EndListener listener) {
         this.loop = loop;
-        this.ending = ending;
-        String figures = address.getAddress().getHostAddress();
-        host = (figures.indexOf(':') < 0 ? figures : "[" + figures + "]") + ":" + address.getPort();
-        answers = new Answers(reader);
+        this.listener = listener;
+        String ip = address.getAddress().getHostAddress();
+        host = (ip.indexOf(':') < 0 ? ip : "[" + ip + "]") + ":" + address.getPort();
+        parser = new Answers(handler);
         connecting = loop.connect(address, this);
     }
 
@@ -42,16 +42,16 @@
         send("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n");
     }
 
-    public void post(String form) {
+    public void post(String body) {
         send("POST / HTTP/1.1\r\nHost: " + host + "\r\nContent-Type: application/x-www-form-urlencoded\r\n"
-                + "Content-Length: " + form.length() + "\r\n\r\n" + form);
+                + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    private void send(String words) {
-        handedOver = false;
-        ByteBuffer bytes = ByteBuffer.wrap(words.getBytes(StandardCharsets.US_ASCII));
+    private void send(String request) {
+        requestWritten = false;
+        ByteBuffer bytes = ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII));
         if (session == null) {
-            waiting = bytes;
+            unsent = bytes;
         } else {
             session.write(new Gathered(bytes));
         }
@@ -60,11 +60,11 @@
     @Override
     public void opened(IoSession session) {
         this.session = session;
-        if (over) {
+        if (ended) {
             session.closeNow();
-        } else if (waiting != null) {
-            session.write(new Gathered(waiting));
-            waiting = null;
+        } else if (unsent != null) {
+            session.write(new Gathered(unsent));
+            unsent = null;
         }
     }
 
@@ -75,11 +75,11 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (over) {
+        if (ended) {
             return;
         }
         try {
-            answers.feed(bytes);
+            parser.feed(bytes);
         } catch (Malformed e) {
             end(ConnectionEnd.UNREADABLE);
         }
@@ -87,16 +87,16 @@
 
     @Override
     public void written() {
-        handedOver = true;
+        requestWritten = true;
     }
 
     @Override
     public void closed() {
-        if (over) {
+        if (ended) {
             return;
         }
         try {
-            answers.close();
+            parser.close();
         } catch (Malformed e) {
             Loop.fault(e);
         }
@@ -104,18 +104,18 @@
     }
 
     private void end(ConnectionEnd end) {
-        if (!over) {
+        if (!ended) {
             close();
-            ending.ended(end, handedOver);
+            listener.onEnd(end, requestWritten);
         }
     }
 
     /** Closes without a word to whoever hears the ending. */
     public void close() {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         if (session != null) {
             loop.cut(session);
         } else {
--- a/src/main/java/honeygap/net/http/Lines.java
+++ b/src/main/java/honeygap/net/http/Lines.java
@@ -13,26 +13,26 @@
         void line(byte[] bytes, int length) throws Malformed;
     }
 
-    private static final int LONGEST = 4 << 20;
+    private static final int MAX_LINE_LENGTH = 4 << 20;
 
-    private final Reader reader;
+    private final Reader handler;
     private byte[] line = new byte[1024];
     private int length;
 
-    public Lines(Reader reader) {
-        this.reader = reader;
+    public Lines(Reader handler) {
+        this.handler = handler;
     }
 
     public void feed(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
-                int whole = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
+                int lineLength = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
                 length = 0;
-                reader.line(line, whole);
+                handler.line(line, lineLength);
             } else {
                 if (length == line.length) {
-                    if (length >= LONGEST) {
+                    if (length >= MAX_LINE_LENGTH) {
                         throw new Malformed("a line too long");
                     }
                     line = Arrays.copyOf(line, 2 * length);
--- a/src/main/java/honeygap/net/http/Refusal.java
+++ b/src/main/java/honeygap/net/http/Refusal.java
@@ -10,8 +10,8 @@
     public final int status;
     public final String kind;
 
-    public Refusal(int status, String kind, String words) {
-        super(words);
+    public Refusal(int status, String kind, String message) {
+        super(message);
         this.status = status;
         this.kind = kind;
     }
--- a/src/main/java/honeygap/net/http/Requests.java
+++ b/src/main/java/honeygap/net/http/Requests.java
@@ -15,182 +15,182 @@
  */
 public final class Requests {
 
-    private static final int LONGEST_LINE = 8192;
-    private static final int LONGEST_HEAD = 16384;
-    private static final int MOST_FIELDS = 64;
-    private static final int LONGEST_CHUNK_LINE = 256;
-    private static final int CHUNK_DIGITS = 7;
-    private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
-    private static final Pattern SIZE = Pattern.compile("[0-9a-fA-F]+");
-    private static final String TOKEN = "!#$%&'*+-.^_`|~";
+    private static final int MAX_LINE_LENGTH = 8192;
+    private static final int MAX_HEAD_LENGTH = 16384;
+    private static final int MAX_FIELDS = 64;
+    private static final int MAX_CHUNK_LINE_LENGTH = 256;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 7;
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
+    private static final Pattern HEX_DIGITS = Pattern.compile("[0-9a-fA-F]+");
+    private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
-    private static final int HEAD = 0, SIZED = 1, CHUNK_SIZE = 2, CHUNK = 3, TRAILER = 4;
+    private static final int HEAD = 0, BODY = 1, CHUNK_SIZE = 2, CHUNK_DATA = 3, TRAILER = 4;
 
-    private final int longestBody;
-    private byte[] data = new byte[1024];
-    private int from;
-    private int to;
-    private int scanned;
+    private final int maxBodyLength;
+    private byte[] buffer = new byte[1024];
+    private int readPosition;
+    private int writePosition;
+    private int scanPosition;
     private int state = HEAD;
 
     private String method;
     private String target;
-    private boolean isOld;
+    private boolean isHttp10;
     private final Map<String, String> fields = new HashMap<>();
     private byte[] body;
-    private int length;
-    private int left;
+    private int bodyLength;
+    private int remaining;
 
     /** Bodies longer than this are turned down. */
-    public Requests(int longestBody) {
-        this.longestBody = longestBody;
+    public Requests(int maxBodyLength) {
+        this.maxBodyLength = maxBodyLength;
     }
 
     public void feed(ByteBuffer more) {
-        int many = more.remaining();
-        if (data.length - to < many) {
-            int held = to - from;
-            byte[] room = held + many <= data.length ? data
-                    : new byte[Math.max(held + many, 2 * data.length)];
-            System.arraycopy(data, from, room, 0, held);
-            data = room;
-            scanned -= from;
-            from = 0;
-            to = held;
+        int count = more.remaining();
+        if (buffer.length - writePosition < count) {
+            int buffered = writePosition - readPosition;
+            byte[] target = buffered + count <= buffer.length ? buffer
+                    : new byte[Math.max(buffered + count, 2 * buffer.length)];
+            System.arraycopy(buffer, readPosition, target, 0, buffered);
+            buffer = target;
+            scanPosition -= readPosition;
+            readPosition = 0;
+            writePosition = buffered;
         }
-        more.get(data, to, many);
-        to += many;
+        more.get(buffer, writePosition, count);
+        writePosition += count;
     }
 
     /** How many bytes wait that belong to no request read so far, or to one half read. */
     public int waiting() {
-        return to - from + (state == HEAD ? 0 : 1);
+        return writePosition - readPosition + (state == HEAD ? 0 : 1);
     }
 
     /** More than this never need to wait behind an open request. */
     public int longest() {
-        return LONGEST_HEAD + longestBody;
+        return MAX_HEAD_LENGTH + maxBodyLength;
     }
 
     /** Whether another request was read whole: its parts hold until the next call. */
     public boolean next() throws Refusal {
-        if (state == HEAD && !head()) {
+        if (state == HEAD && !readHead()) {
             return false;
         }
-        if (state == SIZED) {
-            int part = Math.min(left, to - from);
-            System.arraycopy(data, from, body, length, part);
-            from += part;
-            length += part;
-            left -= part;
-            if (left > 0) {
+        if (state == BODY) {
+            int part = Math.min(remaining, writePosition - readPosition);
+            System.arraycopy(buffer, readPosition, body, bodyLength, part);
+            readPosition += part;
+            bodyLength += part;
+            remaining -= part;
+            if (remaining > 0) {
                 return false;
             }
-        } else if (!chunks()) {
+        } else if (!readChunks()) {
             return false;
         }
         state = HEAD;
-        scanned = from;
-        if (from == to) {
-            from = to = scanned = 0;
-            if (data.length > LONGEST_HEAD) {
+        scanPosition = readPosition;
+        if (readPosition == writePosition) {
+            readPosition = writePosition = scanPosition = 0;
+            if (buffer.length > MAX_HEAD_LENGTH) {
                 // What a long body took is not kept for a connection that rests.
-                data = new byte[1024];
+                buffer = new byte[1024];
             }
         }
         return true;
     }
 
     /** Whether the head was read whole just now, with a body still to come that the client asks leave for. */
-    public boolean isLeaveAsked() {
+    public boolean expectsContinue() {
         return state != HEAD && "100-continue".equalsIgnoreCase(fields.get("expect"));
     }
 
-    private boolean head() throws Refusal {
+    private boolean readHead() throws Refusal {
         // Empty lines before a request are passed over, as RFC 9112 asks.
-        while (scanned == from && to - from >= 2 && data[from] == '\r' && data[from + 1] == '\n') {
-            from += 2;
-            scanned = from;
+        while (scanPosition == readPosition && writePosition - readPosition >= 2 && buffer[readPosition] == '\r' && buffer[readPosition + 1] == '\n') {
+            readPosition += 2;
+            scanPosition = readPosition;
         }
-        for (; scanned < to; scanned++) {
-            if (data[scanned] != '\n') {
+        for (; scanPosition < writePosition; scanPosition++) {
+            if (buffer[scanPosition] != '\n') {
                 continue;
             }
-            if (scanned == from || data[scanned - 1] != '\r') {
-                throw bad("a line feed without a carriage return", scanned);
+            if (scanPosition == readPosition || buffer[scanPosition - 1] != '\r') {
+                throw malformed("a line feed without a carriage return", scanPosition);
             }
-            if (scanned - from >= 3 && data[scanned - 2] == '\n') {
-                bound(scanned);
-                read(from, scanned - 1);
-                from = scanned + 1;
+            if (scanPosition - readPosition >= 3 && buffer[scanPosition - 2] == '\n') {
+                checkHeadLength(scanPosition);
+                parseHead(readPosition, scanPosition - 1);
+                readPosition = scanPosition + 1;
                 return true;
             }
         }
-        bound(to);
+        checkHeadLength(writePosition);
         return false;
     }
 
-    private void bound(int end) throws Refusal {
-        if (end - from > LONGEST_HEAD) {
-            throw new Refusal(431, "head too long", "the head is longer than " + LONGEST_HEAD + " bytes");
+    private void checkHeadLength(int end) throws Refusal {
+        if (end - readPosition > MAX_HEAD_LENGTH) {
+            throw new Refusal(431, "head too long", "the head is longer than " + MAX_HEAD_LENGTH + " bytes");
         }
     }
 
-    private static Refusal bad(String what, int at) {
+    private static Refusal malformed(String what, int at) {
         return new Refusal(400, "not HTTP", what + " at byte " + at);
     }
 
-    private void read(int start, int end) throws Refusal {
+    private void parseHead(int start, int end) throws Refusal {
         fields.clear();
-        int at = start;
-        int line = 0;
-        while (at < end) {
-            int stop = at;
-            while (data[stop] != '\r' || data[stop + 1] != '\n') {
-                int c = data[stop] & 0xff;
+        int lineStart = start;
+        int lineNumber = 0;
+        while (lineStart < end) {
+            int lineEnd = lineStart;
+            while (buffer[lineEnd] != '\r' || buffer[lineEnd + 1] != '\n') {
+                int c = buffer[lineEnd] & 0xff;
                 if (c < ' ' && c != '\t' || c == 0x7f) {
-                    throw bad("a control character in line " + (line + 1) + " of the head", stop - start);
+                    throw malformed("a control character in line " + (lineNumber + 1) + " of the head", lineEnd - start);
                 }
-                stop++;
+                lineEnd++;
             }
-            if (stop - at > LONGEST_LINE) {
-                throw new Refusal(line == 0 ? 414 : 431, "head too long", "line " + (line + 1)
-                        + " of the head is longer than " + LONGEST_LINE + " bytes");
+            if (lineEnd - lineStart > MAX_LINE_LENGTH) {
+                throw new Refusal(lineNumber == 0 ? 414 : 431, "head too long", "line " + (lineNumber + 1)
+                        + " of the head is longer than " + MAX_LINE_LENGTH + " bytes");
             }
-            String words = new String(data, at, stop - at, StandardCharsets.ISO_8859_1);
-            if (line++ == 0) {
-                begin(words);
-            } else if (line - 1 > MOST_FIELDS) {
-                throw new Refusal(431, "head too long", "more than " + MOST_FIELDS + " fields");
+            String text = new String(buffer, lineStart, lineEnd - lineStart, StandardCharsets.ISO_8859_1);
+            if (lineNumber++ == 0) {
+                parseRequestLine(text);
+            } else if (lineNumber - 1 > MAX_FIELDS) {
+                throw new Refusal(431, "head too long", "more than " + MAX_FIELDS + " fields");
             } else {
-                field(words, at - start);
+                parseField(text, lineStart - start);
             }
-            at = stop + 2;
+            lineStart = lineEnd + 2;
         }
-        framing();
+        parseFraming();
     }
 
-    private void begin(String words) throws Refusal {
-        String[] parts = words.split(" ", -1);
+    private void parseRequestLine(String line) throws Refusal {
+        String[] parts = line.split(" ", -1);
         if (parts.length != 3 || !isToken(parts[0]) || !parts[1].startsWith("/")) {
-            throw bad("no request line", 0);
+            throw malformed("no request line", 0);
         }
         if (!parts[2].equals("HTTP/1.1") && !parts[2].equals("HTTP/1.0")) {
             throw parts[2].matches("HTTP/[0-9]\\.[0-9]")
-                    ? new Refusal(505, "other version", "only HTTP/1.1 is spoken here") : bad("no request line", 0);
+                    ? new Refusal(505, "other version", "only HTTP/1.1 is spoken here") : malformed("no request line", 0);
         }
         method = parts[0];
         target = parts[1];
-        isOld = parts[2].endsWith("0");
+        isHttp10 = parts[2].endsWith("0");
     }
 
-    private void field(String words, int at) throws Refusal {
-        int colon = words.indexOf(':');
-        if (colon <= 0 || !isToken(words.substring(0, colon))) {
-            throw bad("no name of a field", at);
+    private void parseField(String line, int at) throws Refusal {
+        int colon = line.indexOf(':');
+        if (colon <= 0 || !isToken(line.substring(0, colon))) {
+            throw malformed("no name of a field", at);
         }
-        String name = words.substring(0, colon).toLowerCase(Locale.ROOT);
-        String value = words.substring(colon + 1).strip();
+        String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
+        String value = line.substring(colon + 1).strip();
         if (fields.put(name, value) != null && (name.equals("content-length") || name.equals("host")
                 || name.equals("transfer-encoding") || name.equals("idempotency-key")
                 || name.equals("authorization"))) {
@@ -198,115 +198,115 @@
         }
     }
 
-    private static boolean isToken(String words) {
-        return !words.isEmpty() && words.chars().allMatch(c -> c < 128 && (Character.isLetterOrDigit(c)
-                || TOKEN.indexOf(c) >= 0));
+    private static boolean isToken(String text) {
+        return !text.isEmpty() && text.chars().allMatch(c -> c < 128 && (Character.isLetterOrDigit(c)
+                || TOKEN_PUNCTUATION.indexOf(c) >= 0));
     }
 
-    private void framing() throws Refusal {
-        if (!isOld && !fields.containsKey("host")) {
+    private void parseFraming() throws Refusal {
+        if (!isHttp10 && !fields.containsKey("host")) {
             throw new Refusal(400, "no host", "field host is missing");
         }
-        String sized = fields.get("content-length");
-        String coding = fields.get("transfer-encoding");
-        if (sized != null && coding != null) {
+        String contentLength = fields.get("content-length");
+        String transferCoding = fields.get("transfer-encoding");
+        if (contentLength != null && transferCoding != null) {
             throw new Refusal(400, "length and chunks", "both content-length and transfer-encoding");
         }
-        length = 0;
-        if (coding != null) {
-            if (!coding.equalsIgnoreCase("chunked") || isOld) {
-                throw new Refusal(isOld ? 400 : 501, "other coding", "transfer-encoding " + coding);
+        bodyLength = 0;
+        if (transferCoding != null) {
+            if (!transferCoding.equalsIgnoreCase("chunked") || isHttp10) {
+                throw new Refusal(isHttp10 ? 400 : 501, "other coding", "transfer-encoding " + transferCoding);
             }
             body = new byte[0];
             state = CHUNK_SIZE;
             return;
         }
-        if (sized != null && !LENGTH.matcher(sized).matches()) {
+        if (contentLength != null && !CONTENT_LENGTH.matcher(contentLength).matches()) {
             throw new Refusal(400, "no length", "content-length is not a whole number");
         }
-        long told = sized == null ? 0 : Long.parseLong(sized);
-        if (told > longestBody) {
-            throw tooLong();
+        long declaredLength = contentLength == null ? 0 : Long.parseLong(contentLength);
+        if (declaredLength > maxBodyLength) {
+            throw bodyTooLong();
         }
-        left = (int) told;
-        body = new byte[left];
-        state = SIZED;
+        remaining = (int) declaredLength;
+        body = new byte[remaining];
+        state = BODY;
     }
 
-    private Refusal tooLong() {
-        return new Refusal(413, "body too long", "the body is longer than " + longestBody + " bytes");
+    private Refusal bodyTooLong() {
+        return new Refusal(413, "body too long", "the body is longer than " + maxBodyLength + " bytes");
     }
 
-    private boolean chunks() throws Refusal {
+    private boolean readChunks() throws Refusal {
         while (true) {
-            if (state == CHUNK) {
-                int part = Math.min(left, to - from);
-                int inside = Math.max(0, Math.min(part, left - 2));
-                System.arraycopy(data, from, body, length, inside);
-                length += inside;
-                for (int i = inside; i < part; i++) {
+            if (state == CHUNK_DATA) {
+                int part = Math.min(remaining, writePosition - readPosition);
+                int dataPart = Math.max(0, Math.min(part, remaining - 2));
+                System.arraycopy(buffer, readPosition, body, bodyLength, dataPart);
+                bodyLength += dataPart;
+                for (int i = dataPart; i < part; i++) {
                     // The chunk's own end: the last two bytes that are left of it.
-                    if (data[from + i] != (left - i == 2 ? '\r' : '\n')) {
-                        throw bad("a chunk that does not end where it should", length);
+                    if (buffer[readPosition + i] != (remaining - i == 2 ? '\r' : '\n')) {
+                        throw malformed("a chunk that does not end where it should", bodyLength);
                     }
                 }
-                from += part;
-                left -= part;
-                if (left > 0) {
+                readPosition += part;
+                remaining -= part;
+                if (remaining > 0) {
                     return false;
                 }
                 state = CHUNK_SIZE;
             }
-            int end = from;
-            while (end < to && data[end] != '\n') {
-                end++;
+            int lineEnd = readPosition;
+            while (lineEnd < writePosition && buffer[lineEnd] != '\n') {
+                lineEnd++;
             }
-            if (end - from > LONGEST_CHUNK_LINE) {
-                throw bad("a chunk's size is too long", length);
+            if (lineEnd - readPosition > MAX_CHUNK_LINE_LENGTH) {
+                throw malformed("a chunk's size is too long", bodyLength);
             }
-            if (end == to) {
+            if (lineEnd == writePosition) {
                 return false;
             }
-            if (end == from || data[end - 1] != '\r') {
-                throw bad("a line feed without a carriage return", length);
+            if (lineEnd == readPosition || buffer[lineEnd - 1] != '\r') {
+                throw malformed("a line feed without a carriage return", bodyLength);
             }
-            String words = new String(data, from, end - 1 - from, StandardCharsets.ISO_8859_1);
-            from = end + 1;
+            String line = new String(buffer, readPosition, lineEnd - 1 - readPosition, StandardCharsets.ISO_8859_1);
+            readPosition = lineEnd + 1;
             if (state == TRAILER) {
-                if (words.isEmpty()) {
-                    body = Arrays.copyOf(body, length);
+                if (line.isEmpty()) {
+                    body = Arrays.copyOf(body, bodyLength);
                     return true;
                 }
-                if (++left > MOST_FIELDS) {
-                    throw new Refusal(431, "head too long", "more than " + MOST_FIELDS + " trailers");
+                if (++remaining > MAX_FIELDS) {
+                    throw new Refusal(431, "head too long", "more than " + MAX_FIELDS + " trailers");
                 }
                 continue;
             }
-            size(words);
+            parseChunkSize(line);
         }
     }
 
-    private void size(String words) throws Refusal {
-        int semicolon = words.indexOf(';');
-        String digits = semicolon < 0 ? words : words.substring(0, semicolon);
-        if (!SIZE.matcher(digits).matches()) {
+    private void parseChunkSize(String line) throws Refusal {
+        int semicolon = line.indexOf(';');
+        String digits = semicolon < 0 ? line : line.substring(0, semicolon);
+        if (!HEX_DIGITS.matcher(digits).matches()) {
             throw new Refusal(400, "no length", "a chunk's size is not a number");
         }
         digits = digits.replaceFirst("^0+(?=.)", "");
-        if (digits.length() > CHUNK_DIGITS || length + Integer.parseInt(digits, 16) > longestBody) {
-            throw tooLong();
+        if (digits.length() > MAX_CHUNK_SIZE_DIGITS || bodyLength + Integer.parseInt(digits, 16) > maxBodyLength) {
+            throw bodyTooLong();
         }
         int size = Integer.parseInt(digits, 16);
         if (size == 0) {
             state = TRAILER;
-            left = 0;
+            remaining = 0;
             return;
         }
-        if (length + size > body.length) {
-            body = Arrays.copyOf(body, Math.min(longestBody, Math.max(length + size, 2 * body.length)));
+        if (bodyLength + size > body.length) {
+            body = Arrays.copyOf(body, Math.min(maxBodyLength, Math.max(bodyLength + size, 2 * body.length)));
         }
-        left = size + 2;
-        state = CHUNK;
+        remaining = size + 2;
+        state = CHUNK_DATA;
     }
 
     public String method() {
@@ -329,7 +329,7 @@
 
     /** Whether the connection stays open behind the answer. */
     public boolean isKept() {
-        String connection = fields.getOrDefault("connection", isOld ? "close" : "").toLowerCase(Locale.ROOT);
-        return isOld ? connection.contains("keep-alive") : !connection.contains("close");
+        String connection = fields.getOrDefault("connection", isHttp10 ? "close" : "").toLowerCase(Locale.ROOT);
+        return isHttp10 ? connection.contains("keep-alive") : !connection.contains("close");
     }
 }
--- a/src/main/java/honeygap/net/http/Stream.java
+++ b/src/main/java/honeygap/net/http/Stream.java
@@ -19,37 +19,37 @@
     }
 
     private final Loop loop;
-    private final long silentFor;
+    private final long silenceTimeout;
     private final Lines lines;
-    private final Ending ending;
+    private final Ending listener;
     private final Connection connection;
-    private Loop.Timer silence;
+    private Loop.Timer timeoutTimer;
     private int status;
-    private boolean over;
+    private boolean ended;
 
     /** The head must come in one time, all that is behind it in another after what came last. */
-    public Stream(Loop loop, InetSocketAddress address, String path, long answerWithin,
-                  long silentFor, Lines.Reader reader, Ending ending) {
+    public Stream(Loop loop, InetSocketAddress address, String path, long headTimeout,
+                  long silenceTimeout, Lines.Reader lineHandler, Ending listener) {
         this.loop = loop;
-        this.silentFor = silentFor;
-        this.ending = ending;
-        lines = new Lines(reader);
-        silence = loop.at(loop.now() + answerWithin, () -> end(StreamEnd.Cause.NO_ANSWER));
-        connection = new Connection(loop, address, this, (end, handedOver) -> end(cause(end)));
+        this.silenceTimeout = silenceTimeout;
+        this.listener = listener;
+        lines = new Lines(lineHandler);
+        timeoutTimer = loop.at(loop.now() + headTimeout, () -> endWith(StreamEnd.Cause.NO_ANSWER));
+        connection = new Connection(loop, address, this, (end, requestWritten) -> endWith(cause(end)));
         connection.get(path);
     }
 
     /** Closes without a word to whoever hears the ending. */
     public void close() {
-        over = true;
-        silence.callOff();
+        ended = true;
+        timeoutTimer.callOff();
         connection.close();
     }
 
-    private void end(StreamEnd.Cause cause) {
-        if (!over) {
+    private void endWith(StreamEnd.Cause cause) {
+        if (!ended) {
             close();
-            ending.ended(new StreamEnd(cause, status));
+            listener.ended(new StreamEnd(cause, status));
         }
     }
 
@@ -65,33 +65,33 @@
     public void head(int status) {
         this.status = status;
         if (status != 200) {
-            end(StreamEnd.Cause.STATUS);
-        } else if (!over) {
+            endWith(StreamEnd.Cause.STATUS);
+        } else if (!ended) {
             // Guards against asking again and again where the first thing to tell is a sign of life, seconds later.
-            live();
-            ending.taken();
+            restartSilenceTimer();
+            listener.taken();
         }
     }
 
     @Override
     public void data(ByteBuffer bytes) throws Malformed {
-        if (!over) {
-            live();
+        if (!ended) {
+            restartSilenceTimer();
             lines.feed(bytes);
         }
     }
 
-    private void live() {
-        silence.callOff();
-        silence = loop.at(loop.now() + silentFor, () -> end(StreamEnd.Cause.SILENT));
+    private void restartSilenceTimer() {
+        timeoutTimer.callOff();
+        timeoutTimer = loop.at(loop.now() + silenceTimeout, () -> endWith(StreamEnd.Cause.SILENT));
     }
 
     @Override
     public void end() throws Malformed {
-        if (!over) {
+        if (!ended) {
             // The last line may come without its end.
             lines.feed(ByteBuffer.wrap(new byte[] {'\n'}));
         }
-        end(StreamEnd.Cause.COMPLETE);
+        endWith(StreamEnd.Cause.COMPLETE);
     }
 }
--- a/src/main/java/honeygap/net/ofrep/Ask.java
+++ b/src/main/java/honeygap/net/ofrep/Ask.java
@@ -10,22 +10,22 @@
 /** The RPC by which servers are asked, for one evaluation or several that share it. */
 public final class Ask extends Call {
 
-    private final Exchange exchange;
+    private final Exchange dispatcher;
     final Shared shared;
 
-    Ask(String id, Shared shared, Tenant tenant, Exchange exchange) {
+    Ask(String id, Shared shared, Tenant tenant, Exchange dispatcher) {
         super(id, shared.question.method, tenant, null, shared.takenAt, shared.deadline, 0, false);
         this.shared = shared;
-        this.exchange = exchange;
+        this.dispatcher = dispatcher;
     }
 
-    public Request request() {
-        return (Request) shared.question;
+    public OfrepRequest request() {
+        return (OfrepRequest) shared.question;
     }
 
     @Override
     public void picked(Appliance appliance) {
-        exchange.picked(this, appliance);
+        dispatcher.picked(this, appliance);
     }
 
     /**
@@ -35,7 +35,7 @@
      */
     public int served(Appliance appliance, int status, byte[] body) throws Malformed {
         boolean isTracking = !request().shareable;
-        int outcome = exchange.served(this, appliance, Bodies.served(status, body, request().flag, isTracking));
+        int outcome = dispatcher.responseReceived(this, appliance, Bodies.parseResponse(status, body, request().flag, isTracking));
         if (outcome == Pick.OK) {
             once();
         }
@@ -43,19 +43,19 @@
     }
 
     /** The appliance wants nothing for so many tenths of a millisecond. */
-    public void stayAway(Appliance appliance, long after) {
-        exchange.stayAway(appliance, after);
+    public void stayAway(Appliance appliance, long retryAfter) {
+        dispatcher.applyRetryAfter(appliance, retryAfter);
     }
 
     @Override
-    public void pushBack(long stayAway) {
+    public void pushBack(long retryAfter) {
         once();
-        exchange.givenUp(this, true, stayAway);
+        dispatcher.callFailed(this, true, retryAfter);
     }
 
     @Override
     public void abort() {
         once();
-        exchange.givenUp(this, false, 0);
+        dispatcher.callFailed(this, false, 0);
     }
 }
--- a/src/main/java/honeygap/net/ofrep/Bodies.java
+++ b/src/main/java/honeygap/net/ofrep/Bodies.java
@@ -20,12 +20,12 @@
 /** Bodies of the remote evaluation protocol: what is read from them, and those that the agent writes. */
 public final class Bodies {
 
-    private static final int DEEPEST = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
     /** Types of values, as the flag API has them. */
     static final int BOOLEAN = 0, STRING = 1, NUMBER = 2, OBJECT = 3;
 
     private static final JsonFactory JSON = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
     private Bodies() {
@@ -36,11 +36,11 @@
      * that what is passed on is sound: one JSON object, no name twice in an object, UTF-8, not nested deeply.
      */
     public static long subject(byte[] body) throws Refusal {
-        long subject = 0;
+        long keyHash = 0;
         boolean hasContext = false;
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw parse("the body is not a JSON object", in.currentLocation());
+                throw parseError("the body is not a JSON object", in.currentLocation());
             }
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
@@ -48,72 +48,72 @@
                 if (name.equals("context")) {
                     hasContext = true;
                     if (value != JsonToken.START_OBJECT) {
-                        throw context("field context is not an object", in.currentLocation());
+                        throw invalidContext("field context is not an object", in.currentLocation());
                     }
-                    subject = targetingKey(in);
+                    keyHash = readTargetingKeyHash(in);
                 } else {
                     in.skipChildren();
                 }
             }
             if (in.nextToken() != null) {
-                throw parse("more than one JSON value", in.currentLocation());
+                throw parseError("more than one JSON value", in.currentLocation());
             }
         } catch (JsonProcessingException e) {
-            throw parse(e.getOriginalMessage().lines().findFirst().orElse("not JSON"), e.getLocation());
+            throw parseError(e.getOriginalMessage().lines().findFirst().orElse("not JSON"), e.getLocation());
         } catch (IOException e) {
             // Jackson's word for bytes that are not UTF-8.
-            throw parse("not UTF-8", null);
+            throw parseError("not UTF-8", null);
         }
         if (!hasContext) {
             throw new Refusal(400, "INVALID_CONTEXT", "field context is missing");
         }
-        return subject;
+        return keyHash;
     }
 
-    private static long targetingKey(JsonParser in) throws IOException, Refusal {
-        long subject = 0;
+    private static long readTargetingKeyHash(JsonParser in) throws IOException, Refusal {
+        long keyHash = 0;
         while (in.nextToken() != JsonToken.END_OBJECT) {
             boolean isKey = in.currentName().equals("targetingKey");
             JsonToken value = in.nextToken();
             if (isKey && value != JsonToken.VALUE_STRING) {
-                throw context("field context.targetingKey is not a string", in.currentLocation());
+                throw invalidContext("field context.targetingKey is not a string", in.currentLocation());
             }
             if (isKey) {
-                subject = Request.hash(in.getText().getBytes(StandardCharsets.UTF_8));
+                keyHash = OfrepRequest.hash(in.getText().getBytes(StandardCharsets.UTF_8));
             }
             in.skipChildren();
         }
-        return subject;
+        return keyHash;
     }
 
-    private static Refusal parse(String words, JsonLocation at) {
-        return new Refusal(400, "PARSE_ERROR", words + place(at));
+    private static Refusal parseError(String message, JsonLocation at) {
+        return new Refusal(400, "PARSE_ERROR", message + position(at));
     }
 
-    private static Refusal context(String words, JsonLocation at) {
-        return new Refusal(400, "INVALID_CONTEXT", words + place(at));
+    private static Refusal invalidContext(String message, JsonLocation at) {
+        return new Refusal(400, "INVALID_CONTEXT", message + position(at));
     }
 
-    private static String place(JsonLocation at) {
+    private static String position(JsonLocation at) {
         return at == null ? "" : " at line " + at.getLineNr() + ", column " + at.getColumnNr();
     }
 
     /** A server's answer, of one flag or, where none is named, of all; what can't be one is malformed. */
-    static Served served(int status, byte[] body, String flag, boolean isTracking) throws Malformed {
+    static Served parseResponse(int status, byte[] body, String flag, boolean isTracking) throws Malformed {
         if (isTracking || status == 401 || status == 403) {
             return new Served(status, body, Served.NO_VERSION, Served.NO_VERSION, Map.of());
         }
-        Reading reading = new Reading(flag);
+        ResponseSummary summary = new ResponseSummary(flag);
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new Malformed("an answer that is not an object");
             }
             if (status != Served.GOOD) {
-                reading.error(in);
+                summary.readError(in);
             } else if (flag == null) {
-                reading.all(in);
+                summary.readAllFlags(in);
             } else {
-                reading.one(in, flag);
+                summary.readFlag(in, flag);
             }
             if (in.nextToken() != null) {
                 throw new Malformed("more than one answer");
@@ -121,21 +121,21 @@
         } catch (IOException e) {
             throw new Malformed("an answer that is not JSON");
         }
-        return new Served(status, body, reading.oldest, reading.newest, reading.kinds);
+        return new Served(status, body, summary.oldest, summary.newest, summary.kinds);
     }
 
     /** What one answer says. */
-    private static final class Reading {
+    private static final class ResponseSummary {
 
         private final Map<String, Integer> kinds;
         private long oldest = Served.NO_VERSION;
         private long newest = Served.NO_VERSION;
 
-        Reading(String flag) {
+        ResponseSummary(String flag) {
             kinds = new HashMap<>(flag == null ? 16 : 2);
         }
 
-        private void version(JsonParser in) throws IOException {
+        private void readMetadata(JsonParser in) throws IOException {
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 boolean isVersion = in.currentName().equals("version");
                 JsonToken value = in.nextToken();
@@ -143,20 +143,20 @@
                     String digits = in.getText();
                     if (digits.length() <= 18 && !digits.isEmpty()
                             && digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
-                        met(Long.parseLong(digits));
+                        addVersion(Long.parseLong(digits));
                     }
                 }
                 in.skipChildren();
             }
         }
 
-        private void met(long version) {
+        private void addVersion(long version) {
             oldest = oldest == Served.NO_VERSION ? version : Math.min(oldest, version);
             newest = Math.max(newest, version);
         }
 
         /** An evaluation that went well, or that of one flag among all that did not. */
-        void one(JsonParser in, String flag) throws IOException, Malformed {
+        void readFlag(JsonParser in, String flag) throws IOException, Malformed {
             String key = flag;
             int kind = -1;
             boolean failed = false;
@@ -165,21 +165,21 @@
                 JsonToken value = in.nextToken();
                 switch (name) {
                     case "key":
-                        key = text(in, value, name);
+                        key = readText(in, value, name);
                         break;
                     case "reason", "variant":
-                        text(in, value, name);
+                        readText(in, value, name);
                         break;
                     case "errorCode":
                         failed = true;
                         break;
                     case "value":
-                        kind = kind(value);
+                        kind = kindOf(value);
                         in.skipChildren();
                         break;
                     case "metadata":
                         if (value == JsonToken.START_OBJECT) {
-                            version(in);
+                            readMetadata(in);
                         } else if (value != JsonToken.VALUE_NULL) {
                             throw new Malformed("field metadata is not an object");
                         }
@@ -199,7 +199,7 @@
             }
         }
 
-        private static String text(JsonParser in, JsonToken value, String name) throws IOException, Malformed {
+        private static String readText(JsonParser in, JsonToken value, String name) throws IOException, Malformed {
             if (value == JsonToken.VALUE_NULL && !name.equals("key")) {
                 return null;
             }
@@ -209,7 +209,7 @@
             return in.getText();
         }
 
-        private static int kind(JsonToken value) {
+        private static int kindOf(JsonToken value) {
             switch (value) {
                 case VALUE_TRUE, VALUE_FALSE:
                     return BOOLEAN;
@@ -224,31 +224,31 @@
             }
         }
 
-        void all(JsonParser in) throws IOException, Malformed {
-            boolean seen = false;
+        void readAllFlags(JsonParser in) throws IOException, Malformed {
+            boolean hasFlags = false;
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 JsonToken value = in.nextToken();
                 if (name.equals("flags") && value == JsonToken.START_ARRAY) {
-                    seen = true;
+                    hasFlags = true;
                     while (in.nextToken() != JsonToken.END_ARRAY) {
                         if (in.currentToken() != JsonToken.START_OBJECT) {
                             throw new Malformed("a flag that is not an object");
                         }
-                        one(in, null);
+                        readFlag(in, null);
                     }
                 } else if (name.equals("metadata") && value == JsonToken.START_OBJECT) {
-                    version(in);
+                    readMetadata(in);
                 } else {
                     in.skipChildren();
                 }
             }
-            if (!seen) {
+            if (!hasFlags) {
                 throw new Malformed("field flags is not a list");
             }
         }
 
-        void error(JsonParser in) throws IOException, Malformed {
+        void readError(JsonParser in) throws IOException, Malformed {
             boolean hasCode = false;
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 hasCode |= in.currentName().equals("errorCode");
@@ -265,29 +265,29 @@
     public static byte[] withReason(byte[] body, boolean isBulk, String reason) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(body.length + 32);
         int depth = 0;
-        int at = isBulk ? 3 : 1;
-        boolean told = false;
+        int flagDepth = isBulk ? 3 : 1;
+        boolean hasReason = false;
         boolean isFlag = !isBulk;
         try (JsonParser in = JSON.createParser(body); JsonGenerator out = JSON.createGenerator(bytes)) {
             for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
                 if (isBulk && token == JsonToken.FIELD_NAME && depth == 1) {
                     isFlag = in.currentName().equals("flags");
                 }
-                boolean isField = isFlag && token == JsonToken.FIELD_NAME && depth == at;
+                boolean isField = isFlag && token == JsonToken.FIELD_NAME && depth == flagDepth;
                 // A flag that could not be evaluated has an error and no reason.
-                told |= isField && in.currentName().equals("errorCode");
+                hasReason |= isField && in.currentName().equals("errorCode");
                 if (isField && in.currentName().equals("reason")) {
                     in.nextToken();
                     in.skipChildren();
                     out.writeStringField("reason", reason);
-                    told = true;
+                    hasReason = true;
                     continue;
                 }
-                if (isFlag && token == JsonToken.END_OBJECT && depth == at && !told) {
+                if (isFlag && token == JsonToken.END_OBJECT && depth == flagDepth && !hasReason) {
                     out.writeStringField("reason", reason);
                 }
                 depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
-                told &= token != JsonToken.START_OBJECT || depth != at;
+                hasReason &= token != JsonToken.START_OBJECT || depth != flagDepth;
                 out.copyCurrentEvent(in);
             }
         } catch (IOException e) {
--- a/src/main/java/honeygap/net/ofrep/Exchange.java
+++ b/src/main/java/honeygap/net/ofrep/Exchange.java
@@ -16,7 +16,7 @@
 /** Between the evaluations of clients and the RPCs to servers: carries out what {@code Answers} decides. */
 public final class Exchange implements Answers.Out, Loop.Core, Counters.Group {
 
-    private static final int MOST_TENANTS = 10_000;
+    private static final int MAX_TENANTS = 10_000;
 
     private final Loop loop;
     private final Rules rules;
@@ -28,11 +28,11 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Tenant> eldest) {
-            return size() > MOST_TENANTS;
+            return size() > MAX_TENANTS;
         }
     };
-    private long asks;
-    private long rescued;
+    private long callCount;
+    private long rescuedCount;
 
     public Exchange(Loop loop, Rules rules, Answers answers, Limits limits) {
         this.loop = loop;
@@ -42,41 +42,41 @@
     }
 
     /** A client asks; the guard answers two steps after its deadline if nobody else has. */
-    public void asked(Awaited awaited, long tick) {
-        awaited.guard = loop.at(awaited.deadline + 2 * tick, () -> loop.post(() -> {
-            if (!awaited.isEnded()) {
-                rescued++;
-                answers.left(awaited);
-                awaited.abort();
+    public void submit(PendingEvaluation evaluation, long tick) {
+        evaluation.guard = loop.at(evaluation.deadline + 2 * tick, () -> loop.post(() -> {
+            if (!evaluation.isEnded()) {
+                rescuedCount++;
+                answers.left(evaluation);
+                evaluation.abort();
             }
         }));
-        loop.gather(() -> answers.asked(awaited));
+        loop.gather(() -> answers.asked(evaluation));
     }
 
-    public void left(Awaited awaited) {
-        loop.gather(() -> answers.left(awaited));
+    public void abandon(PendingEvaluation evaluation) {
+        loop.gather(() -> answers.left(evaluation));
     }
 
     /** A server wants nothing for so many tenths of a millisecond. */
-    public void stayAway(Appliance appliance, long after) {
-        limits.told(appliance, after);
+    public void applyRetryAfter(Appliance appliance, long retryAfter) {
+        limits.told(appliance, retryAfter);
     }
 
     /** When a client that is pushed back had best ask again: not before a server takes picks. */
-    public long opensIn() {
+    public long suggestedRetryAfter() {
         return limits.opensIn();
     }
 
-    void picked(Ask ask, Appliance appliance) {
-        answers.picked(ask.shared, rules.onTrial(appliance.build));
+    void picked(Ask call, Appliance appliance) {
+        answers.picked(call.shared, rules.onTrial(appliance.build));
     }
 
-    int served(Ask ask, Appliance appliance, Served served) {
-        return answers.served(ask.shared, served, rules.onTrial(appliance.build));
+    int responseReceived(Ask call, Appliance appliance, Served served) {
+        return answers.served(call.shared, served, rules.onTrial(appliance.build));
     }
 
-    void givenUp(Ask ask, boolean isPushedBack, long stayAway) {
-        loop.gather(() -> answers.givenUp(ask.shared, isPushedBack, stayAway));
+    void callFailed(Ask call, boolean isPushedBack, long retryAfter) {
+        loop.gather(() -> answers.givenUp(call.shared, isPushedBack, retryAfter));
     }
 
     @Override
@@ -93,9 +93,9 @@
     @Override
     public void open(Shared shared) {
         String flag = shared.question.flag == null ? "" : shared.question.flag;
-        Ask ask = new Ask("f" + asks++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
-        shared.rpc = ask;
-        loop.gather(() -> rules.taken(ask));
+        Ask call = new Ask("f" + callCount++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
+        shared.rpc = call;
+        loop.gather(() -> rules.taken(call));
     }
 
     @Override
@@ -104,18 +104,18 @@
     }
 
     @Override
-    public void answer(Evaluation evaluation, Served served, int how) {
-        ((Awaited) evaluation).answer(served, how);
+    public void answer(Evaluation evaluation, Served served, int origin) {
+        ((PendingEvaluation) evaluation).answer(served, origin);
     }
 
     @Override
-    public void pushBack(Evaluation evaluation, long stayAway) {
-        ((Awaited) evaluation).pushBack(stayAway);
+    public void pushBack(Evaluation evaluation, long retryAfter) {
+        ((PendingEvaluation) evaluation).pushBack(retryAfter);
     }
 
     @Override
     public void abort(Evaluation evaluation) {
-        ((Awaited) evaluation).abort();
+        ((PendingEvaluation) evaluation).abort();
     }
 
     @Override
@@ -127,6 +127,6 @@
     public void report(Counters counters) {
         answers.report(counters::count);
         counters.count("told to stay away", limits.told());
-        counters.count("rescued", rescued);
+        counters.count("rescued", rescuedCount);
     }
 }
--- a/src/main/java/honeygap/net/ofrep/Request.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepRequest.java
@@ -7,26 +7,26 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /** A question as it goes to servers: its identity is the request itself, but for the server's name. */
-public final class Request extends Question {
+public final class OfrepRequest extends Question {
 
-    private static final byte[] END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] HEAD_END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private final int headLength;
 
-    private Request(Method method, String flag, long subject, byte[] whole, int headLength, boolean shareable) {
-        super(method, flag, subject, whole, hash(whole), shareable);
+    private OfrepRequest(Method method, String flag, long targetingKeyHash, byte[] request, int headLength, boolean shareable) {
+        super(method, flag, targetingKeyHash, request, hash(request), shareable);
         this.headLength = headLength;
     }
 
     /** The fields are those that servers are to have, each with its end. */
-    public static Request of(Method method, String flag, long subject, String path, String fields, byte[] body,
+    public static OfrepRequest of(Method method, String flag, long targetingKeyHash, String path, String fields, byte[] body,
                              boolean shareable) {
         byte[] head = ("POST " + path + " HTTP/1.1\r\n" + fields + "Content-Type: application/json\r\n"
                 + "Accept: application/json\r\nContent-Length: " + body.length + "\r\nHost: ")
                 .getBytes(StandardCharsets.ISO_8859_1);
-        byte[] whole = java.util.Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, whole, head.length, body.length);
-        return new Request(method, flag, subject, whole, head.length, shareable);
+        byte[] request = java.util.Arrays.copyOf(head, head.length + body.length);
+        System.arraycopy(body, 0, request, head.length, body.length);
+        return new OfrepRequest(method, flag, targetingKeyHash, request, head.length, shareable);
     }
 
     /** A 64-bit hash of bytes, never 0. */
@@ -38,6 +38,6 @@
     /** The request for a server of this name, in slices. */
     public ByteBuffer[] parts(byte[] host) {
         return new ByteBuffer[] {ByteBuffer.wrap(identity, 0, headLength), ByteBuffer.wrap(host),
-            ByteBuffer.wrap(END), ByteBuffer.wrap(identity, headLength, identity.length - headLength).slice()};
+            ByteBuffer.wrap(HEAD_END), ByteBuffer.wrap(identity, headLength, identity.length - headLength).slice()};
     }
 }
--- a/src/main/java/honeygap/net/pg/Frames.java
+++ b/src/main/java/honeygap/net/pg/Frames.java
@@ -6,92 +6,92 @@
 /** Cuts what came in into messages of the wire protocol, in place where a message came in one piece. */
 public final class Frames {
 
-    private static final ByteBuffer NONE = ByteBuffer.allocate(0);
-    private static final int TYPED = 5;
-    private static final int UNTYPED = 4;
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+    private static final int TYPED_HEADER_LENGTH = 5;
+    private static final int UNTYPED_HEADER_LENGTH = 4;
 
-    private final int most;
-    private ByteBuffer data = NONE;
+    private final int maxLength;
+    private ByteBuffer buffer = EMPTY;
     /** Whether the bytes are a copy of this parser's own, with room after the limit. */
-    private boolean own;
+    private boolean ownsBuffer;
     private byte type;
-    private ByteBuffer whole;
+    private ByteBuffer message;
     private ByteBuffer body;
 
     /** Messages longer than this are turned down before they are kept. */
-    public Frames(int most) {
-        this.most = most;
+    public Frames(int maxLength) {
+        this.maxLength = maxLength;
     }
 
     public void feed(ByteBuffer more) {
-        if (!data.hasRemaining()) {
-            data = more;
-            own = false;
+        if (!buffer.hasRemaining()) {
+            buffer = more;
+            ownsBuffer = false;
             return;
         }
-        if (!own || data.capacity() - data.limit() < more.remaining()) {
-            int length = data.remaining() + more.remaining();
+        if (!ownsBuffer || buffer.capacity() - buffer.limit() < more.remaining()) {
+            int length = buffer.remaining() + more.remaining();
             // Once the length of the message is there, room for all of it: no copy a read.
-            int told = data.remaining() >= TYPED ? data.getInt(data.position() + 1) + 1 : 0;
-            ByteBuffer room = ByteBuffer.allocate(Math.max(length, Math.min(told, most + TYPED)));
-            room.put(data).put(more).flip();
-            data = room;
-            own = true;
+            int declaredLength = buffer.remaining() >= TYPED_HEADER_LENGTH ? buffer.getInt(buffer.position() + 1) + 1 : 0;
+            ByteBuffer grown = ByteBuffer.allocate(Math.max(length, Math.min(declaredLength, maxLength + TYPED_HEADER_LENGTH)));
+            grown.put(buffer).put(more).flip();
+            buffer = grown;
+            ownsBuffer = true;
             return;
         }
-        int start = data.position();
-        int end = data.limit();
-        data.limit(end + more.remaining()).position(end);
-        data.put(more).position(start);
+        int start = buffer.position();
+        int end = buffer.limit();
+        buffer.limit(end + more.remaining()).position(end);
+        buffer.put(more).position(start);
     }
 
     /** How many bytes wait. */
     public int waiting() {
-        return data.remaining();
+        return buffer.remaining();
     }
 
     /** The next message without a type byte, no longer than this, as a connection begins with one. */
-    public boolean nextUntyped(int most) throws Malformed {
-        return next(UNTYPED, most);
+    public boolean nextUntyped(int maxLength) throws Malformed {
+        return next(UNTYPED_HEADER_LENGTH, maxLength);
     }
 
     public boolean next() throws Malformed {
-        return next(TYPED, most);
+        return next(TYPED_HEADER_LENGTH, maxLength);
     }
 
     /** Whether more than so many whole messages wait. */
-    public boolean waitsMoreThan(int messages) {
-        int at = data.position();
-        for (int seen = 0; data.limit() - at >= TYPED; seen++) {
-            int length = data.getInt(at + 1);
-            if (length < UNTYPED || length > most || data.limit() - at <= length) {
+    public boolean hasMoreMessagesThan(int messages) {
+        int position = buffer.position();
+        for (int count = 0; buffer.limit() - position >= TYPED_HEADER_LENGTH; count++) {
+            int length = buffer.getInt(position + 1);
+            if (length < UNTYPED_HEADER_LENGTH || length > maxLength || buffer.limit() - position <= length) {
                 return false;
             }
-            if (seen == messages) {
+            if (count == messages) {
                 return true;
             }
-            at += 1 + length;
+            position += 1 + length;
         }
         return false;
     }
 
-    private boolean next(int head, int most) throws Malformed {
-        if (data.remaining() < head) {
+    private boolean next(int headerLength, int maxLength) throws Malformed {
+        if (buffer.remaining() < headerLength) {
             return false;
         }
-        int start = data.position();
-        int length = data.getInt(start + head - UNTYPED);
-        if (length < UNTYPED || length > most) {
+        int start = buffer.position();
+        int length = buffer.getInt(start + headerLength - UNTYPED_HEADER_LENGTH);
+        if (length < UNTYPED_HEADER_LENGTH || length > maxLength) {
             throw new Malformed("a message of length " + length);
         }
-        int end = start + head - UNTYPED + length;
-        if (end > data.limit()) {
+        int end = start + headerLength - UNTYPED_HEADER_LENGTH + length;
+        if (end > buffer.limit()) {
             return false;
         }
-        type = head == TYPED ? data.get(start) : 0;
-        whole = data.slice(start, end - start);
-        body = data.slice(start + head, end - start - head);
-        data.position(end);
+        type = headerLength == TYPED_HEADER_LENGTH ? buffer.get(start) : 0;
+        message = buffer.slice(start, end - start);
+        body = buffer.slice(start + headerLength, end - start - headerLength);
+        buffer.position(end);
         return true;
     }
 
@@ -101,7 +101,7 @@
 
     /** The message with its type and length. */
     public ByteBuffer whole() {
-        return whole;
+        return message;
     }
 
     public ByteBuffer body() {
--- a/src/main/java/honeygap/net/pg/Query.java
+++ b/src/main/java/honeygap/net/pg/Query.java
@@ -9,66 +9,66 @@
 public final class Query extends Call {
 
     /** The client's end, told the answer as it is to be written. */
-    public interface Asker {
+    public interface ResponseHandler {
 
         /** Ok: the row as the appliance gave it. */
         void answer(ByteBuffer... row);
 
-        void pushBack(long stayAwayMs);
+        void pushBack(long retryAfterMs);
 
         void abort();
     }
 
-    private final ByteBuffer before;
-    private final ByteBuffer after;
+    private final ByteBuffer textBeforeTimeout;
+    private final ByteBuffer textAfterTimeout;
     /** Null once the answer has been given or the client has left. */
-    private Asker asker;
+    private ResponseHandler responseHandler;
 
     public Query(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
-                 boolean retry, Asker asker, ByteBuffer before, ByteBuffer after) {
+                 boolean retry, ResponseHandler responseHandler, ByteBuffer textBeforeTimeout, ByteBuffer textAfterTimeout) {
         super(id, method, tenant, key, takenAt, deadline, work, retry);
-        this.asker = asker;
-        this.before = before;
-        this.after = after;
+        this.responseHandler = responseHandler;
+        this.textBeforeTimeout = textBeforeTimeout;
+        this.textAfterTimeout = textAfterTimeout;
     }
 
     public ByteBuffer before() {
-        return before;
+        return textBeforeTimeout;
     }
 
     public ByteBuffer after() {
-        return after;
+        return textAfterTimeout;
     }
 
-    public boolean isAwaited() {
-        return asker != null;
+    public boolean isAwaitingResponse() {
+        return responseHandler != null;
     }
 
     /** Nobody waits any more. */
-    public void forget() {
-        asker = null;
+    public void detachHandler() {
+        responseHandler = null;
     }
 
     public void answer(ByteBuffer... row) {
         once();
-        if (asker != null) {
-            asker.answer(row);
+        if (responseHandler != null) {
+            responseHandler.answer(row);
         }
     }
 
     @Override
-    public void pushBack(long stayAway) {
+    public void pushBack(long retryAfter) {
         once();
-        if (asker != null) {
-            asker.pushBack((stayAway + 9) / 10);
+        if (responseHandler != null) {
+            responseHandler.pushBack((retryAfter + 9) / 10);
         }
     }
 
     @Override
     public void abort() {
         once();
-        if (asker != null) {
-            asker.abort();
+        if (responseHandler != null) {
+            responseHandler.abort();
         }
     }
 }
--- a/src/main/java/honeygap/net/pg/Statement.java
+++ b/src/main/java/honeygap/net/pg/Statement.java
@@ -12,11 +12,11 @@
     private String method;
     private String tenant;
     private String key;
-    private long timeMs;
+    private long timeoutMs;
     private long hintMicros;
     private boolean retry;
-    private int timeFrom;
-    private int timeTo;
+    private int timeoutStart;
+    private int timeoutEnd;
 
     /** Reads the body of a query; false where it is not in the documented form. */
     public boolean read(ByteBuffer body) {
@@ -27,9 +27,9 @@
             length--;
         }
         id = method = tenant = key = null;
-        timeMs = hintMicros = 0;
+        timeoutMs = hintMicros = 0;
         retry = false;
-        timeFrom = -1;
+        timeoutStart = -1;
         boolean select = startsWith("SELECT content FROM kv WHERE name = '");
         boolean insert = startsWith("INSERT INTO kv (name, content) VALUES ('");
         if (!select && !insert || length < 2 || at(length - 2) != '*' || at(length - 1) != '/') {
@@ -39,34 +39,34 @@
         while (comment > 0 && !(at(comment) == '*' && at(comment - 1) == '/')) {
             comment--;
         }
-        int open = find('\'', 0, comment);
-        int close = open < 0 ? -1 : find('\'', open + 1, comment);
-        if (comment <= 0 || close < 0) {
+        int openQuote = find('\'', 0, comment);
+        int closeQuote = openQuote < 0 ? -1 : find('\'', openQuote + 1, comment);
+        if (comment <= 0 || closeQuote < 0) {
             return false;
         }
-        key = string(open + 1, close);
+        key = string(openQuote + 1, closeQuote);
         int end = length - 2;
         for (int from = comment + 1; from < end;) {
             int to = find(',', from, end);
             to = to < 0 ? end : to;
-            int first = from;
-            int last = to;
-            while (first < last && at(first) == ' ') {
-                first++;
+            int fieldStart = from;
+            int fieldEnd = to;
+            while (fieldStart < fieldEnd && at(fieldStart) == ' ') {
+                fieldStart++;
             }
-            while (last > first && at(last - 1) == ' ') {
-                last--;
+            while (fieldEnd > fieldStart && at(fieldEnd - 1) == ' ') {
+                fieldEnd--;
             }
-            int equals = find('=', first, last);
-            if (equals < 0 || !field(first, equals, last)) {
+            int equals = find('=', fieldStart, fieldEnd);
+            if (equals < 0 || !parseField(fieldStart, equals, fieldEnd)) {
                 return false;
             }
             from = to + 1;
         }
-        return id != null && !id.isEmpty() && method != null && timeFrom >= 0;
+        return id != null && !id.isEmpty() && method != null && timeoutStart >= 0;
     }
 
-    private boolean field(int from, int equals, int to) {
+    private boolean parseField(int from, int equals, int to) {
         if (equals == from + 2 && at(from) == 'i' && at(from + 1) == 'd') {
             id = string(equals + 1, to);
             return true;
@@ -82,15 +82,15 @@
                 tenant = string(equals + 1, to);
                 return true;
             case 'd':
-                timeFrom = equals + 1;
-                timeTo = to;
-                timeMs = number(equals + 1, to);
-                return timeMs >= 0;
+                timeoutStart = equals + 1;
+                timeoutEnd = to;
+                timeoutMs = parseNumber(equals + 1, to);
+                return timeoutMs >= 0;
             case 'h':
-                hintMicros = number(equals + 1, to);
+                hintMicros = parseNumber(equals + 1, to);
                 return hintMicros >= 0;
             case 'r':
-                retry = number(equals + 1, to) == 1;
+                retry = parseNumber(equals + 1, to) == 1;
                 return true;
             default:
                 return true;
@@ -98,7 +98,7 @@
     }
 
     /** A whole number, any fraction left away; under zero where there is none. */
-    private long number(int from, int to) {
+    private long parseNumber(int from, int to) {
         long value = 0;
         int i = from;
         while (i < to && at(i) >= '0' && at(i) <= '9' && value < Integer.MAX_VALUE) {
@@ -107,9 +107,9 @@
         return i == from || i < to && at(i) != '.' ? -1 : value;
     }
 
-    private boolean startsWith(String words) {
-        for (int i = 0; i < words.length(); i++) {
-            if (i >= length || at(i) != words.charAt(i)) {
+    private boolean startsWith(String prefix) {
+        for (int i = 0; i < prefix.length(); i++) {
+            if (i >= length || at(i) != prefix.charAt(i)) {
                 return false;
             }
         }
@@ -152,7 +152,7 @@
     }
 
     public long timeMs() {
-        return timeMs;
+        return timeoutMs;
     }
 
     public long hintMicros() {
@@ -165,10 +165,10 @@
 
     /** What stands before the time that the client waits, and what stands after it. */
     public ByteBuffer before() {
-        return text.slice(0, timeFrom);
+        return text.slice(0, timeoutStart);
     }
 
     public ByteBuffer after() {
-        return text.slice(timeTo, length - timeTo);
+        return text.slice(timeoutEnd, length - timeoutEnd);
     }
 }
--- a/src/main/java/honeygap/net/pg/Words.java
+++ b/src/main/java/honeygap/net/pg/Words.java
@@ -9,39 +9,39 @@
     public static final int VERSION = 196608;
     public static final int TLS = 80877103;
     public static final int GSS = 80877104;
-    public static final int CANCEL = 80877102;
+    public static final int CANCEL_REQUEST = 80877102;
 
     public static final String TOO_MANY = "53300";
-    public static final String SHUTTING_DOWN = "57P03";
+    public static final String CANNOT_CONNECT_NOW = "57P03";
     public static final String GIVEN_UP = "58000";
-    public static final String SYNTAX = "42601";
-    public static final String PROTOCOL = "08P01";
+    public static final String SYNTAX_ERROR = "42601";
+    public static final String PROTOCOL_VIOLATION = "08P01";
 
-    private static final int HEAD = 5;
+    private static final int HEADER_LENGTH = 5;
 
-    private static final ByteBuffer READY = message('Z', "I".getBytes(StandardCharsets.US_ASCII));
-    private static final ByteBuffer EMPTY = join(message('I'), READY);
-    private static final ByteBuffer SET = join(message('C', text("SET")), READY);
-    private static final ByteBuffer WELCOME = join(message('R', new byte[4]),
-            setting("server_version", "16.0"),
-            setting("server_encoding", "UTF8"), setting("client_encoding", "UTF8"),
-            setting("standard_conforming_strings", "on"), message('K', new byte[8]), READY);
-    private static final ByteBuffer LOGIN = login();
+    private static final ByteBuffer READY_FOR_QUERY = message('Z', "I".getBytes(StandardCharsets.US_ASCII));
+    private static final ByteBuffer EMPTY_QUERY_RESPONSE = join(message('I'), READY_FOR_QUERY);
+    private static final ByteBuffer SET_COMPLETE = join(message('C', cString("SET")), READY_FOR_QUERY);
+    private static final ByteBuffer STARTUP_RESPONSE = join(message('R', new byte[4]),
+            parameterStatus("server_version", "16.0"),
+            parameterStatus("server_encoding", "UTF8"), parameterStatus("client_encoding", "UTF8"),
+            parameterStatus("standard_conforming_strings", "on"), message('K', new byte[8]), READY_FOR_QUERY);
+    private static final ByteBuffer STARTUP_MESSAGE = createStartupMessage();
 
     private Words() {
     }
 
-    private static byte[] text(String words) {
-        return (words + '\0').getBytes(StandardCharsets.UTF_8);
+    private static byte[] cString(String value) {
+        return (value + '\0').getBytes(StandardCharsets.UTF_8);
     }
 
-    private static ByteBuffer setting(String name, String value) {
-        return message('S', text(name + '\0' + value));
+    private static ByteBuffer parameterStatus(String name, String value) {
+        return message('S', cString(name + '\0' + value));
     }
 
     private static ByteBuffer message(char type, byte... body) {
-        ByteBuffer whole = ByteBuffer.allocate(HEAD + body.length);
-        return whole.put((byte) type).putInt(4 + body.length).put(body).flip();
+        ByteBuffer message = ByteBuffer.allocate(HEADER_LENGTH + body.length);
+        return message.put((byte) type).putInt(4 + body.length).put(body).flip();
     }
 
     private static ByteBuffer join(ByteBuffer... parts) {
@@ -49,88 +49,88 @@
         for (ByteBuffer part : parts) {
             length += part.remaining();
         }
-        ByteBuffer all = ByteBuffer.allocate(length);
+        ByteBuffer joined = ByteBuffer.allocate(length);
         for (ByteBuffer part : parts) {
-            all.put(part.duplicate());
+            joined.put(part.duplicate());
         }
-        return all.flip();
+        return joined.flip();
     }
 
-    private static ByteBuffer login() {
-        byte[] pairs = text("user\0backend\0database\0store\0");
-        ByteBuffer whole = ByteBuffer.allocate(8 + pairs.length);
-        return whole.putInt(8 + pairs.length).putInt(VERSION).put(pairs).flip();
+    private static ByteBuffer createStartupMessage() {
+        byte[] parameters = cString("user\0backend\0database\0store\0");
+        ByteBuffer message = ByteBuffer.allocate(8 + parameters.length);
+        return message.putInt(8 + parameters.length).putInt(VERSION).put(parameters).flip();
     }
 
     /** Ready for the next query. */
     public static ByteBuffer ready() {
-        return READY.duplicate();
+        return READY_FOR_QUERY.duplicate();
     }
 
     public static ByteBuffer emptyQuery() {
-        return EMPTY.duplicate();
+        return EMPTY_QUERY_RESPONSE.duplicate();
     }
 
-    public static ByteBuffer set() {
-        return SET.duplicate();
+    public static ByteBuffer setComplete() {
+        return SET_COMPLETE.duplicate();
     }
 
     public static ByteBuffer welcome() {
-        return WELCOME.duplicate();
+        return STARTUP_RESPONSE.duplicate();
     }
 
     /** How a connection to an appliance begins. */
     public static ByteBuffer startup() {
-        return LOGIN.duplicate();
+        return STARTUP_MESSAGE.duplicate();
     }
 
-    public static ByteBuffer noTls() {
+    public static ByteBuffer encryptionRefused() {
         return ByteBuffer.wrap(new byte[] {'N'});
     }
 
     /** An error that ends one query. */
-    public static ByteBuffer error(String code, String words, long stayAwayMs) {
-        return join(errorOnly("ERROR", code, words, stayAwayMs), READY);
+    public static ByteBuffer error(String code, String message, long retryAfterMs) {
+        return join(errorResponse("ERROR", code, message, retryAfterMs), READY_FOR_QUERY);
     }
 
     /** An error that ends the connection. */
-    public static ByteBuffer fatal(String code, String words) {
-        return errorOnly("FATAL", code, words, 0);
+    public static ByteBuffer fatal(String code, String message) {
+        return errorResponse("FATAL", code, message, 0);
     }
 
-    private static ByteBuffer errorOnly(String severity, String code, String words, long stayAwayMs) {
-        String detail = stayAwayMs > 0 ? "D" + stayAwayMs + '\0' : "";
-        return message('E', text("S" + severity + "\0V" + severity + "\0C" + code + "\0M" + words + '\0'
+    private static ByteBuffer errorResponse(String severity, String code, String message, long retryAfterMs) {
+        String detail = retryAfterMs > 0 ? "D" + retryAfterMs + '\0' : "";
+        return message('E', cString("S" + severity + "\0V" + severity + "\0C" + code + "\0M" + message + '\0'
                 + detail));
     }
 
     /** A query: what stands before its time, the time, and what stands after it. */
-    public static ByteBuffer[] query(ByteBuffer before, long timeMs, ByteBuffer after) {
-        byte[] digits = Long.toString(timeMs).getBytes(StandardCharsets.US_ASCII);
-        int length = 4 + before.remaining() + digits.length + after.remaining() + 1;
+    public static ByteBuffer[] query(ByteBuffer textBeforeTimeout, long timeoutMs, ByteBuffer textAfterTimeout) {
+        byte[] digits = Long.toString(timeoutMs).getBytes(StandardCharsets.US_ASCII);
+        int length = 4 + textBeforeTimeout.remaining() + digits.length + textAfterTimeout.remaining() + 1;
         return new ByteBuffer[] {
-            ByteBuffer.allocate(HEAD).put((byte) 'Q').putInt(length).flip(), before.duplicate(),
-            ByteBuffer.wrap(digits), after.duplicate(), ByteBuffer.wrap(new byte[1])};
+            ByteBuffer.allocate(HEADER_LENGTH).put((byte) 'Q').putInt(length).flip(), textBeforeTimeout.duplicate(),
+            ByteBuffer.wrap(digits), textAfterTimeout.duplicate(), ByteBuffer.wrap(new byte[1])};
     }
 
-    public static ByteBuffer query(String words) {
-        return message('Q', text(words));
+    public static ByteBuffer query(String text) {
+        return message('Q', cString(text));
     }
 
     /** One field of an error, by its letter; empty where it is not there. */
     public static String field(ByteBuffer error, char letter) {
-        int at = 0;
-        while (at < error.limit() && error.get(at) != 0) {
-            int end = at + 1;
+        int position = 0;
+        while (position < error.limit() && error.get(position) != 0) {
+            int end = position + 1;
             while (end < error.limit() && error.get(end) != 0) {
                 end++;
             }
-            if (error.get(at) == letter) {
-                byte[] bytes = new byte[end - at - 1];
-                error.get(at + 1, bytes);
+            if (error.get(position) == letter) {
+                byte[] bytes = new byte[end - position - 1];
+                error.get(position + 1, bytes);
                 return new String(bytes, StandardCharsets.UTF_8);
             }
-            at = end + 1;
+            position = end + 1;
         }
         return "";
     }
