--- a/src/main/java/honeygap/net/clients/Clients.java
+++ b/src/main/java/honeygap/net/clients/Clients.java
@@ -24,12 +24,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All clients of this agent, and the RPCs taken from them. */
+/** All PostgreSQL client connections of this agent and the RPCs accepted from them. */
 public final class Clients implements Front {
 
-    /** The protocol lets a connection go that has had no open RPC for so long. */
+    /** The protocol allows closing a connection that has had no open RPC for this long; tenths of a millisecond. */
     private static final long IDLE_TIMEOUT = 20_000;
-    /** Log lines a second at most on RPCs that were refused or failed. */
+    /** Maximum rate of log lines about refused or failed RPCs. */
     private static final int MAX_FAILURE_LINES_PER_SECOND = 2;
     private static final long TENTHS_PER_MS = 10;
 
@@ -37,6 +37,7 @@
     private final Rules rules;
     private final Map<String, Method> methods;
     private final Map<String, Tenant> tenants = new HashMap<>();
+    /** Used for RPCs without a tenant, or with one that is not configured. */
     private final Tenant defaultTenant = new Tenant();
     private final long tick;
     private final int maxOpenRpcs;
@@ -53,7 +54,14 @@
     private final LogBudget failureLogBudget;
     private final Map<GivenUp, Long> failuresByReason = new EnumMap<>(GivenUp.class);
 
-    /** Methods and customers by the names of their lists; above a crowd idle ones go; most is the limit. */
+    /**
+     * Creates the front.
+     *
+     * @param methods the methods by name
+     * @param info the configuration, which also lists the tenants
+     * @param maxConnections how many connections may stay open
+     * @param idleCloseThreshold number of connections above which idle ones are closed
+     */
     public Clients(Loop loop, Rules rules, Map<String, Method> methods, Fields info,
                    int maxConnections, int idleCloseThreshold) throws Malformed {
         this.loop = loop;
@@ -78,8 +86,8 @@
     }
 
     /**
-     * The RPC that the statement just read asks for; null where its method is not known, or its id is that of
-     * an RPC that is open: who gave it out twice can't have two answers.
+     * Opens the RPC requested by the statement just parsed. Returns null if its method is unknown or its id is
+     * that of an RPC that is still open, because two open RPCs with one id can't both be answered.
      */
     Query openRpc(PgClientConnection client, Statement statement) {
         Method method = methods.get(statement.method());
@@ -93,7 +101,7 @@
         }
         loop.rpcTaken();
         long now = loop.clock();
-        // Rounded down: the client has counted since it sent, and the answer has a way to go.
+        // One tick earlier, because the client's timeout started when it sent and the response takes time to arrive.
         long deadline = now + Math.max(0, Math.min(statement.timeMs() * 10, method.deadline) - tick);
         Query call = new Query(statement.id(), method, tenants.getOrDefault(statement.tenant(), defaultTenant),
                 statement.key(), now, deadline, statement.hintMicros() / 100, statement.retry(), client,
@@ -104,6 +112,7 @@
         return call;
     }
 
+    /** Passes the RPC on to the rules, or pushes it back if too many RPCs are open. */
     void submit(Query call) {
         if (openRpcs.size() > maxOpenRpcs) {
             call.closed = true;
@@ -113,7 +122,10 @@
         }
     }
 
-    /** Guards against an RPC that the rules have lost by a fault: after they had their say in this turn. */
+    /**
+     * Aborts an RPC that is still unanswered, which guards against RPCs lost by a fault in the rules. Runs after
+     * the rules have been executed in this loop iteration.
+     */
     void abortIfUnanswered(Query call) {
         if (call.isAwaitingResponse()) {
             rescuedCount++;
@@ -122,7 +134,7 @@
         }
     }
 
-    /** An RPC was refused or failed: counted by its reason, and told with what was known of the appliances. */
+    /** Counts a refused or failed RPC by its reason and logs it with the known state of the appliances. */
     void recordFailure(Query call) {
         if (call.givenUp == null) {
             return;
@@ -130,28 +142,29 @@
         failuresByReason.merge(call.givenUp, 1L, Long::sum);
         if (failureLogBudget.allows()) {
             Pick lastPick = call.picks.isEmpty() ? null : call.picks.get(call.picks.size() - 1);
-            Events.givenUp(call.id, methodNames.get(call.method), call.givenUp.word, lastPick == null ? -1 : lastPick.appliance.id,
-                    (call.deadline - loop.clock()) / TENTHS_PER_MS, "list confirmed " + rules.listAge() / TENTHS_PER_MS
+            Events.givenUp(call.id, methodNames.get(call.method), call.givenUp.word,
+                    lastPick == null ? -1 : lastPick.appliance.id, (call.deadline - loop.clock()) / TENTHS_PER_MS, "list confirmed " + rules.listAge() / TENTHS_PER_MS
                             + " ms ago, " + rules.covered() + " appliances known to serve");
         }
     }
 
-    /** Notes what happened to an RPC, where the process has been told to end. */
+    /** Records an event of an RPC in the shutdown log, which ignores it unless a shutdown has been signalled. */
     void recordShutdownEvent(ShutdownEvent event, Query call, PgClientConnection client) {
         shutdownLog.rpc(event, call.id, methodNames.get(call.method), client.age(), call.deadline - loop.clock());
     }
 
-    /** The process was told to end, and goes by this schedule. */
+    /** Starts the shutdown of the process by this schedule. */
     public void shutDown(ShutdownSchedule schedule) {
         shutdownLog.signalled(schedule, connections.countByStage());
         connections.shutDown(schedule, tick);
     }
 
-    /** What happened since the signal to end. */
+    /** Events since the shutdown signal. */
     public ShutdownLog shutdownLog() {
         return shutdownLog;
     }
 
+    /** Notifies the rules that the client of this RPC has disconnected. */
     void abandoned(Query call) {
         loop.gather(() -> rules.left(call));
     }
@@ -187,7 +200,7 @@
         return connections.count();
     }
 
-    /** How many connections are let in at most. */
+    /** The maximum number of connections to accept. */
     public int places() {
         return connections.places();
     }
--- a/src/main/java/honeygap/net/clients/PgClientConnection.java
+++ b/src/main/java/honeygap/net/clients/PgClientConnection.java
@@ -12,13 +12,17 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** A client that speaks PostgreSQL's wire protocol. */
+/** A client connection that speaks the PostgreSQL wire protocol. */
 final class PgClientConnection extends Guest implements Query.ResponseHandler {
 
-    /** A value of 64 KiB as hexadecimal digits, and the statement round it. */
+    /** In bytes: a value of 64 KiB as hexadecimal digits, plus the statement around it. */
     private static final int MAX_MESSAGE_LENGTH = 2 * 65536 + 4096;
+    /** In bytes. */
     private static final int MAX_STARTUP_LENGTH = 10_000;
-    /** Whole messages that may wait behind an open RPC: clients ask one by one and open more when busy. */
+    /**
+     * Complete messages that may be queued behind an open RPC. Clients send one request at a time and open
+     * further connections under load, so a longer queue is treated as a protocol violation.
+     */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
     private final Clients clients;
@@ -199,7 +203,7 @@
         write(parts);
     }
 
-    /** Parts from the RPC: it is answered, or nobody waits any more. */
+    /** Detaches the open RPC from this connection after it was answered or its client disconnected. */
     private void closeCall() {
         call.guard.callOff();
         call.detachHandler();
@@ -207,7 +211,10 @@
         call = null;
     }
 
-    /** What follows can't be read: the last word is also the answer to an RPC that is open here. */
+    /**
+     * Ends the connection, because the bytes after a malformed message can't be interpreted. The final error
+     * message also serves as the response to an open RPC.
+     */
     private void rejectMalformed(String reason) {
         clients.countMalformed();
         leave();
--- a/src/main/java/honeygap/net/guests/Guest.java
+++ b/src/main/java/honeygap/net/guests/Guest.java
@@ -9,26 +9,31 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * A client's connection, whatever it speaks: its stages and their timer, its place among the others, what is
- * written to it. RPCs come one after another, each answered whole before the next is read.
+ * A client connection, independent of its protocol: its stages and their timer, its entry among the other
+ * connections, and writes to it. RPCs are processed one at a time; each is answered completely before the next
+ * one is read.
  */
 public abstract class Guest implements Peer {
 
-    /** A client that can't be served is owed a word or a close by then after it came, or was answered. */
+    /**
+     * How long a connection may stay in one stage before it is sent an error or closed, counted from its accept
+     * or its last response. Durations in this class are tenths of a millisecond.
+     */
     private static final long STAGE_TIMEOUT = 30_000;
-    /** The same where it has asked before, or has much to send. */
+    /** The same for the rest of a message on a connection that has already sent a request. */
     private static final long PARTIAL_REQUEST_TIMEOUT = 2 * STAGE_TIMEOUT;
+    /** Granted at the end of a stage, so that input received during a pause of the agent is read first. */
     private static final long STAGE_GRACE = STAGE_TIMEOUT / 20;
-    /** A connection that has just come is owed so long for its first RPC; its client may be held up as well. */
+    /** A new connection is kept this long for its first RPC, because its client may be delayed too. */
     private static final long FIRST_RPC_TIMEOUT = STAGE_TIMEOUT / 6;
 
-    /** What a connection waits for. */
+    /** What a connection waits for; the names appear, in lower case, in the shutdown log. */
     private enum Stage { NEW, START, REST, HALF, ANSWER, UNREAD }
 
     private final Guests connections;
     private final Loop loop;
     private IoSession session;
-    /** An answer of the agent's own, or of an RPC, is not yet handed over. */
+    /** A response is not yet completely handed over to the operating system. */
     private boolean writing;
     private boolean ending;
     private boolean disconnected;
@@ -36,10 +41,10 @@
     private long openedAt;
     private long earliestAcceptedAt;
     private long stageSince;
-    /** Kept by the one that closes clients idle for long. */
+    /** Maintained by {@link Guests}, which closes connections that have been idle for too long. */
     long idleSince;
     private boolean hasReceivedRequest;
-    /** Ends a stage that lasts for too long. */
+    /** Ends a stage that lasts too long. */
     private Loop.Timer stageTimer;
 
     protected Guest(Guests connections) {
@@ -47,37 +52,37 @@
         loop = connections.loop;
     }
 
-    /** Whether it has said what a connection begins with. */
+    /** Whether the client has sent what its protocol requires at the start of a connection. */
     protected abstract boolean isStarted();
 
-    /** Whether an RPC of it is open. */
+    /** Whether an RPC of this connection is open. */
     protected abstract boolean isAsking();
 
-    /** How many bytes are kept that wait to be read, or are half of a message. */
+    /** How many received bytes are buffered: unread messages or part of one. */
     protected abstract int waiting();
 
-    /** Keeps what came in. */
+    /** Buffers received bytes. */
     protected abstract void keep(ByteBuffer bytes);
 
-    /** Reads what it can, as long as {@link #canRead}. */
+    /** Processes buffered messages for as long as {@link #canRead} holds. */
     protected abstract void read();
 
-    /** Nobody waits for the open RPC any more. */
+    /** Abandons the open RPC, if any, because the client has disconnected. */
     protected abstract void leave();
 
-    /** The last word to a client of which nothing whole has come in time. */
+    /** The final response to a client that has not sent a complete request in time. */
     protected abstract ByteBuffer tooLongWord();
 
-    /** The last word to a client that must make room. */
+    /** The final response to a client that is disconnected because there are too many connections. */
     protected abstract ByteBuffer tooManyWord();
 
-    /** The last word to a client whose request has not come whole when the agent ends. */
+    /** The final response to a client whose request is still incomplete when the agent shuts down. */
     protected abstract ByteBuffer shutdownWord();
 
-    /** Answers the open RPC as failed: whoever should have answered has not. */
+    /** Answers the open RPC as failed, because no response was produced for it in time. */
     protected abstract void giveUp();
 
-    /** How many bytes may wait behind an open RPC. */
+    /** How many bytes may be buffered behind an open RPC before reading is suspended. */
     protected abstract int longest();
 
     protected final boolean canRead() {
@@ -88,7 +93,7 @@
         return ending;
     }
 
-    /** From now on it has longer for the rest of a message. */
+    /** Marks that the client has sent a request, which extends the timeout for the rest of later messages. */
     protected final void hasAsked() {
         hasReceivedRequest = true;
     }
@@ -96,8 +101,9 @@
     @Override
     public final void opened(IoSession session) {
         this.session = session;
-        // It came at some time since the last turn began, which may be long ago where little came or the process stood still:
-        // what it is owed in time counts from then, what it is given time for from now.
+        // The connection was accepted at some time since the last loop iteration began, which may be long ago if
+        // there was little traffic or the process was suspended. The response timeout counts from that earliest
+        // time; the time granted for the first RPC counts from now.
         earliestAcceptedAt = loop.now();
         openedAt = loop.clock();
         connections.recordShutdownEvent(ShutdownEvent.ACCEPTED, this);
@@ -117,7 +123,7 @@
         }
         keep(bytes);
         advance();
-        // Behind an open RPC no more is kept than one message; what is half read is never that long.
+        // Limits the bytes buffered behind an open RPC. A partial message never reaches this limit.
         if (waiting() > longest() && !ending) {
             session.suspendRead();
         }
@@ -150,8 +156,9 @@
     }
 
     /**
-     * One timer for whatever is waited for from this client: its start, the rest of a message, the reading of
-     * an answer. Guards against connections that say nothing, or half of something, and keep a place.
+     * Updates the stage and restarts its timer. One timer covers everything expected from the client: its startup,
+     * the rest of a message and the reading of a response. It guards against connections that occupy a slot
+     * without sending a complete request.
      */
     private void updateStage() {
         Stage next = disconnected ? Stage.REST : writing || ending ? Stage.UNREAD : !isStarted() ? Stage.START
@@ -166,9 +173,10 @@
             stageTimer = null;
         }
         if (next != Stage.REST && next != Stage.ANSWER) {
-            // An agent that stood still itself first reads what has come meanwhile.
+            // The second timer lets an agent that was itself suspended read the input received meanwhile.
             long start = next == Stage.UNREAD || hasReceivedRequest ? loop.clock() : earliestAcceptedAt;
-            stageTimer = loop.at(start + (next == Stage.HALF && hasReceivedRequest ? PARTIAL_REQUEST_TIMEOUT : STAGE_TIMEOUT - 2 * STAGE_GRACE),
+            stageTimer = loop.at(start + (next == Stage.HALF && hasReceivedRequest ? PARTIAL_REQUEST_TIMEOUT
+                            : STAGE_TIMEOUT - 2 * STAGE_GRACE),
                     () -> stageTimer = loop.at(loop.now() + STAGE_GRACE, this::stageTimedOut));
         }
         connections.updateAwaitingInput(this, next == Stage.START || next == Stage.HALF);
@@ -183,30 +191,30 @@
         return hasReceivedRequest;
     }
 
-    /** It has asked, or has had time to: one that has just come sends its first RPC yet. */
+    /** Whether the client has sent a request or has had enough time since it connected to send its first one. */
     final boolean hadTimeForFirstRpc() {
         return hasReceivedRequest || loop.now() >= firstRpcDeadline();
     }
 
-    /** What it waits for, in small letters. */
+    /** The current stage in lower case. */
     final String stageName() {
         return stage.name().toLowerCase(Locale.ROOT);
     }
 
-    /** For how long its connection has been here. */
+    /** How long the connection has been open, in tenths of a millisecond. */
     public final long age() {
         return loop.clock() - openedAt;
     }
 
-    /** When at the latest it has had its turn. */
+    /** The end of the time granted to a new connection for its first RPC. */
     final long firstRpcDeadline() {
         return openedAt + FIRST_RPC_TIMEOUT;
     }
 
     /**
-     * Closes between RPCs, unless the next one has come: then that is read first. What comes later is left unread, so
-     * that the client knows it was not taken. Guards against an RPC that comes as the agent closes: read and dropped,
-     * it would be lost. Whether it was closed.
+     * Closes the connection between RPCs, unless the next one has already arrived: then that is read first. Later
+     * input is left unread, so that the client can tell that it was not accepted. Otherwise an RPC that arrives
+     * during the close would be read and dropped. Returns whether the connection was closed.
      */
     final boolean closeIdle() {
         ByteBuffer next = loop.unread(session);
@@ -219,7 +227,7 @@
         return true;
     }
 
-    /** The agent ends: whatever is open or half read gets its last word now. */
+    /** Sends a final response for an open RPC or a partial request, because the agent shuts down. */
     final void endForShutdown() {
         if (isAsking()) {
             giveUp();
@@ -228,7 +236,7 @@
         }
     }
 
-    /** Closes at once, with a last word where none is on its way. */
+    /** Closes the connection at once; the response is sent first unless one is already being written. */
     final void terminate(ByteBuffer response) {
         if (stage == Stage.UNREAD) {
             session.closeNow();
@@ -237,17 +245,17 @@
         }
     }
 
-    /** What is waited for could have been read by now. */
+    /** Whether the awaited input would have been read by now if the client had sent it. */
     final boolean isOverdue() {
         return stageSince + STAGE_GRACE < loop.now();
     }
 
-    /** Nothing has come from it yet that is kept. */
+    /** Whether no input has been received from the client. */
     final boolean hasSentNothing() {
         return !isStarted() && !writing && !ending && waiting() == 0;
     }
 
-    /** Nothing taken is open here, and nothing half read. */
+    /** Whether no RPC is open, nothing is being written and no partial request is buffered. */
     final boolean isIdle() {
         return isStarted() && !isAsking() && !writing && !ending && waiting() == 0;
     }
--- a/src/main/java/honeygap/net/guests/Guests.java
+++ b/src/main/java/honeygap/net/guests/Guests.java
@@ -14,10 +14,10 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** All connections of one front: who may stay, who makes room, who has rested for too long. */
+/** All client connections of one front: enforces the connection limit and closes idle connections. */
 public final class Guests {
 
-    /** One place over for so many that may stay. */
+    /** One connection above the limit is accepted per this many, see {@link #places}. */
     private static final int CONNECTIONS_PER_EXTRA = 16;
 
     final Loop loop;
@@ -26,12 +26,12 @@
     private final long idleTimeout;
     private final ShutdownLog shutdownLog;
     private final Set<Guest> connections = new LinkedHashSet<>();
-    /** Longest idle first. */
+    /** Connections without an open RPC; longest idle first. */
     private final Set<Guest> idle = new LinkedHashSet<>();
-    /** Those whose start, or the rest of whose message, is waited for; longest so first. */
+    /** Connections whose startup or rest of a message is awaited; longest waiting first. */
     private final Set<Guest> awaitingInput = new LinkedHashSet<>();
     private Loop.Timer idleTimer;
-    /** Connections that are here, or that are closed once all has been written to them. */
+    /** Number of connections, including those that close once their last response is written. */
     private int connected;
     private boolean closing;
     private boolean isShuttingDown;
@@ -41,7 +41,13 @@
     private long closedAboveThresholdCount;
     private long rejectedCount;
 
-    /** Above a crowd idle ones go, most is the limit; one idle for so long, in tenths of a millisecond, goes. */
+    /**
+     * Creates an empty set of connections.
+     *
+     * @param maxConnections how many connections may stay open
+     * @param idleCloseThreshold number of connections above which idle ones are closed
+     * @param idleTimeout time after which an idle connection is closed, in tenths of a millisecond
+     */
     public Guests(Loop loop, int maxConnections, int idleCloseThreshold, long idleTimeout, ShutdownLog shutdownLog) {
         this.loop = loop;
         this.shutdownLog = shutdownLog;
@@ -51,8 +57,9 @@
     }
 
     /**
-     * At the limit whoever has been waited for longest makes room, or else has been idle longest. Guards
-     * against turning down those that came in the same moment and have not been read: they ask at once again.
+     * Adds a new connection. At the limit, the connection whose input has been awaited longest is evicted, or else
+     * the one that has been idle longest. Connections accepted at the same moment and not yet read are not
+     * evicted, because their clients would reconnect at once.
      */
     void add(Guest connection) {
         connected++;
@@ -64,7 +71,8 @@
         while (connections.size() > maxConnections) {
             Guest evicted = awaitingInput.iterator().next();
             if (!evicted.isOverdue() && !idle.isEmpty()) {
-                // One that has just come goes last: its first RPC may be one that another close has crossed, and is not sent a third time.
+                // A new connection is closed last: its first RPC may be a resend after another connection was closed,
+                // and clients don't resend a second time.
                 evicted = evictionCandidate().orElse(idle.iterator().next());
             }
             if (evicted == connection) {
@@ -80,13 +88,13 @@
         }
     }
 
-    /** The one to close where some must: one that has been answered before one that has had time to ask and has not. */
+    /** An idle connection to close: first one that has sent a request, then one that has had time to send one. */
     private Optional<Guest> evictionCandidate() {
         return idle.stream().filter(Guest::hasReceivedRequest).findFirst()
                 .or(() -> idle.stream().filter(Guest::hadTimeForFirstRpc).findFirst());
     }
 
-    /** Between RPCs; it has left where it was closed, and is busy where its next RPC had come. */
+    /** Closes an idle connection, unless its next RPC has already arrived: then it stays and is no longer idle. */
     private void closeIdle(Guest connection) {
         idle.remove(connection);
         if (connection.closeIdle()) {
@@ -98,7 +106,7 @@
         shutdownLog.connection(event, connection.age());
     }
 
-    /** A connection has gone. */
+    /** A connection is completely closed. */
     void connectionClosed() {
         connected--;
     }
@@ -117,14 +125,14 @@
         }
     }
 
-    /** Whether the one that asks is one too many, or comes while nobody is taken; counted. */
+    /** Whether requests are rejected, as there are too many connections or the front is drained; counts rejections. */
     public boolean isFull() {
         boolean isRejected = connections.size() > maxConnections || drained;
         rejectedCount += isRejected ? 1 : 0;
         return isRejected;
     }
 
-    /** Takes nobody and closes connections between RPCs, or takes them again. */
+    /** Rejects requests and closes connections between RPCs, or accepts them again. */
     public void drain(boolean isDrained) {
         drained = isDrained;
         if (isDrained) {
@@ -135,12 +143,13 @@
     }
 
     /**
-     * The process ends by this schedule: whatever is open when it should have been answered, a little after the rules had their say,
-     * gets its last word.
+     * Schedules the shutdown of all connections: shortly after the time by which the rules should have answered, those
+     * with an open RPC or a partial request get a final response.
      */
     public void shutDown(ShutdownSchedule schedule, long tick) {
         isShuttingDown = true;
-        loop.at(schedule.answersBy() + 2 * tick, () -> loop.post(() -> new ArrayList<>(connections).forEach(Guest::endForShutdown)));
+        loop.at(schedule.answersBy() + 2 * tick,
+                () -> loop.post(() -> new ArrayList<>(connections).forEach(Guest::endForShutdown)));
     }
 
     void updateIdle(Guest connection, boolean isIdle) {
@@ -154,8 +163,9 @@
                 idleTimer = loop.at(loop.now() + idleTimeout, this::closeExpiredIdle);
             }
             if (connections.size() > idleCloseThreshold) {
-                // Guards against clients that ask once a connection: they may open no more until some go. One that has
-                // not asked yet is spared: its first RPC may be on its way, and may be one that another close has crossed.
+                // Guards against clients that send one request per connection: they could open no more until others
+                // close. A connection without a request so far is kept: its first RPC may be in transit, and may be a
+                // resend after another connection was closed.
                 idle.stream().filter(Guest::hasReceivedRequest).findFirst().ifPresent(longestIdle -> {
                     closedAboveThresholdCount++;
                     closeIdle(longestIdle);
@@ -165,8 +175,8 @@
     }
 
     /**
-     * Guards against clients that ask once and stay: their connections would leave no place for others. Those
-     * that ask again within the time are never among them.
+     * Closes connections that have been idle for the idle timeout. Guards against clients that send one request and
+     * keep the connection, which would use up the connection limit.
      */
     private void closeExpiredIdle() {
         idleTimer = null;
@@ -180,7 +190,7 @@
         }
     }
 
-    /** Guards against closing a connection that has just come and whose first RPC is on its way. */
+    /** Closes an inactive connection, but leaves a new one time for its first RPC, which may be in transit. */
     private void closeAfterFirstRpcDeadline(Guest connection) {
         if (connection.hadTimeForFirstRpc()) {
             closeIfInactive(connection);
@@ -189,7 +199,7 @@
         }
     }
 
-    /** One that has said nothing rests as well: its client is told by the close that nothing was taken. */
+    /** Also closes connections that have sent nothing: the close shows their clients that nothing was accepted. */
     private void closeIfInactive(Guest connection) {
         if (closing && connections.contains(connection) && (connection.isIdle() || connection.hasSentNothing())) {
             closeIdle(connection);
@@ -204,29 +214,29 @@
         return closing;
     }
 
-    /** From now on connections are closed between RPCs. */
+    /** Starts closing connections between RPCs. */
     public void closeBetweenRpcs() {
         closing = true;
         idle.clear();
         new ArrayList<>(connections).forEach(this::closeAfterFirstRpcDeadline);
     }
 
-    /** How many connections are in each stage. */
+    /** The number of connections in each stage. */
     public Map<String, Long> countByStage() {
         return connections.stream().collect(Collectors.groupingBy(Guest::stageName, TreeMap::new, Collectors.counting()));
     }
 
-    /** Connections, those included that are closed once all has been written to them. */
+    /** The number of connections, including those that close once their last response is written. */
     public int count() {
         return connected;
     }
 
-    /** So many are let in: a few more than may stay, so that whoever makes room can be told. */
+    /** The number of connections to accept: slightly above the limit, so that evicted clients can be sent an error. */
     public int places() {
         return maxConnections + maxConnections / CONNECTIONS_PER_EXTRA + 1;
     }
 
-    /** Tells the counters that concern connections. */
+    /** Reports the connection counters. */
     public void report(Counters counters) {
         counters.count("here", connections.size());
         counters.count("idle", idle.size());
--- a/src/main/java/honeygap/net/http/Answers.java
+++ b/src/main/java/honeygap/net/http/Answers.java
@@ -6,20 +6,29 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** Reads HTTP/1.1 answers as they come, cut anywhere; bodies by length, in chunks, or up to the end. */
+/**
+ * Incremental parser of HTTP/1.1 responses; input may be split anywhere. Bodies are delimited by their length, by
+ * chunks or by the end of the connection.
+ */
 public final class Answers {
 
-    /** Hears what was read. */
+    /** Receives the parsed parts of responses. */
     public interface Reader {
 
+        /** The head of a response is complete. */
         void head(int status);
 
-        /** A field of the head, before it; the name in small letters. */
+        /**
+         * One header field, reported before {@link #head}; the name is in lower case. The HTTP version comes first,
+         * with an empty name.
+         */
         default void field(String name, String value) throws Malformed {
         }
 
+        /** A part of the body. */
         void data(ByteBuffer bytes) throws Malformed;
 
+        /** The response is complete. */
         void end() throws Malformed;
     }
 
@@ -74,7 +83,7 @@
         }
     }
 
-    /** Takes in bytes up to the end of a line; whether it is there. */
+    /** Reads bytes up to the end of a line and returns whether the line is complete. */
     private boolean readLine(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
@@ -83,7 +92,7 @@
             }
             if (lineLength == line.length) {
                 if (lineLength >= MAX_LINE_LENGTH) {
-                    throw new Malformed("a line too long");
+                    throw new Malformed("line too long");
                 }
                 line = Arrays.copyOf(line, 2 * lineLength);
             }
@@ -92,7 +101,7 @@
         return false;
     }
 
-    /** The connection has ended, which may be the end of an answer. */
+    /** The connection has ended, which completes a response delimited by it. */
     public void close() throws Malformed {
         if (state == UNTIL_CLOSE) {
             completeResponse();
@@ -103,7 +112,7 @@
         switch (state) {
             case STATUS_LINE:
                 if (!text.startsWith("HTTP/1.") || text.length() < 12) {
-                    throw new Malformed("no status line");
+                    throw new Malformed("missing or invalid status line");
                 }
                 status = (int) parseNumber(text.substring(9, 12), 10);
                 chunked = hasContentLength = false;
@@ -121,7 +130,7 @@
                 break;
             case CHUNK_END:
                 if (!text.isEmpty()) {
-                    throw new Malformed("a chunk without an end");
+                    throw new Malformed("chunk is not followed by a line break");
                 }
                 state = CHUNK_SIZE;
                 break;
@@ -134,7 +143,7 @@
 
     private void handleHeadLine(String text) throws Malformed {
         if (++headLines > MAX_HEAD_LINES) {
-            throw new Malformed("too many fields");
+            throw new Malformed("too many header fields");
         }
         if (!text.isEmpty()) {
             int colon = text.indexOf(':');
@@ -143,7 +152,7 @@
             if (name.equals("content-length")) {
                 long declared = parseNumber(value, 10);
                 if (hasContentLength && declared != remaining) {
-                    throw new Malformed("two lengths");
+                    throw new Malformed("conflicting Content-Length fields");
                 }
                 remaining = declared;
                 hasContentLength = true;
@@ -158,7 +167,7 @@
             return;
         }
         if (chunked && hasContentLength) {
-            throw new Malformed("both a length and chunks");
+            throw new Malformed("both Content-Length and chunked Transfer-Encoding");
         }
         handler.head(status);
         if (status == 204 || status == 304) {
@@ -175,12 +184,12 @@
         }
     }
 
-    /** Whether nothing is half read. */
+    /** Whether no response is partially read. */
     public boolean isBetween() {
         return state == STATUS_LINE && lineLength == 0;
     }
 
-    /** Whether only the end of the connection will end the answer, so that a cut one looks whole. */
+    /** Whether only the end of the connection ends the response, so that a truncated one looks complete. */
     public boolean isOpenEnded() {
         return state == UNTIL_CLOSE;
     }
@@ -197,7 +206,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw new Malformed("not a number: " + digits);
     }
--- a/src/main/java/honeygap/net/http/Connection.java
+++ b/src/main/java/honeygap/net/http/Connection.java
@@ -10,10 +10,10 @@
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.session.IoSession;
 
-/** One connection to a peer that speaks HTTP/1.1: sends one request at a time and reads what comes back. */
+/** A client connection to an HTTP/1.1 server: sends one request at a time and parses the responses. */
 public final class Connection implements Peer {
 
-    /** Hears how the connection ended, and whether the last request's last byte had been handed over. */
+    /** Notified of how the connection ended and whether the last request had been completely written. */
     public interface EndListener {
 
         void onEnd(ConnectionEnd end, boolean requestWritten);
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Closes without a word to whoever hears the ending. */
+    /** Closes the connection without notifying the listener. */
     public void close() {
         if (ended) {
             return;
--- a/src/main/java/honeygap/net/http/ConnectionEnd.java
+++ b/src/main/java/honeygap/net/http/ConnectionEnd.java
@@ -6,6 +6,6 @@
     UNREACHABLE,
     /** The peer closed or reset the connection. */
     CLOSED,
-    /** The answer broke HTTP or the protocol above it. */
+    /** The response violated HTTP or the protocol above it. */
     UNREADABLE
 }
--- a/src/main/java/honeygap/net/http/Lines.java
+++ b/src/main/java/honeygap/net/http/Lines.java
@@ -4,15 +4,16 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Cuts a body into lines, however its parts come. */
+/** Splits a body, received in parts of any size, into lines. */
 public final class Lines {
 
-    /** Hears each line without its end. */
+    /** Receives each line without its line break. */
     public interface Reader {
 
         void line(byte[] bytes, int length) throws Malformed;
     }
 
+    /** In bytes. */
     private static final int MAX_LINE_LENGTH = 4 << 20;
 
     private final Reader handler;
@@ -33,7 +34,7 @@
             } else {
                 if (length == line.length) {
                     if (length >= MAX_LINE_LENGTH) {
-                        throw new Malformed("a line too long");
+                        throw new Malformed("line too long");
                     }
                     line = Arrays.copyOf(line, 2 * length);
                 }
--- a/src/main/java/honeygap/net/http/Refusal.java
+++ b/src/main/java/honeygap/net/http/Refusal.java
@@ -2,7 +2,7 @@
 
 import honeygap.read.Malformed;
 
-/** A request that is turned down: the status that says so, the kind that it is counted by, what and where. */
+/** A rejected request: the response status, the kind under which the rejection is counted, and a message. */
 public final class Refusal extends Malformed {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/honeygap/net/http/Requests.java
+++ b/src/main/java/honeygap/net/http/Requests.java
@@ -9,12 +9,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads HTTP/1.1 requests (RFC 9110 and 9112) as they come, cut anywhere, one at a time. Strict where laxness
- * lets one reader see another request than the next: a length and chunks together, two lengths, bare line
- * feeds, folded lines and spaces before a colon are turned down. Lengths are bounded before anything is kept.
+ * Incremental parser of HTTP/1.1 requests (RFC 9110 and 9112); input may be split anywhere, and requests are read
+ * one at a time. It is strict where leniency enables request smuggling: a length together with chunks, two lengths,
+ * bare line feeds, folded lines and spaces before a colon are rejected. Lengths are checked before data is stored.
  */
 public final class Requests {
 
+    // Lengths are in bytes.
     private static final int MAX_LINE_LENGTH = 8192;
     private static final int MAX_HEAD_LENGTH = 16384;
     private static final int MAX_FIELDS = 64;
@@ -41,7 +42,7 @@
     private int bodyLength;
     private int remaining;
 
-    /** Bodies longer than this are turned down. */
+    /** Creates a parser that rejects bodies longer than this many bytes. */
     public Requests(int maxBodyLength) {
         this.maxBodyLength = maxBodyLength;
     }
@@ -62,17 +63,17 @@
         writePosition += count;
     }
 
-    /** How many bytes wait that belong to no request read so far, or to one half read. */
+    /** How many bytes are buffered behind the last complete request; not 0 while a request is partially read. */
     public int waiting() {
         return writePosition - readPosition + (state == HEAD ? 0 : 1);
     }
 
-    /** More than this never need to wait behind an open request. */
+    /** The maximum number of bytes that need to be buffered behind an open request. */
     public int longest() {
         return MAX_HEAD_LENGTH + maxBodyLength;
     }
 
-    /** Whether another request was read whole: its parts hold until the next call. */
+    /** Returns whether another request is complete; its parts are valid until the next call. */
     public boolean next() throws Refusal {
         if (state == HEAD && !readHead()) {
             return false;
@@ -94,20 +95,20 @@
         if (readPosition == writePosition) {
             readPosition = writePosition = scanPosition = 0;
             if (buffer.length > MAX_HEAD_LENGTH) {
-                // What a long body took is not kept for a connection that rests.
+                // Releases the memory of a long body, so that idle connections don't hold it.
                 buffer = new byte[1024];
             }
         }
         return true;
     }
 
-    /** Whether the head was read whole just now, with a body still to come that the client asks leave for. */
+    /** Whether the head is complete and the client waits for a 100 (Continue) response before it sends the body. */
     public boolean expectsContinue() {
         return state != HEAD && "100-continue".equalsIgnoreCase(fields.get("expect"));
     }
 
     private boolean readHead() throws Refusal {
-        // Empty lines before a request are passed over, as RFC 9112 asks.
+        // Skips empty lines before a request, as RFC 9112 recommends.
         while (scanPosition == readPosition && writePosition - readPosition >= 2 && buffer[readPosition] == '\r' && buffer[readPosition + 1] == '\n') {
             readPosition += 2;
             scanPosition = readPosition;
@@ -245,7 +246,7 @@
                 System.arraycopy(buffer, readPosition, body, bodyLength, dataPart);
                 bodyLength += dataPart;
                 for (int i = dataPart; i < part; i++) {
-                    // The chunk's own end: the last two bytes that are left of it.
+                    // The remaining two bytes must be the line break that ends the chunk.
                     if (buffer[readPosition + i] != (remaining - i == 2 ? '\r' : '\n')) {
                         throw malformed("a chunk that does not end where it should", bodyLength);
                     }
@@ -313,12 +314,12 @@
         return method;
     }
 
-    /** Path and query as they came. */
+    /** Path and query as received. */
     public String target() {
         return target;
     }
 
-    /** The value of a field whose name is in small letters; null where there is none. */
+    /** The value of a header field, null if absent; the name must be in lower case. */
     public String field(String name) {
         return fields.get(name);
     }
@@ -327,7 +328,7 @@
         return body;
     }
 
-    /** Whether the connection stays open behind the answer. */
+    /** Whether the client allows the connection to stay open after the response. */
     public boolean isKept() {
         String connection = fields.getOrDefault("connection", isHttp10 ? "close" : "").toLowerCase(Locale.ROOT);
         return isHttp10 ? connection.contains("keep-alive") : !connection.contains("close");
--- a/src/main/java/honeygap/net/http/Stream.java
+++ b/src/main/java/honeygap/net/http/Stream.java
@@ -5,15 +5,16 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** A GET whose answer may stay open: read by lines, over when it ends, fails or is silent for too long. */
+/** A GET request with a streamed response, read line by line until it ends, fails or is silent for too long. */
 public final class Stream implements Answers.Reader {
 
-    /** Hears, once, that it is over, and how. */
+    /** Notified of the progress and end of the stream. */
     public interface Ending {
 
+        /** The stream has ended; called once. */
         void ended(StreamEnd end);
 
-        /** The request has been taken: what it asks for comes, or signs of life do. */
+        /** The request was accepted: data or heartbeats follow. */
         default void taken() {
         }
     }
@@ -27,7 +28,10 @@
     private int status;
     private boolean ended;
 
-    /** The head must come in one time, all that is behind it in another after what came last. */
+    /**
+     * Sends the request. The response head must arrive within {@code headTimeout}, and later data at intervals of at
+     * most {@code silenceTimeout}; both are in tenths of a millisecond.
+     */
     public Stream(Loop loop, InetSocketAddress address, String path, long headTimeout,
                   long silenceTimeout, Lines.Reader lineHandler, Ending listener) {
         this.loop = loop;
@@ -39,7 +43,7 @@
         connection.get(path);
     }
 
-    /** Closes without a word to whoever hears the ending. */
+    /** Closes the stream without notifying the listener. */
     public void close() {
         ended = true;
         timeoutTimer.callOff();
@@ -67,7 +71,8 @@
         if (status != 200) {
             endWith(StreamEnd.Cause.STATUS);
         } else if (!ended) {
-            // Guards against asking again and again where the first thing to tell is a sign of life, seconds later.
+            // Reported with the head, because the first line may be a heartbeat seconds later and waiting for it would
+            // make the caller retry again and again.
             restartSilenceTimer();
             listener.taken();
         }
@@ -89,7 +94,7 @@
     @Override
     public void end() throws Malformed {
         if (!ended) {
-            // The last line may come without its end.
+            // The last line may lack a line break.
             lines.feed(ByteBuffer.wrap(new byte[] {'\n'}));
         }
         endWith(StreamEnd.Cause.COMPLETE);
--- a/src/main/java/honeygap/net/http/StreamEnd.java
+++ b/src/main/java/honeygap/net/http/StreamEnd.java
@@ -3,32 +3,32 @@
 import java.util.Locale;
 
 /**
- * How a streamed answer ended.
+ * How a streamed response ended.
  *
- * @param cause what ended it
- * @param status the HTTP status of the answer, or 0 where no head came
+ * @param cause why it ended
+ * @param status the HTTP status of the response, or 0 if no head was received
  */
 public record StreamEnd(Cause cause, int status) {
 
-    /** What ended a streamed answer. */
+    /** Why a streamed response ended. */
     public enum Cause {
-        /** The answer was complete. */
+        /** The response was complete. */
         COMPLETE,
         /** The connection was refused or never came up. */
         UNREACHABLE,
-        /** The peer closed or reset the connection before the answer was complete. */
+        /** The peer closed or reset the connection before the response was complete. */
         CLOSED,
-        /** The answer could not be read. */
+        /** The response was malformed. */
         UNREADABLE,
-        /** No head came in time. */
+        /** No response head arrived in time. */
         NO_ANSWER,
-        /** The head came, and then nothing for too long. */
+        /** After the head, nothing arrived for too long. */
         SILENT,
         /** The status was not 200. */
         STATUS
     }
 
-    /** Whether the answer was complete. */
+    /** Whether the response was complete. */
     public boolean isComplete() {
         return cause == Cause.COMPLETE;
     }
--- a/src/main/java/honeygap/net/pg/Frames.java
+++ b/src/main/java/honeygap/net/pg/Frames.java
@@ -3,7 +3,7 @@
 import honeygap.read.Malformed;
 import java.nio.ByteBuffer;
 
-/** Cuts what came in into messages of the wire protocol, in place where a message came in one piece. */
+/** Splits received bytes into messages of the wire protocol; copies only messages that arrive in several reads. */
 public final class Frames {
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
@@ -12,13 +12,13 @@
 
     private final int maxLength;
     private ByteBuffer buffer = EMPTY;
-    /** Whether the bytes are a copy of this parser's own, with room after the limit. */
+    /** Whether the buffer was allocated by this decoder and may be extended behind its limit. */
     private boolean ownsBuffer;
     private byte type;
     private ByteBuffer message;
     private ByteBuffer body;
 
-    /** Messages longer than this are turned down before they are kept. */
+    /** Creates a decoder that rejects messages longer than this many bytes before it buffers them. */
     public Frames(int maxLength) {
         this.maxLength = maxLength;
     }
@@ -31,7 +31,7 @@
         }
         if (!ownsBuffer || buffer.capacity() - buffer.limit() < more.remaining()) {
             int length = buffer.remaining() + more.remaining();
-            // Once the length of the message is there, room for all of it: no copy a read.
+            // Once the length of the message is known, allocates all of it to avoid a copy per read.
             int declaredLength = buffer.remaining() >= TYPED_HEADER_LENGTH ? buffer.getInt(buffer.position() + 1) + 1 : 0;
             ByteBuffer grown = ByteBuffer.allocate(Math.max(length, Math.min(declaredLength, maxLength + TYPED_HEADER_LENGTH)));
             grown.put(buffer).put(more).flip();
@@ -45,21 +45,22 @@
         buffer.put(more).position(start);
     }
 
-    /** How many bytes wait. */
+    /** How many bytes are buffered. */
     public int waiting() {
         return buffer.remaining();
     }
 
-    /** The next message without a type byte, no longer than this, as a connection begins with one. */
+    /** Reads a message without a type byte and of limited length, with which a connection starts. */
     public boolean nextUntyped(int maxLength) throws Malformed {
         return next(UNTYPED_HEADER_LENGTH, maxLength);
     }
 
+    /** Reads the next message and returns whether it is complete. */
     public boolean next() throws Malformed {
         return next(TYPED_HEADER_LENGTH, maxLength);
     }
 
-    /** Whether more than so many whole messages wait. */
+    /** Whether more than this many complete messages are buffered. */
     public boolean hasMoreMessagesThan(int messages) {
         int position = buffer.position();
         for (int count = 0; buffer.limit() - position >= TYPED_HEADER_LENGTH; count++) {
@@ -99,11 +100,12 @@
         return type;
     }
 
-    /** The message with its type and length. */
+    /** The message including its type and length. */
     public ByteBuffer whole() {
         return message;
     }
 
+    /** The message without its type and length. */
     public ByteBuffer body() {
         return body;
     }
--- a/src/main/java/honeygap/net/pg/Query.java
+++ b/src/main/java/honeygap/net/pg/Query.java
@@ -5,13 +5,13 @@
 import honeygap.net.Call;
 import java.nio.ByteBuffer;
 
-/** An RPC in PostgreSQL's wire protocol: the slices of its statement, and whoever waits for the answer. */
+/** An RPC in the PostgreSQL wire protocol: the slices of its statement and the handler of its response. */
 public final class Query extends Call {
 
-    /** The client's end, told the answer as it is to be written. */
+    /** Sends the final response of a query to the client. */
     public interface ResponseHandler {
 
-        /** Ok: the row as the appliance gave it. */
+        /** Ok; the row is as received from the appliance. */
         void answer(ByteBuffer... row);
 
         void pushBack(long retryAfterMs);
@@ -21,7 +21,7 @@
 
     private final ByteBuffer textBeforeTimeout;
     private final ByteBuffer textAfterTimeout;
-    /** Null once the answer has been given or the client has left. */
+    /** Null once the RPC is answered or the client has disconnected. */
     private ResponseHandler responseHandler;
 
     public Query(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
@@ -44,7 +44,7 @@
         return responseHandler != null;
     }
 
-    /** Nobody waits any more. */
+    /** Detaches the client, which is sent no response from now on. */
     public void detachHandler() {
         responseHandler = null;
     }
--- a/src/main/java/honeygap/net/pg/Shapes.java
+++ b/src/main/java/honeygap/net/pg/Shapes.java
@@ -4,12 +4,12 @@
 import java.nio.ByteBuffer;
 
 /**
- * Whether what is inside a message fits it. Guards against spoilt answers whose outer length is right: they
- * would otherwise be passed on, or be taken for an error that was never said.
+ * Validates the contents of messages from appliances. Guards against malformed messages with a correct outer length,
+ * which would otherwise be forwarded or be mistaken for an error response.
  */
 public final class Shapes {
 
-    /** Table, column, type, size, modifier and form of a column, behind its name. */
+    /** Bytes after a column's name: its table, column number, type, size, modifier and format. */
     private static final int COLUMN_DESCRIPTION_LENGTH = 18;
 
     private Shapes() {
@@ -42,11 +42,11 @@
                 isValid = true;
         }
         if (!isValid) {
-            throw new Malformed("a message that does not fit its length");
+            throw new Malformed("message contents do not match its length");
         }
     }
 
-    /** Fields of a letter and words each, and a zero byte that ends them all, with a code among them. */
+    /** Whether the body is a list of fields, each a letter and a string, with a valid SQLSTATE and a final zero byte. */
     private static boolean isErrorResponse(ByteBuffer body) {
         int position = 0;
         while (position < body.limit() && body.get(position) != 0) {
@@ -59,7 +59,7 @@
         return position == body.limit() - 1 && Words.field(body, 'C').matches("[0-9A-Z]{5}");
     }
 
-    /** Behind the zero byte that ends the words there; under zero where there is none. */
+    /** The index after the zero byte that ends the string; negative if there is none. */
     private static int stringEnd(ByteBuffer body, int from) {
         for (int i = from; i < body.limit(); i++) {
             if (body.get(i) == 0) {
--- a/src/main/java/honeygap/net/pg/Statement.java
+++ b/src/main/java/honeygap/net/pg/Statement.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Reads a statement in place: its subject, and the names and values in the comment at its end. */
+/** Parses a statement without copying it: the key, and the fields in the comment at its end. */
 public final class Statement {
 
     private ByteBuffer text;
@@ -18,7 +18,7 @@
     private int timeoutStart;
     private int timeoutEnd;
 
-    /** Reads the body of a query; false where it is not in the documented form. */
+    /** Parses the body of a query; returns false if it does not have the documented form. */
     public boolean read(ByteBuffer body) {
         text = body;
         length = body.limit();
@@ -97,7 +97,7 @@
         }
     }
 
-    /** A whole number, any fraction left away; under zero where there is none. */
+    /** A non-negative number without its fraction; -1 if there is none. */
     private long parseNumber(int from, int to) {
         long value = 0;
         int i = from;
@@ -163,11 +163,12 @@
         return retry;
     }
 
-    /** What stands before the time that the client waits, and what stands after it. */
+    /** The text before the client's timeout, which is replaced for each pick. */
     public ByteBuffer before() {
         return text.slice(0, timeoutStart);
     }
 
+    /** The text after the client's timeout. */
     public ByteBuffer after() {
         return text.slice(timeoutEnd, length - timeoutEnd);
     }
--- a/src/main/java/honeygap/net/pg/Words.java
+++ b/src/main/java/honeygap/net/pg/Words.java
@@ -3,14 +3,16 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The messages that an agent writes itself. */
+/** Creates messages of the PostgreSQL wire protocol and reads fields of error messages. */
 public final class Words {
 
+    // Codes of startup packets.
     public static final int VERSION = 196608;
     public static final int TLS = 80877103;
     public static final int GSS = 80877104;
     public static final int CANCEL_REQUEST = 80877102;
 
+    // SQLSTATE codes.
     public static final String TOO_MANY = "53300";
     public static final String CANNOT_CONNECT_NOW = "57P03";
     public static final String GIVEN_UP = "58000";
@@ -62,7 +64,7 @@
         return message.putInt(8 + parameters.length).putInt(VERSION).put(parameters).flip();
     }
 
-    /** Ready for the next query. */
+    /** ReadyForQuery: the connection accepts the next query. */
     public static ByteBuffer ready() {
         return READY_FOR_QUERY.duplicate();
     }
@@ -79,11 +81,12 @@
         return STARTUP_RESPONSE.duplicate();
     }
 
-    /** How a connection to an appliance begins. */
+    /** The startup message of a connection to an appliance. */
     public static ByteBuffer startup() {
         return STARTUP_MESSAGE.duplicate();
     }
 
+    /** The response to a request for TLS or GSSAPI encryption, neither of which is supported. */
     public static ByteBuffer encryptionRefused() {
         return ByteBuffer.wrap(new byte[] {'N'});
     }
@@ -104,7 +107,7 @@
                 + detail));
     }
 
-    /** A query: what stands before its time, the time, and what stands after it. */
+    /** A query in slices, with the timeout inserted between the two parts of its text. */
     public static ByteBuffer[] query(ByteBuffer textBeforeTimeout, long timeoutMs, ByteBuffer textAfterTimeout) {
         byte[] digits = Long.toString(timeoutMs).getBytes(StandardCharsets.US_ASCII);
         int length = 4 + textBeforeTimeout.remaining() + digits.length + textAfterTimeout.remaining() + 1;
@@ -117,7 +120,7 @@
         return message('Q', cString(text));
     }
 
-    /** One field of an error, by its letter; empty where it is not there. */
+    /** The error field with this letter; empty if absent. */
     public static String field(ByteBuffer error, char letter) {
         int position = 0;
         while (position < error.limit() && error.get(position) != 0) {
