--- a/src/main/java/honeygap/net/askers/Askers.java
+++ b/src/main/java/honeygap/net/askers/Askers.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All clients that ask this agent for flags. */
+/** All connections of flag clients to this agent. */
 public final class Askers implements Front {
 
-    /** A client that has had no evaluation open for so long may be closed, in tenths of a millisecond. */
+    /** A connection without an open evaluation for this long may be closed; tenths of a millisecond. */
     private static final long IDLE_TIMEOUT = 600_000;
 
     private final Loop loop;
@@ -32,9 +32,19 @@
     private final ShutdownLog shutdownLog;
     private long pushedBackCount;
 
-    /** Methods: one flag, all flags, an event, an event with a key; most connections; the longest body. */
-    public Askers(Loop loop, Exchange dispatcher, Method evaluateMethod, Method bulkMethod, Method trackMethod, Method keyedTrackMethod, long tick,
-                  int maxConnections, int maxBodyLength) {
+    /**
+     * Creates the front.
+     *
+     * @param evaluateMethod the method for evaluating one flag
+     * @param bulkMethod the method for evaluating all flags
+     * @param trackMethod the method for tracking an event
+     * @param keyedTrackMethod the method for tracking an event with an idempotency key
+     * @param tick duration of a tick in tenths of a millisecond
+     * @param maxConnections how many connections may stay open
+     * @param maxBodyLength the maximum length of a request body in bytes
+     */
+    public Askers(Loop loop, Exchange dispatcher, Method evaluateMethod, Method bulkMethod, Method trackMethod,
+                  Method keyedTrackMethod, long tick, int maxConnections, int maxBodyLength) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.evaluateMethod = evaluateMethod;
@@ -53,14 +63,15 @@
     }
 
     Method method(Paths.Route route, boolean hasKey) {
-        return route.isTracking() ? hasKey ? keyedTrackMethod : trackMethod : route.flag() == null ? bulkMethod : evaluateMethod;
+        return route.isTracking() ? hasKey ? keyedTrackMethod : trackMethod
+                : route.flag() == null ? bulkMethod : evaluateMethod;
     }
 
     long clock() {
         return loop.clock();
     }
 
-    /** How long an evaluation may take: as the method has it, or less where the client says so. */
+    /** How long an evaluation may take: the method's deadline, or a shorter one requested by the client. */
     long timeout(Method method, String requestedMs) throws Refusal {
         long timeout = method.deadline;
         if (requestedMs != null) {
@@ -76,13 +87,13 @@
         rejectedByKind.merge(kind, 1L, Long::sum);
     }
 
-    /** The process was told to end, and goes by this schedule. */
+    /** Starts the shutdown of the process by this schedule. */
     public void shutDown(ShutdownSchedule schedule) {
         shutdownLog.signalled(schedule, connections.countByStage());
         connections.shutDown(schedule, tick);
     }
 
-    /** What happened since the signal to end. */
+    /** Events since the shutdown signal. */
     public ShutdownLog shutdownLog() {
         return shutdownLog;
     }
@@ -106,7 +117,7 @@
         return connections.count();
     }
 
-    /** How many connections are let in at most. */
+    /** The maximum number of connections to accept. */
     public int places() {
         return connections.places();
     }
--- a/src/main/java/honeygap/net/askers/EntityTags.java
+++ b/src/main/java/honeygap/net/askers/EntityTags.java
@@ -4,8 +4,8 @@
 import honeygap.net.ofrep.OfrepRequest;
 
 /**
- * Entity tags of bulk answers, made by the agent of what the answer says, so that they hold whichever server
- * gave it; each also tells the newest flag-set version in it. And the words of statuses.
+ * Entity tags of bulk responses, and reason phrases of status codes. The agent derives the tags from the response
+ * body, so that they are valid across servers; each also contains the newest flag-set version of the response.
  */
 final class EntityTags {
 
@@ -19,7 +19,7 @@
                 + Long.toHexString(OfrepRequest.hash(served.body)) + "\"";
     }
 
-    /** Whether a list of tags, perhaps null, holds this one; weak ones count, as RFC 9110 has it. */
+    /** Whether a list of tags, which may be null, contains this one; compares weakly, as RFC 9110 requires. */
     static boolean isListed(String tag, String list) {
         for (String candidate : split(list)) {
             if (candidate.equals(tag)) {
@@ -29,7 +29,7 @@
         return false;
     }
 
-    /** The newest version that a client holds by the tags that it names. */
+    /** The newest flag-set version that a client has, according to the tags it sent. */
     static long newestVersion(String list) {
         long newest = Served.NO_VERSION;
         for (String tag : split(list)) {
--- a/src/main/java/honeygap/net/askers/FlagClientConnection.java
+++ b/src/main/java/honeygap/net/askers/FlagClientConnection.java
@@ -13,8 +13,8 @@
 import java.util.Locale;
 
 /**
- * A client that asks for flags over HTTP/1.1. Requests may be sent one behind another; they are read one by
- * one, so that the answers go out in their order.
+ * An HTTP/1.1 connection of a flag client. Pipelined requests are accepted; they are processed one at a time, so
+ * that responses are sent in the order of the requests.
  */
 final class FlagClientConnection extends Guest {
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** A connection of HTTP begins with nothing but the first request. */
+    /** HTTP has no startup message, so that a connection is started by its first request. */
     @Override
     protected boolean isStarted() {
         return started;
@@ -101,7 +101,8 @@
     @Override
     protected ByteBuffer shutdownWord() {
         clients.countRejected("shutting down");
-        return createResponse(503, Bodies.error(null, null, "this agent is shutting down"), "Retry-After: 1\r\n", false);
+        return createResponse(503, Bodies.error(null, null, "this agent is shutting down"), "Retry-After: 1\r\n",
+                false);
     }
 
     @Override
@@ -143,13 +144,13 @@
                 write(ByteBuffer.wrap("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
             }
         } catch (Refusal e) {
-            // What follows on the connection can't be read for sure.
+            // The start of the next request is unknown after a malformed one.
             clients.countRejected(e.kind);
             end(createResponse(e.status, Bodies.error(null, null, e.getMessage()), "", false));
         }
     }
 
-    /** A request read whole; one that is turned down leaves the connection as it is. */
+    /** Handles a complete request; rejecting it does not close the connection. */
     private void handleRequest() {
         String flag = null;
         try {
@@ -171,8 +172,9 @@
         } catch (Refusal e) {
             clients.countRejected(e.kind);
             boolean hasErrorCode = e.status == 400;
-            writeResponse(parser.isKept(), e.status, Bodies.error(hasErrorCode ? flag : null, hasErrorCode ? e.kind : null,
-                    e.getMessage()), e.status == 405 ? "Allow: POST\r\n" : "");
+            writeResponse(parser.isKept(), e.status,
+                    Bodies.error(hasErrorCode ? flag : null, hasErrorCode ? e.kind : null, e.getMessage()),
+                    e.status == 405 ? "Allow: POST\r\n" : "");
         }
     }
 
@@ -191,10 +193,11 @@
             }
             appendField(fields, "Idempotency-Key", token);
         }
-        OfrepRequest request = OfrepRequest.of(clients.method(route, token != null), route.flag(), targetingKeyHash, route.path(),
-                fields.toString(), parser.body(), !isTracking);
+        OfrepRequest request = OfrepRequest.of(clients.method(route, token != null), route.flag(), targetingKeyHash,
+                route.path(), fields.toString(), parser.body(), !isTracking);
         long now = clients.clock();
-        return new ClientEvaluation(request, now, now + clients.timeout(request.method, parser.field("x-deadline-ms")), knownVersion);
+        return new ClientEvaluation(request, now,
+                now + clients.timeout(request.method, parser.field("x-deadline-ms")), knownVersion);
     }
 
     private static void appendField(StringBuilder fields, String name, String value) {
@@ -231,7 +234,7 @@
         }
     }
 
-    /** Parts from the evaluation: it is answered, or nobody waits any more. */
+    /** Detaches the open evaluation after it was answered or its client disconnected. */
     private void closeEvaluation() {
         openEvaluation.guard.callOff();
         openEvaluation = null;
@@ -245,7 +248,7 @@
         }
     }
 
-    /** A whole answer: status, fields and body. */
+    /** Creates a complete response with status, fields and body. */
     private static ByteBuffer createResponse(int status, byte[] body, String fields, boolean keepsOpen) {
         boolean hasBody = status != 204 && status != 304;
         StringBuilder lines = new StringBuilder(160).append("HTTP/1.1 ").append(status).append(' ')
--- a/src/main/java/honeygap/net/askers/Paths.java
+++ b/src/main/java/honeygap/net/askers/Paths.java
@@ -5,7 +5,7 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Paths of the remote evaluation protocol, and the one for tracking events beside them. */
+/** Parses the paths of OFREP and the additional path for tracking events. */
 final class Paths {
 
     private static final String EVALUATE = "/ofrep/v1/evaluate/flags";
@@ -13,7 +13,13 @@
     private static final int MAX_FLAG_LENGTH = 256;
     private static final String UNRESERVED = "-._~";
 
-    /** What is asked for: one flag, all where it is null, or that an event be tracked; and its path anew. */
+    /**
+     * What a request asks for.
+     *
+     * @param flag the flag to evaluate; null for all flags or for a tracking event
+     * @param isTracking whether an event is to be tracked
+     * @param path the path in canonical encoding
+     */
     record Route(String flag, boolean isTracking, String path) { }
 
     private Paths() {
--- a/src/main/java/honeygap/net/clients/Clients.java
+++ b/src/main/java/honeygap/net/clients/Clients.java
@@ -143,8 +143,8 @@
         if (failureLogBudget.allows()) {
             Pick lastPick = call.picks.isEmpty() ? null : call.picks.get(call.picks.size() - 1);
             Events.givenUp(call.id, methodNames.get(call.method), call.givenUp.word,
-                    lastPick == null ? -1 : lastPick.appliance.id, (call.deadline - loop.clock()) / TENTHS_PER_MS, "list confirmed " + rules.listAge() / TENTHS_PER_MS
-                            + " ms ago, " + rules.covered() + " appliances known to serve");
+                    lastPick == null ? -1 : lastPick.appliance.id, (call.deadline - loop.clock()) / TENTHS_PER_MS,
+                    "list confirmed " + rules.listAge() / TENTHS_PER_MS + " ms ago, " + rules.covered() + " appliances known to serve");
         }
     }
 
--- a/src/main/java/honeygap/net/guests/Guests.java
+++ b/src/main/java/honeygap/net/guests/Guests.java
@@ -223,7 +223,8 @@
 
     /** The number of connections in each stage. */
     public Map<String, Long> countByStage() {
-        return connections.stream().collect(Collectors.groupingBy(Guest::stageName, TreeMap::new, Collectors.counting()));
+        return connections.stream()
+                .collect(Collectors.groupingBy(Guest::stageName, TreeMap::new, Collectors.counting()));
     }
 
     /** The number of connections, including those that close once their last response is written. */
--- a/src/main/java/honeygap/net/http/Answers.java
+++ b/src/main/java/honeygap/net/http/Answers.java
@@ -35,8 +35,8 @@
     private static final int MAX_LINE_LENGTH = 8192;
     private static final int MAX_HEAD_LINES = 100;
 
-    private static final int STATUS_LINE = 0, HEADER_FIELDS = 1, BODY = 2, CHUNK_SIZE = 3, CHUNK_DATA = 4, CHUNK_END = 5,
-            TRAILER = 6, UNTIL_CLOSE = 7;
+    private static final int STATUS_LINE = 0, HEADER_FIELDS = 1, BODY = 2, CHUNK_SIZE = 3, CHUNK_DATA = 4,
+            CHUNK_END = 5, TRAILER = 6, UNTIL_CLOSE = 7;
 
     private final Reader handler;
     private byte[] line = new byte[128];
--- a/src/main/java/honeygap/net/http/Requests.java
+++ b/src/main/java/honeygap/net/http/Requests.java
@@ -109,7 +109,8 @@
 
     private boolean readHead() throws Refusal {
         // Skips empty lines before a request, as RFC 9112 recommends.
-        while (scanPosition == readPosition && writePosition - readPosition >= 2 && buffer[readPosition] == '\r' && buffer[readPosition + 1] == '\n') {
+        while (scanPosition == readPosition && writePosition - readPosition >= 2
+                && buffer[readPosition] == '\r' && buffer[readPosition + 1] == '\n') {
             readPosition += 2;
             scanPosition = readPosition;
         }
--- a/src/main/java/honeygap/net/ofrep/Ask.java
+++ b/src/main/java/honeygap/net/ofrep/Ask.java
@@ -7,7 +7,7 @@
 import honeygap.net.Call;
 import honeygap.read.Malformed;
 
-/** The RPC by which servers are asked, for one evaluation or several that share it. */
+/** The RPC that sends a request to flag servers, for one evaluation or for several that share it. */
 public final class Ask extends Call {
 
     private final Exchange dispatcher;
@@ -29,20 +29,21 @@
     }
 
     /**
-     * A whole answer of this appliance; how the pick ends by it, as {@code Answers} says.
+     * Handles a complete response of this appliance and returns the outcome of the pick, as {@code Answers} decides.
      *
-     * @throws Malformed where it is none of the protocol's
+     * @throws Malformed if the response violates the protocol
      */
     public int served(Appliance appliance, int status, byte[] body) throws Malformed {
         boolean isTracking = !request().shareable;
-        int outcome = dispatcher.responseReceived(this, appliance, Bodies.parseResponse(status, body, request().flag, isTracking));
+        int outcome = dispatcher.responseReceived(this, appliance,
+                Bodies.parseResponse(status, body, request().flag, isTracking));
         if (outcome == Pick.OK) {
             once();
         }
         return outcome;
     }
 
-    /** The appliance wants nothing for so many tenths of a millisecond. */
+    /** The appliance asked for no requests during this many tenths of a millisecond. */
     public void stayAway(Appliance appliance, long retryAfter) {
         dispatcher.applyRetryAfter(appliance, retryAfter);
     }
--- a/src/main/java/honeygap/net/ofrep/Bodies.java
+++ b/src/main/java/honeygap/net/ofrep/Bodies.java
@@ -17,11 +17,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Bodies of the remote evaluation protocol: what is read from them, and those that the agent writes. */
+/** Reads and writes JSON bodies of the OpenFeature Remote Evaluation Protocol (OFREP). */
 public final class Bodies {
 
     private static final int MAX_NESTING_DEPTH = 64;
-    /** Types of values, as the flag API has them. */
+    /** Types of flag values, as in the flag API. */
     static final int BOOLEAN = 0, STRING = 1, NUMBER = 2, OBJECT = 3;
 
     private static final JsonFactory JSON = JsonFactory.builder()
@@ -32,8 +32,8 @@
     }
 
     /**
-     * A hash of the targeting key in a request's context, 0 where there is none. The whole body is read, so
-     * that what is passed on is sound: one JSON object, no name twice in an object, UTF-8, not nested deeply.
+     * Returns a hash of the targeting key in a request's context, 0 if there is none. Validates the whole body, so
+     * that only one JSON object in UTF-8, without duplicate names and not nested too deeply, is forwarded.
      */
     public static long subject(byte[] body) throws Refusal {
         long keyHash = 0;
@@ -61,7 +61,7 @@
         } catch (JsonProcessingException e) {
             throw parseError(e.getOriginalMessage().lines().findFirst().orElse("not JSON"), e.getLocation());
         } catch (IOException e) {
-            // Jackson's word for bytes that are not UTF-8.
+            // Jackson reports bytes that are not UTF-8 in this way.
             throw parseError("not UTF-8", null);
         }
         if (!hasContext) {
@@ -98,7 +98,7 @@
         return at == null ? "" : " at line " + at.getLineNr() + ", column " + at.getColumnNr();
     }
 
-    /** A server's answer, of one flag or, where none is named, of all; what can't be one is malformed. */
+    /** Parses a server's response about one flag or, if {@code flag} is null, about all flags. */
     static Served parseResponse(int status, byte[] body, String flag, boolean isTracking) throws Malformed {
         if (isTracking || status == 401 || status == 403) {
             return new Served(status, body, Served.NO_VERSION, Served.NO_VERSION, Map.of());
@@ -106,7 +106,7 @@
         ResponseSummary summary = new ResponseSummary(flag);
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new Malformed("an answer that is not an object");
+                throw new Malformed("response is not a JSON object");
             }
             if (status != Served.GOOD) {
                 summary.readError(in);
@@ -116,15 +116,15 @@
                 summary.readFlag(in, flag);
             }
             if (in.nextToken() != null) {
-                throw new Malformed("more than one answer");
+                throw new Malformed("response has more than one JSON value");
             }
         } catch (IOException e) {
-            throw new Malformed("an answer that is not JSON");
+            throw new Malformed("response is not JSON");
         }
         return new Served(status, body, summary.oldest, summary.newest, summary.kinds);
     }
 
-    /** What one answer says. */
+    /** The versions and value types found in one response. */
     private static final class ResponseSummary {
 
         private final Map<String, Integer> kinds;
@@ -155,7 +155,7 @@
             newest = Math.max(newest, version);
         }
 
-        /** An evaluation that went well, or that of one flag among all that did not. */
+        /** Reads the evaluation of one flag; a failed one is accepted only as part of a bulk response. */
         void readFlag(JsonParser in, String flag) throws IOException, Malformed {
             String key = flag;
             int kind = -1;
@@ -189,10 +189,10 @@
                 }
             }
             if (key == null || flag != null && !flag.equals(key)) {
-                throw new Malformed("an answer for another flag");
+                throw new Malformed("response is for another flag");
             }
             if (failed && flag != null) {
-                throw new Malformed("a good answer with an error in it");
+                throw new Malformed("successful response contains an error code");
             }
             if (kind >= 0) {
                 kinds.put(key, kind);
@@ -233,7 +233,7 @@
                     hasFlags = true;
                     while (in.nextToken() != JsonToken.END_ARRAY) {
                         if (in.currentToken() != JsonToken.START_OBJECT) {
-                            throw new Malformed("a flag that is not an object");
+                            throw new Malformed("entry of field flags is not an object");
                         }
                         readFlag(in, null);
                     }
@@ -261,7 +261,7 @@
         }
     }
 
-    /** The same good answer with another reason, for one flag or for each of all. */
+    /** Returns a successful response with its reason replaced, for one flag or for each flag of a bulk response. */
     public static byte[] withReason(byte[] body, boolean isBulk, String reason) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(body.length + 32);
         int depth = 0;
@@ -274,7 +274,7 @@
                     isFlag = in.currentName().equals("flags");
                 }
                 boolean isField = isFlag && token == JsonToken.FIELD_NAME && depth == flagDepth;
-                // A flag that could not be evaluated has an error and no reason.
+                // A flag that could not be evaluated has an error code and no reason.
                 hasReason |= isField && in.currentName().equals("errorCode");
                 if (isField && in.currentName().equals("reason")) {
                     in.nextToken();
@@ -291,13 +291,13 @@
                 out.copyCurrentEvent(in);
             }
         } catch (IOException e) {
-            // It was read whole when it came.
+            // Cannot happen: the body was validated when it was received.
             throw new java.io.UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    /** An error of the protocol; key and code may be null. */
+    /** Creates an error body; key and code may be null. */
     public static byte[] error(String key, String code, String details) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
--- a/src/main/java/honeygap/net/ofrep/Exchange.java
+++ b/src/main/java/honeygap/net/ofrep/Exchange.java
@@ -13,7 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Between the evaluations of clients and the RPCs to servers: carries out what {@code Answers} decides. */
+/** Connects client evaluations with RPCs to flag servers: executes the decisions of {@code Answers}. */
 public final class Exchange implements Answers.Out, Loop.Core, Counters.Group {
 
     private static final int MAX_TENANTS = 10_000;
@@ -22,7 +22,10 @@
     private final Rules rules;
     private final Answers answers;
     private final Limits limits;
-    /** A flag whose evaluations fail at every build is bad itself, as a customer may be; the oldest leaves. */
+    /**
+     * One tenant per flag, so that a flag whose evaluations fail on every build is itself considered faulty, as a
+     * tenant may be. The least recently used entry is evicted.
+     */
     private final Map<String, Tenant> tenants = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
@@ -41,7 +44,7 @@
         this.limits = limits;
     }
 
-    /** A client asks; the guard answers two steps after its deadline if nobody else has. */
+    /** Submits a client's evaluation; a timer aborts it two ticks after its deadline if it has not ended by then. */
     public void submit(PendingEvaluation evaluation, long tick) {
         evaluation.guard = loop.at(evaluation.deadline + 2 * tick, () -> loop.post(() -> {
             if (!evaluation.isEnded()) {
@@ -53,16 +56,17 @@
         loop.gather(() -> answers.asked(evaluation));
     }
 
+    /** Abandons an evaluation whose client has disconnected or was answered otherwise. */
     public void abandon(PendingEvaluation evaluation) {
         loop.gather(() -> answers.left(evaluation));
     }
 
-    /** A server wants nothing for so many tenths of a millisecond. */
+    /** A server asked for no requests during this many tenths of a millisecond. */
     public void applyRetryAfter(Appliance appliance, long retryAfter) {
         limits.told(appliance, retryAfter);
     }
 
-    /** When a client that is pushed back had best ask again: not before a server takes picks. */
+    /** When a pushed-back client should retry: not before a server accepts picks again. Tenths of a millisecond. */
     public long suggestedRetryAfter() {
         return limits.opensIn();
     }
--- a/src/main/java/honeygap/net/ofrep/OfrepRequest.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepRequest.java
@@ -6,21 +6,22 @@
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** A question as it goes to servers: its identity is the request itself, but for the server's name. */
+/** A question in the form sent to servers: its identity is the whole request without the value of the Host field. */
 public final class OfrepRequest extends Question {
 
     private static final byte[] HEAD_END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private final int headLength;
 
-    private OfrepRequest(Method method, String flag, long targetingKeyHash, byte[] request, int headLength, boolean shareable) {
+    private OfrepRequest(Method method, String flag, long targetingKeyHash, byte[] request, int headLength,
+                         boolean shareable) {
         super(method, flag, targetingKeyHash, request, hash(request), shareable);
         this.headLength = headLength;
     }
 
-    /** The fields are those that servers are to have, each with its end. */
-    public static OfrepRequest of(Method method, String flag, long targetingKeyHash, String path, String fields, byte[] body,
-                             boolean shareable) {
+    /** Creates a request; the fields are the header fields to forward, each ending with a line break. */
+    public static OfrepRequest of(Method method, String flag, long targetingKeyHash, String path, String fields,
+                                  byte[] body, boolean shareable) {
         byte[] head = ("POST " + path + " HTTP/1.1\r\n" + fields + "Content-Type: application/json\r\n"
                 + "Accept: application/json\r\nContent-Length: " + body.length + "\r\nHost: ")
                 .getBytes(StandardCharsets.ISO_8859_1);
@@ -35,7 +36,7 @@
         return hash == 0 ? 1 : hash;
     }
 
-    /** The request for a server of this name, in slices. */
+    /** The request with this value of the Host field, in slices. */
     public ByteBuffer[] parts(byte[] host) {
         return new ByteBuffer[] {ByteBuffer.wrap(identity, 0, headLength), ByteBuffer.wrap(host),
             ByteBuffer.wrap(HEAD_END), ByteBuffer.wrap(identity, headLength, identity.length - headLength).slice()};
--- a/src/main/java/honeygap/net/ofrep/PendingEvaluation.java
+++ b/src/main/java/honeygap/net/ofrep/PendingEvaluation.java
@@ -5,21 +5,22 @@
 import honeygap.flags.Served;
 import honeygap.net.Loop;
 
-/** An evaluation and the end of the connection that waits for it. */
+/** An evaluation with the client connection that waits for its result. */
 public abstract class PendingEvaluation extends Evaluation {
 
-    /** Answers in time whatever the decisions do. */
+    /** Ends the evaluation shortly after its deadline if nothing else has. */
     public Loop.Timer guard;
 
     protected PendingEvaluation(Question question, long takenAt, long deadline, long knownVersion) {
         super(question, takenAt, deadline, knownVersion);
     }
 
-    /** Final answer: a server's, or one kept from earlier: one of the constants of {@code Answers}. */
+    /** Final answer: a response of a server or a cached one; the origin is one of the constants of {@code Answers}. */
     public abstract void answer(Served served, int origin);
 
-    /** Final answer: pushed back; durations are tenths of a millisecond. */
+    /** Final answer: pushed back; the duration is in tenths of a millisecond. */
     public abstract void pushBack(long retryAfter);
 
+    /** Final answer: aborted. */
     public abstract void abort();
 }
--- a/src/main/java/honeygap/net/pg/Frames.java
+++ b/src/main/java/honeygap/net/pg/Frames.java
@@ -33,7 +33,8 @@
             int length = buffer.remaining() + more.remaining();
             // Once the length of the message is known, allocates all of it to avoid a copy per read.
             int declaredLength = buffer.remaining() >= TYPED_HEADER_LENGTH ? buffer.getInt(buffer.position() + 1) + 1 : 0;
-            ByteBuffer grown = ByteBuffer.allocate(Math.max(length, Math.min(declaredLength, maxLength + TYPED_HEADER_LENGTH)));
+            ByteBuffer grown = ByteBuffer.allocate(
+                    Math.max(length, Math.min(declaredLength, maxLength + TYPED_HEADER_LENGTH)));
             grown.put(buffer).put(more).flip();
             buffer = grown;
             ownsBuffer = true;
--- a/src/main/java/honeygap/net/pg/Shapes.java
+++ b/src/main/java/honeygap/net/pg/Shapes.java
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Whether the body is a list of fields, each a letter and a string, with a valid SQLSTATE and a final zero byte. */
+    /** Whether the body is a list of fields (letter and string) with a valid SQLSTATE and a final zero byte. */
     private static boolean isErrorResponse(ByteBuffer body) {
         int position = 0;
         while (position < body.limit() && body.get(position) != 0) {
