--- a/src/test/java/honeygap/net/ParsersTest.java
+++ b/src/test/java/honeygap/net/ParsersTest.java
@@ -12,13 +12,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests the incremental parsers of PostgreSQL statements and messages and of HTTP responses. */
 class ParsersTest {
 
-    private static ByteBuffer bytes(String words) {
-        return ByteBuffer.wrap(words.getBytes(StandardCharsets.ISO_8859_1));
+    private static ByteBuffer bytes(String text) {
+        return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** What a statement says, or that it is not one. */
+    /** The parsed fields, or "no" for text that is not a statement. */
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {
         "SELECT content FROM kv WHERE name = 'ab' /* id=1,c=x,t=acme,d=480 */; 1 x acme ab 480 0 false",
@@ -33,34 +34,34 @@
         "SELECT content FROM kv WHERE name = 'ab' /* id=1,c=x,d=5; no",
         "SELECT content FROM kv WHERE name = 'ab /* id=1,c=x,d=5 */; no", "*/; no", "/*/; no",
         "DELETE FROM kv WHERE name = 'ab' /* id=1,c=x,d=5 */; no"})
-    void statements(String text, String says) {
+    void parsesStatements(String text, String expected) {
         Statement statement = new Statement();
-        boolean read = statement.read(bytes(text + '\0'));
-        assertEquals(says.strip(), !read ? "no" : String.join(" ", statement.id(), statement.method(),
+        boolean isStatement = statement.read(bytes(text + '\0'));
+        assertEquals(expected.strip(), !isStatement ? "no" : String.join(" ", statement.id(), statement.method(),
                 String.valueOf(statement.tenant()), statement.key(), "" + statement.timeMs(),
                 "" + statement.hintMicros(), "" + statement.retry()));
     }
 
-    /** Messages in pieces of any size come out the same; lengths out of bounds are turned down at once. */
+    /** Messages are decoded the same from fragments of any size; an invalid length is rejected at once. */
     @ParameterizedTest
     @CsvSource({"1", "3", "5", "7", "100"})
-    void frames(int size) throws Malformed {
-        String all = "Q\0\0\0\7abcZ\0\0\0\4D\0\0\0\24" + "0123456789abcdef" + "Q\0\0\0\144";
-        Frames frames = new Frames(99);
-        StringBuilder seen = new StringBuilder();
-        for (int i = 0; i < all.length() - 1; i += size) {
-            frames.feed(bytes(all.substring(i, Math.min(all.length() - 1, i + size))));
-            while (frames.next()) {
-                seen.append((char) frames.type());
-                seen.append(StandardCharsets.ISO_8859_1.decode(frames.body())).append(' ');
+    void decodesFragmentedMessages(int size) throws Malformed {
+        String input = "Q\0\0\0\7abcZ\0\0\0\4D\0\0\0\24" + "0123456789abcdef" + "Q\0\0\0\144";
+        Frames decoder = new Frames(99);
+        StringBuilder decoded = new StringBuilder();
+        for (int i = 0; i < input.length() - 1; i += size) {
+            decoder.feed(bytes(input.substring(i, Math.min(input.length() - 1, i + size))));
+            while (decoder.next()) {
+                decoded.append((char) decoder.type());
+                decoded.append(StandardCharsets.ISO_8859_1.decode(decoder.body())).append(' ');
             }
         }
-        assertEquals("Qabc Z D0123456789abcdef ", seen.toString());
-        frames.feed(bytes("\144"));
-        assertThrows(Malformed.class, frames::next);
+        assertEquals("Qabc Z D0123456789abcdef ", decoded.toString());
+        decoder.feed(bytes("\144"));
+        assertThrows(Malformed.class, decoder::next);
     }
 
-    /** Answers in pieces of any size; a bar where one ends, a question mark where it can't be read. */
+    /** Parses responses from fragments of any size; "|" marks the end of a response, "?" a malformed one. */
     @ParameterizedTest
     @CsvSource(delimiter = '#', value = {
         "HTTP/1.1 200 OK~Content-Length: 3~~abcHTTP/1.1 500 x~Content-Length: 0~~# 200abc|500|",
@@ -70,36 +71,36 @@
         "HTTP/1.1 200 OK~Content-Length: x~~# ?", "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~zz~# 200?",
         "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~1~ab~# 200a?", "SSH-2.0~# ?",
         "HTTP/1.1 200 OK~Content-Length: -1~~# ?"})
-    void answers(String text, String wanted) {
-        String[] halves = text.split("~", -1);
-        String whole = String.join("\r\n", halves);
+    void parsesFragmentedResponses(String text, String expected) {
+        String[] lines = text.split("~", -1);
+        String input = String.join("\r\n", lines);
         for (int size : new int[] {1, 2, 7, 1000}) {
-            StringBuilder seen = new StringBuilder();
-            Answers answers = new Answers(new Answers.Reader() {
+            StringBuilder parsed = new StringBuilder();
+            Answers parser = new Answers(new Answers.Reader() {
                 @Override
                 public void head(int status) {
-                    seen.append(status);
+                    parsed.append(status);
                 }
 
                 @Override
                 public void data(ByteBuffer part) {
-                    seen.append(StandardCharsets.ISO_8859_1.decode(part.duplicate()));
+                    parsed.append(StandardCharsets.ISO_8859_1.decode(part.duplicate()));
                 }
 
                 @Override
                 public void end() {
-                    seen.append('|');
+                    parsed.append('|');
                 }
             });
             try {
-                for (int i = 0; i < whole.length(); i += size) {
-                    answers.feed(bytes(whole.substring(i, Math.min(whole.length(), i + size))));
+                for (int i = 0; i < input.length(); i += size) {
+                    parser.feed(bytes(input.substring(i, Math.min(input.length(), i + size))));
                 }
-                answers.close();
+                parser.close();
             } catch (Malformed e) {
-                seen.append('?');
+                parsed.append('?');
             }
-            assertEquals(wanted.strip(), seen.toString(), "in pieces of " + size);
+            assertEquals(expected.strip(), parsed.toString(), "in fragments of " + size);
         }
     }
 }
--- a/src/test/java/honeygap/net/SdkTest.java
+++ b/src/test/java/honeygap/net/SdkTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A real client, the published SDK with its provider of the remote protocol, and a usable stand-in server. */
+/** Tests the agent with the published OpenFeature SDK, its OFREP provider and a stand-in flag server. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SdkTest {
 
@@ -39,7 +39,7 @@
     private String base;
 
     @BeforeEach
-    void start() throws Exception {
+    void setUp() throws Exception {
         try (InputStream in = getClass().getResourceAsStream("/flags.json");
                 JsonParser parser = new JsonFactory().createParser(in)) {
             server = new FlagServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -58,61 +58,66 @@
     }
 
     @AfterEach
-    void end() {
+    void tearDown() {
         OpenFeatureAPI.getInstance().shutdown();
         agent.end();
         server.close();
     }
 
     @Test
-    void everyType() {
-        MutableContext himal = new MutableContext("u1").add("operator", "himal");
-        FlagEvaluationDetails<Boolean> on = client.getBooleanDetails("same-day-rebooking", false, himal);
-        assertEquals(true, on.getValue());
-        assertEquals("TARGETING_MATCH on null", on.getReason() + " " + on.getVariant() + " " + on.getErrorCode());
-        assertEquals("1", on.getFlagMetadata().getString("version"));
-        MutableContext plain = new MutableContext("u1");
-        assertEquals("Namaste", client.getStringValue("banner", "none", plain));
-        int wait = client.getIntegerValue("longest-wait-minutes", 0, plain);
-        assertEquals(wait, client.getIntegerValue("longest-wait-minutes", 0, plain), "a split is the same each time");
-        assertEquals(0.0, client.getDoubleValue("surcharge", 9.0, plain));
-        Value form = client.getObjectValue("form", new Value(), plain);
+    void evaluatesEveryType() {
+        MutableContext contextWithOperator = new MutableContext("u1").add("operator", "himal");
+        FlagEvaluationDetails<Boolean> rebooking =
+                client.getBooleanDetails("same-day-rebooking", false, contextWithOperator);
+        assertEquals(true, rebooking.getValue());
+        assertEquals("TARGETING_MATCH on null",
+                rebooking.getReason() + " " + rebooking.getVariant() + " " + rebooking.getErrorCode());
+        assertEquals("1", rebooking.getFlagMetadata().getString("version"));
+        MutableContext context = new MutableContext("u1");
+        assertEquals("Namaste", client.getStringValue("banner", "none", context));
+        int maxWait = client.getIntegerValue("longest-wait-minutes", 0, context);
+        assertEquals(maxWait, client.getIntegerValue("longest-wait-minutes", 0, context),
+                "a split gives the same variant each time");
+        assertEquals(0.0, client.getDoubleValue("surcharge", 9.0, context));
+        Value form = client.getObjectValue("form", new Value(), context);
         assertEquals(1, form.asStructure().getValue("steps").asInteger());
     }
 
     @Test
-    void errorsAndDefaults() {
-        MutableContext plain = new MutableContext("u1");
-        FlagEvaluationDetails<String> none = client.getStringDetails("nowhere", "mine", plain);
-        assertEquals("mine FLAG_NOT_FOUND", none.getValue() + " " + none.getErrorCode());
-        FlagEvaluationDetails<Boolean> other = client.getBooleanDetails("banner", true, plain);
-        assertEquals("true TYPE_MISMATCH", other.getValue() + " " + other.getErrorCode());
+    void errorsGiveDefaultValues() {
+        MutableContext context = new MutableContext("u1");
+        FlagEvaluationDetails<String> missing = client.getStringDetails("nowhere", "mine", context);
+        assertEquals("mine FLAG_NOT_FOUND", missing.getValue() + " " + missing.getErrorCode());
+        FlagEvaluationDetails<Boolean> mismatch = client.getBooleanDetails("banner", true, context);
+        assertEquals("true TYPE_MISMATCH", mismatch.getValue() + " " + mismatch.getErrorCode());
         server.fail(500, 1);
-        FlagEvaluationDetails<String> failed = client.getStringDetails("banner", "mine", plain);
+        FlagEvaluationDetails<String> failed = client.getStringDetails("banner", "mine", context);
         assertEquals("mine", failed.getValue());
         assertEquals(ErrorCode.GENERAL, failed.getErrorCode());
         server.fail(0, 0);
     }
 
     @Test
-    void bulkPolls() throws Exception {
+    void bulkPollsUseEntityTags() throws Exception {
         HttpClient http = HttpClient.newHttpClient();
         HttpRequest.Builder poll = HttpRequest.newBuilder(URI.create(base + "/ofrep/v1/evaluate/flags"))
                 .version(HttpClient.Version.HTTP_1_1).header("Content-Type", "application/json")
                 .POST(HttpRequest.BodyPublishers.ofString("{\"context\":{\"targetingKey\":\"u1\"}}"));
         HttpResponse<String> first = http.send(poll.build(), HttpResponse.BodyHandlers.ofString());
         assertEquals(200, first.statusCode());
-        String tag = first.headers().firstValue("ETag").orElseThrow();
-        poll.header("If-None-Match", tag);
-        HttpResponse<String> same = http.send(poll.build(), HttpResponse.BodyHandlers.ofString());
-        assertEquals("304 ", same.statusCode() + " " + same.body());
+        String entityTag = first.headers().firstValue("ETag").orElseThrow();
+        poll.header("If-None-Match", entityTag);
+        HttpResponse<String> unchanged = http.send(poll.build(), HttpResponse.BodyHandlers.ofString());
+        assertEquals("304 ", unchanged.statusCode() + " " + unchanged.body());
         server.take(FlagsTest.fields("{'version':2,'flags':{'banner':{'variants':{'a':'new'},'default':'a'}}}"));
-        HttpResponse<String> next = http.send(poll.build(), HttpResponse.BodyHandlers.ofString());
-        assertEquals(200, next.statusCode());
-        // A set rolled back is older than what this client holds: no step back, for it or its key.
+        HttpResponse<String> changed = http.send(poll.build(), HttpResponse.BodyHandlers.ofString());
+        assertEquals(200, changed.statusCode());
+        // After a rollback the flag set is older than what this client has received; neither the client nor its
+        // targeting key may go back to it.
         server.take(FlagsTest.fields("{'version':1,'flags':{'banner':{'variants':{'a':'old'},'default':'a'}}}"));
-        FlagEvaluationDetails<String> after = client.getStringDetails("banner", "mine", new MutableContext("u1"));
-        assertEquals("mine", after.getValue());
-        assertNull(after.getVariant());
+        FlagEvaluationDetails<String> afterRollback =
+                client.getStringDetails("banner", "mine", new MutableContext("u1"));
+        assertEquals("mine", afterRollback.getValue());
+        assertNull(afterRollback.getVariant());
     }
 }
