--- a/src/main/java/honeygap/net/http/Answers.java
+++ b/src/main/java/honeygap/net/http/Answers.java
@@ -48,10 +48,12 @@
     private boolean chunked;
     private boolean hasContentLength;
 
+    /** Creates a parser that reports to this handler. */
     public Answers(Reader handler) {
         this.handler = handler;
     }
 
+    /** Parses more input; the buffer is consumed completely. */
     public void feed(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             switch (state) {
--- a/src/main/java/honeygap/net/http/Connection.java
+++ b/src/main/java/honeygap/net/http/Connection.java
@@ -29,6 +29,7 @@
     private boolean requestWritten;
     private boolean ended;
 
+    /** Starts connecting to the address; a request sent meanwhile is written once the connection is up. */
     public Connection(Loop loop, InetSocketAddress address, Answers.Reader handler, EndListener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -38,10 +39,12 @@
         connecting = loop.connect(address, this);
     }
 
+    /** Sends a GET request for this path. */
     public void get(String path) {
         send("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n");
     }
 
+    /** Sends a POST request to the root path with a form-encoded ASCII body. */
     public void post(String body) {
         send("POST / HTTP/1.1\r\nHost: " + host + "\r\nContent-Type: application/x-www-form-urlencoded\r\n"
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body);
--- a/src/main/java/honeygap/net/http/Lines.java
+++ b/src/main/java/honeygap/net/http/Lines.java
@@ -20,10 +20,12 @@
     private byte[] line = new byte[1024];
     private int length;
 
+    /** Creates a splitter that reports to this handler. */
     public Lines(Reader handler) {
         this.handler = handler;
     }
 
+    /** Splits more input; the buffer is consumed completely. */
     public void feed(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
--- a/src/main/java/honeygap/net/http/Requests.java
+++ b/src/main/java/honeygap/net/http/Requests.java
@@ -47,6 +47,7 @@
         this.maxBodyLength = maxBodyLength;
     }
 
+    /** Buffers more input. */
     public void feed(ByteBuffer more) {
         int count = more.remaining();
         if (buffer.length - writePosition < count) {
@@ -311,6 +312,7 @@
         state = CHUNK_DATA;
     }
 
+    /** The request method. */
     public String method() {
         return method;
     }
@@ -325,6 +327,7 @@
         return fields.get(name);
     }
 
+    /** The request body; empty if there is none. */
     public byte[] body() {
         return body;
     }
--- a/src/main/java/honeygap/net/pg/Frames.java
+++ b/src/main/java/honeygap/net/pg/Frames.java
@@ -23,6 +23,7 @@
         this.maxLength = maxLength;
     }
 
+    /** Adds more input. The buffer may be used until its messages have been read and must not be modified. */
     public void feed(ByteBuffer more) {
         if (!buffer.hasRemaining()) {
             buffer = more;
@@ -97,6 +98,7 @@
         return true;
     }
 
+    /** The type of the message; 0 for one without a type byte. */
     public byte type() {
         return type;
     }
--- a/src/main/java/honeygap/net/pg/Query.java
+++ b/src/main/java/honeygap/net/pg/Query.java
@@ -14,8 +14,10 @@
         /** Ok; the row is as received from the appliance. */
         void answer(ByteBuffer... row);
 
+        /** Pushed back; the client should not retry before this time has passed. */
         void pushBack(long retryAfterMs);
 
+        /** Aborted; the RPC may or may not have had an effect. */
         void abort();
     }
 
@@ -33,14 +35,17 @@
         this.textAfterTimeout = textAfterTimeout;
     }
 
+    /** The text of the statement before the client's timeout. */
     public ByteBuffer before() {
         return textBeforeTimeout;
     }
 
+    /** The text of the statement after the client's timeout. */
     public ByteBuffer after() {
         return textAfterTimeout;
     }
 
+    /** Whether a client still waits for the response. */
     public boolean isAwaitingResponse() {
         return responseHandler != null;
     }
@@ -50,6 +55,7 @@
         responseHandler = null;
     }
 
+    /** Final answer: ok, with the row received from the appliance. */
     public void answer(ByteBuffer... row) {
         once();
         if (responseHandler != null) {
--- a/src/main/java/honeygap/net/pg/Shapes.java
+++ b/src/main/java/honeygap/net/pg/Shapes.java
@@ -15,6 +15,7 @@
     private Shapes() {
     }
 
+    /** Checks that the body of a message matches its type and length. */
     public static void check(byte type, ByteBuffer body) throws Malformed {
         boolean isValid;
         switch (type) {
--- a/src/main/java/honeygap/net/pg/Statement.java
+++ b/src/main/java/honeygap/net/pg/Statement.java
@@ -135,30 +135,37 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
+    /** The id that the client gave the RPC. */
     public String id() {
         return id;
     }
 
+    /** The name of the requested method. */
     public String method() {
         return method;
     }
 
+    /** The name of the tenant; null if there is none. */
     public String tenant() {
         return tenant;
     }
 
+    /** The key that the statement reads or writes. */
     public String key() {
         return key;
     }
 
+    /** The client's timeout in milliseconds. */
     public long timeMs() {
         return timeoutMs;
     }
 
+    /** The client's estimate of the work in microseconds; 0 if there is none. */
     public long hintMicros() {
         return hintMicros;
     }
 
+    /** Whether the client marked the statement as a retry. */
     public boolean retry() {
         return retry;
     }
--- a/src/main/java/honeygap/net/pg/Words.java
+++ b/src/main/java/honeygap/net/pg/Words.java
@@ -69,14 +69,17 @@
         return READY_FOR_QUERY.duplicate();
     }
 
+    /** The response to an empty query. */
     public static ByteBuffer emptyQuery() {
         return EMPTY_QUERY_RESPONSE.duplicate();
     }
 
+    /** The response to a command that changes a session setting, which has no effect. */
     public static ByteBuffer setComplete() {
         return SET_COMPLETE.duplicate();
     }
 
+    /** The response to a startup message: no authentication, parameters, ready for queries. */
     public static ByteBuffer welcome() {
         return STARTUP_RESPONSE.duplicate();
     }
@@ -116,6 +119,7 @@
             ByteBuffer.wrap(digits), textAfterTimeout.duplicate(), ByteBuffer.wrap(new byte[1])};
     }
 
+    /** A query with this text. */
     public static ByteBuffer query(String text) {
         return message('Q', cString(text));
     }
