--- a/src/main/java/honeygap/net/clients/Clients.java
+++ b/src/main/java/honeygap/net/clients/Clients.java
@@ -47,7 +47,7 @@
     private long unknownCount;
     private long duplicateIdCount;
     private long pushedBackCount;
-    private long rescuedCount;
+    private long abortedByGuardCount;
     final Statement statement = new Statement();
     private final Map<Method, String> methodNames = new HashMap<>();
     private final ShutdownLog shutdownLog;
@@ -128,7 +128,7 @@
      */
     void abortIfUnanswered(Query call) {
         if (call.isAwaitingResponse()) {
-            rescuedCount++;
+            abortedByGuardCount++;
             call.closed = true;
             call.abort();
         }
@@ -213,7 +213,7 @@
         counters.count("unknown", unknownCount);
         counters.count("open ids", duplicateIdCount);
         counters.count("pushed back", pushedBackCount);
-        counters.count("rescued", rescuedCount);
+        counters.count("rescued", abortedByGuardCount);
         failuresByReason.forEach((reason, count) -> counters.count("given up: " + reason.word, count));
         counters.count("given up, lines left out", failureLogBudget.leftOut());
     }
--- a/src/main/java/honeygap/net/guests/Guest.java
+++ b/src/main/java/honeygap/net/guests/Guest.java
@@ -28,7 +28,20 @@
     private static final long FIRST_RPC_TIMEOUT = STAGE_TIMEOUT / 6;
 
     /** What a connection waits for; the names appear, in lower case, in the shutdown log. */
-    private enum Stage { NEW, START, REST, HALF, ANSWER, UNREAD }
+    private enum Stage {
+        /** Not yet opened. */
+        NEW,
+        /** The startup of the connection. */
+        START,
+        /** The next request. */
+        REST,
+        /** The rest of a partially received request. */
+        HALF,
+        /** The response to the open RPC. */
+        ANSWER,
+        /** The client's reading of a response. */
+        UNREAD
+    }
 
     private final Guests connections;
     private final Loop loop;
--- a/src/main/java/honeygap/net/guests/Guests.java
+++ b/src/main/java/honeygap/net/guests/Guests.java
@@ -176,7 +176,8 @@
 
     /**
      * Closes connections that have been idle for the idle timeout. Guards against clients that send one request and
-     * keep the connection, which would use up the connection limit.
+     * keep the connection, which would use up the connection limit. Clients that send requests at shorter intervals
+     * are not affected.
      */
     private void closeExpiredIdle() {
         idleTimer = null;
--- a/src/main/java/honeygap/net/http/Answers.java
+++ b/src/main/java/honeygap/net/http/Answers.java
@@ -19,8 +19,8 @@
         void head(int status);
 
         /**
-         * One header field, reported before {@link #head}; the name is in lower case. The HTTP version comes first,
-         * with an empty name.
+         * One header field, reported before {@link #head}; the name is in lower case. The HTTP version comes
+         * first, with an empty name.
          */
         default void field(String name, String value) throws Malformed {
         }
--- a/src/main/java/honeygap/net/ofrep/Exchange.java
+++ b/src/main/java/honeygap/net/ofrep/Exchange.java
@@ -35,7 +35,7 @@
         }
     };
     private long callCount;
-    private long rescuedCount;
+    private long abortedByGuardCount;
 
     public Exchange(Loop loop, Rules rules, Answers answers, Limits limits) {
         this.loop = loop;
@@ -48,7 +48,7 @@
     public void submit(PendingEvaluation evaluation, long tick) {
         evaluation.guard = loop.at(evaluation.deadline + 2 * tick, () -> loop.post(() -> {
             if (!evaluation.isEnded()) {
-                rescuedCount++;
+                abortedByGuardCount++;
                 answers.left(evaluation);
                 evaluation.abort();
             }
@@ -56,7 +56,7 @@
         loop.gather(() -> answers.asked(evaluation));
     }
 
-    /** Abandons an evaluation whose client has disconnected or was answered otherwise. */
+    /** Abandons an evaluation whose client has disconnected or that the shutdown ends. */
     public void abandon(PendingEvaluation evaluation) {
         loop.gather(() -> answers.left(evaluation));
     }
@@ -131,6 +131,6 @@
     public void report(Counters counters) {
         answers.report(counters::count);
         counters.count("told to stay away", limits.told());
-        counters.count("rescued", rescuedCount);
+        counters.count("rescued", abortedByGuardCount);
     }
 }
