--- /dev/null
+++ b/src/main/java/honeygap/net/clients/PgClientConnection.java
@@ -0,0 +1,223 @@
+package honeygap.net.clients;
+
+import honeygap.net.guests.Guest;
+import honeygap.net.pg.Frames;
+import honeygap.net.pg.Query;
+import honeygap.net.pg.Statement;
+import honeygap.net.pg.Words;
+import honeygap.net.shutdown.ShutdownEvent;
+import honeygap.read.Malformed;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.Locale;
+
+/** A client connection that speaks the PostgreSQL wire protocol. */
+final class PgClientConnection extends Guest implements Query.ResponseHandler {
+
+    /** In bytes: a value of 64 KiB as hexadecimal digits, plus the statement around it. */
+    private static final int MAX_MESSAGE_LENGTH = 2 * 65536 + 4096;
+    /** In bytes. */
+    private static final int MAX_STARTUP_LENGTH = 10_000;
+    /**
+     * Complete messages that may be queued behind an open RPC. Clients send one request at a time and open
+     * further connections under load, so a longer queue is treated as a protocol violation.
+     */
+    private static final int MAX_QUEUED_MESSAGES = 64;
+
+    private final Clients clients;
+    private final Frames decoder = new Frames(MAX_MESSAGE_LENGTH);
+    private boolean started;
+    private Query call;
+
+    PgClientConnection(Clients clients) {
+        super(clients.connections);
+        this.clients = clients;
+    }
+
+    @Override
+    protected boolean isStarted() {
+        return started;
+    }
+
+    @Override
+    protected boolean isAsking() {
+        return call != null;
+    }
+
+    @Override
+    protected int waiting() {
+        return decoder.waiting();
+    }
+
+    @Override
+    protected int longest() {
+        return MAX_MESSAGE_LENGTH;
+    }
+
+    @Override
+    protected ByteBuffer tooLongWord() {
+        return Words.fatal(Words.PROTOCOL_VIOLATION, "nothing whole has come in time");
+    }
+
+    @Override
+    protected ByteBuffer tooManyWord() {
+        return Words.fatal(Words.TOO_MANY, "too many connections");
+    }
+
+    @Override
+    protected ByteBuffer shutdownWord() {
+        return Words.fatal(Words.CANNOT_CONNECT_NOW, "this agent is shutting down, trying again is harmless");
+    }
+
+    @Override
+    protected void giveUp() {
+        clients.abortIfUnanswered(call);
+    }
+
+    @Override
+    protected void keep(ByteBuffer bytes) {
+        decoder.feed(bytes);
+    }
+
+    @Override
+    protected void leave() {
+        if (call != null) {
+            Query abandoned = call;
+            clients.recordShutdownEvent(ShutdownEvent.ABANDONED, abandoned, this);
+            closeCall();
+            clients.abandoned(abandoned);
+        }
+    }
+
+    @Override
+    protected void read() {
+        try {
+            while (canRead() && (started ? decoder.next() : decoder.nextUntyped(MAX_STARTUP_LENGTH))) {
+                if (started) {
+                    handleMessage();
+                } else {
+                    handleStartup(decoder.body());
+                }
+            }
+        } catch (Malformed e) {
+            rejectMalformed(e.getMessage());
+        }
+        if (!isEnding() && started && decoder.hasMoreMessagesThan(MAX_QUEUED_MESSAGES)) {
+            rejectMalformed("too many commands at once");
+        }
+    }
+
+    private void handleStartup(ByteBuffer body) throws Malformed {
+        if (body.remaining() < 4) {
+            throw new Malformed("a startup of length " + body.remaining());
+        }
+        switch (body.getInt(0)) {
+            case Words.TLS:
+            case Words.GSS:
+                write(Words.encryptionRefused());
+                break;
+            case Words.VERSION:
+                started = true;
+                if (clients.connections.isFull()) {
+                    end(tooManyWord());
+                } else {
+                    write(Words.welcome());
+                }
+                break;
+            case Words.CANCEL_REQUEST:
+                closeNow();
+                break;
+            default:
+                throw new Malformed("an unknown protocol version");
+        }
+    }
+
+    private void handleMessage() throws Malformed {
+        switch (decoder.type()) {
+            case 'Q':
+                handleQuery(decoder.body());
+                break;
+            case 'X':
+                closeNow();
+                break;
+            default:
+                throw new Malformed("only simple queries are taken");
+        }
+    }
+
+    private void handleQuery(ByteBuffer body) throws Malformed {
+        hasAsked();
+        if (!body.hasRemaining() || body.get(body.limit() - 1) != 0) {
+            throw new Malformed("a query without an end");
+        }
+        Statement statement = clients.statement;
+        if (statement.read(body)) {
+            call = clients.openRpc(this, statement);
+            if (call != null) {
+                clients.submit(call);
+            } else {
+                write(Words.error(Words.SYNTAX_ERROR, "unknown method, or an id that is open", 0));
+            }
+            return;
+        }
+        String text = body.remaining() > 64 ? "?"
+                : StandardCharsets.UTF_8.decode(body.duplicate()).toString()
+                .replace('\0', ' ').replace(';', ' ').strip().toUpperCase(Locale.ROOT);
+        String command = text.split("\\s", 2)[0];
+        if (text.isEmpty()) {
+            write(Words.emptyQuery());
+        } else if (command.equals("SET") || command.equals("RESET") || command.equals("DISCARD")) {
+            write(Words.setComplete());
+        } else {
+            clients.countUnknown();
+            write(Words.error(Words.SYNTAX_ERROR, "not a statement that is taken here", 0));
+        }
+    }
+
+    @Override
+    public void answer(ByteBuffer... row) {
+        clients.recordShutdownEvent(ShutdownEvent.SERVED, call, this);
+        ByteBuffer[] parts = Arrays.copyOf(row, row.length + 1);
+        parts[row.length] = Words.ready();
+        finishCall(parts);
+    }
+
+    @Override
+    public void pushBack(long retryAfterMs) {
+        clients.recordShutdownEvent(ShutdownEvent.REFUSED, call, this);
+        clients.recordFailure(call);
+        clients.countPushedBack();
+        finishCall(Words.error(Words.TOO_MANY, "pushed back, trying again is harmless", retryAfterMs));
+    }
+
+    @Override
+    public void abort() {
+        clients.recordShutdownEvent(ShutdownEvent.FAILED, call, this);
+        clients.recordFailure(call);
+        finishCall(Words.error(Words.GIVEN_UP, "aborted", 0));
+    }
+
+    private void finishCall(ByteBuffer... parts) {
+        closeCall();
+        write(parts);
+    }
+
+    /** Detaches the open RPC from this connection after it was answered or its client disconnected. */
+    private void closeCall() {
+        call.guard.callOff();
+        call.detachHandler();
+        clients.removeRpc(call);
+        call = null;
+    }
+
+    /**
+     * Ends the connection, because the bytes after a malformed message can't be interpreted. The final error
+     * message also serves as the response to an open RPC.
+     */
+    private void rejectMalformed(String reason) {
+        clients.countMalformed();
+        leave();
+        end(Words.fatal(Words.PROTOCOL_VIOLATION, reason));
+    }
+}
--- a/src/main/java/honeygap/net/guests/Guest.java
+++ b/src/main/java/honeygap/net/guests/Guest.java
@@ -9,75 +9,93 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * A client's connection, whatever it speaks: its stages and their timer, its place among the others, what is
- * written to it. RPCs come one after another, each answered whole before the next is read.
+ * A client connection, independent of its protocol: its stages and their timer, its entry among the other
+ * connections, and writes to it. RPCs are processed one at a time; each is answered completely before the next
+ * one is read.
  */
 public abstract class Guest implements Peer {
 
-    /** A client that can't be served is owed a word or a close by then after it came, or was answered. */
-    private static final long OWED = 30_000;
-    /** The same where it has asked before, or has much to send. */
-    private static final long OWED_LATER = 2 * OWED;
-    private static final long GRACE = OWED / 20;
-    /** A connection that has just come is owed so long for its first RPC; its client may be held up as well. */
-    private static final long FIRST_RPC_WITHIN = OWED / 6;
-
-    /** What a connection waits for. */
-    private enum Stage { NEW, START, REST, HALF, ANSWER, UNREAD }
+    /**
+     * How long a connection may stay in one stage before it is sent an error or closed, counted from its accept
+     * or its last response. Durations in this class are tenths of a millisecond.
+     */
+    private static final long STAGE_TIMEOUT = 30_000;
+    /** The same for the rest of a message on a connection that has already sent a request. */
+    private static final long PARTIAL_REQUEST_TIMEOUT = 2 * STAGE_TIMEOUT;
+    /** Granted at the end of a stage, so that input received during a pause of the agent is read first. */
+    private static final long STAGE_GRACE = STAGE_TIMEOUT / 20;
+    /** A new connection is kept this long for its first RPC, because its client may be delayed too. */
+    private static final long FIRST_RPC_TIMEOUT = STAGE_TIMEOUT / 6;
+
+    /** What a connection waits for; the names appear, in lower case, in the shutdown log. */
+    private enum Stage {
+        /** Not yet opened. */
+        NEW,
+        /** The startup of the connection. */
+        START,
+        /** The next request. */
+        REST,
+        /** The rest of a partially received request. */
+        HALF,
+        /** The response to the open RPC. */
+        ANSWER,
+        /** The client's reading of a response. */
+        UNREAD
+    }
 
-    private final Guests guests;
+    private final Guests connections;
     private final Loop loop;
     private IoSession session;
-    /** An answer of the agent's own, or of an RPC, is not yet handed over. */
+    /** A response is not yet completely handed over to the operating system. */
     private boolean writing;
     private boolean ending;
-    private boolean gone;
+    private boolean disconnected;
     private Stage stage = Stage.NEW;
-    private long cameAt;
-    private long owedSince;
-    private long waitsSince;
-    /** Kept by the one that closes clients idle for long. */
+    private long openedAt;
+    private long earliestAcceptedAt;
+    private long stageSince;
+    /** Maintained by {@link Guests}, which closes connections that have been idle for too long. */
     long idleSince;
-    private boolean hasAsked;
-    /** Ends a stage that lasts for too long. */
-    private Loop.Timer timer;
+    private boolean hasReceivedRequest;
+    /** Ends a stage that lasts too long. */
+    private Loop.Timer stageTimer;
 
-    protected Guest(Guests guests) {
-        this.guests = guests;
-        loop = guests.loop;
+    protected Guest(Guests connections) {
+        this.connections = connections;
+        loop = connections.loop;
     }
 
-    /** Whether it has said what a connection begins with. */
+    /** Whether the client has sent what its protocol requires at the start of a connection. */
     protected abstract boolean isStarted();
 
-    /** Whether an RPC of it is open. */
+    /** Whether an RPC of this connection is open. */
     protected abstract boolean isAsking();
 
-    /** How many bytes are kept that wait to be read, or are half of a message. */
+    /** How many received bytes are buffered: unread messages or part of one. */
     protected abstract int waiting();
 
-    /** Keeps what came in. */
+    /** Buffers received bytes. */
     protected abstract void keep(ByteBuffer bytes);
 
-    /** Reads what it can, as long as {@link #canRead}. */
+    /** Processes buffered messages for as long as {@link #canRead} holds. */
     protected abstract void read();
 
-    /** Nobody waits for the open RPC any more. */
+    /** Abandons the open RPC, if any, because the client has disconnected. */
     protected abstract void leave();
 
-    /** The last word to a client of which nothing whole has come in time. */
+    /** The final response to a client that has not sent a complete request in time. */
     protected abstract ByteBuffer tooLongWord();
 
-    /** The last word to a client that must make room. */
+    /** The final response to a client that is disconnected because there are too many connections. */
     protected abstract ByteBuffer tooManyWord();
 
-    /** The last word to a client whose request has not come whole when the agent ends. */
+    /** The final response to a client whose request is still incomplete when the agent shuts down. */
     protected abstract ByteBuffer shutdownWord();
 
-    /** Answers the open RPC as failed: whoever should have answered has not. */
+    /** Answers the open RPC as failed, because no response was produced for it in time. */
     protected abstract void giveUp();
 
-    /** How many bytes may wait behind an open RPC. */
+    /** How many bytes may be buffered behind an open RPC before reading is suspended. */
     protected abstract int longest();
 
     protected final boolean canRead() {
@@ -88,26 +106,27 @@
         return ending;
     }
 
-    /** From now on it has longer for the rest of a message. */
+    /** Marks that the client has sent a request, which extends the timeout for the rest of later messages. */
     protected final void hasAsked() {
-        hasAsked = true;
+        hasReceivedRequest = true;
     }
 
     @Override
     public final void opened(IoSession session) {
         this.session = session;
-        // It came at some time since the last turn began, which may be long ago where little came or the process stood still:
-        // what it is owed in time counts from then, what it is given time for from now.
-        owedSince = loop.now();
-        cameAt = loop.clock();
-        guests.noted(ShutdownEvent.ACCEPTED, this);
-        stage();
-        guests.came(this);
+        // The connection was accepted at some time since the last loop iteration began, which may be long ago if
+        // there was little traffic or the process was suspended. The response timeout counts from that earliest
+        // time; the time granted for the first RPC counts from now.
+        earliestAcceptedAt = loop.now();
+        openedAt = loop.clock();
+        connections.recordShutdownEvent(ShutdownEvent.ACCEPTED, this);
+        updateStage();
+        connections.add(this);
     }
 
     @Override
     public final void unreachable() {
-        gone = true;
+        disconnected = true;
     }
 
     @Override
@@ -117,7 +136,7 @@
         }
         keep(bytes);
         advance();
-        // Behind an open RPC no more is kept than one message; what is half read is never that long.
+        // Limits the bytes buffered behind an open RPC. A partial message never reaches this limit.
         if (waiting() > longest() && !ending) {
             session.suspendRead();
         }
@@ -136,77 +155,79 @@
 
     @Override
     public final void closed() {
-        gone = true;
-        stage();
-        guests.went(this);
-        guests.closed();
+        disconnected = true;
+        updateStage();
+        connections.remove(this);
+        connections.connectionClosed();
         leave();
     }
 
     protected final void advance() {
         read();
-        stage();
-        guests.idle(this, isIdle());
+        updateStage();
+        connections.updateIdle(this, isIdle());
     }
 
     /**
-     * One timer for whatever is waited for from this client: its start, the rest of a message, the reading of
-     * an answer. Guards against connections that say nothing, or half of something, and keep a place.
+     * Updates the stage and restarts its timer. One timer covers everything expected from the client: its startup,
+     * the rest of a message and the reading of a response. It guards against connections that occupy a slot
+     * without sending a complete request.
      */
-    private void stage() {
-        Stage next = gone ? Stage.REST : writing || ending ? Stage.UNREAD : !isStarted() ? Stage.START
+    private void updateStage() {
+        Stage next = disconnected ? Stage.REST : writing || ending ? Stage.UNREAD : !isStarted() ? Stage.START
                 : isAsking() ? Stage.ANSWER : waiting() > 0 ? Stage.HALF : Stage.REST;
         if (next == stage) {
             return;
         }
         stage = next;
-        waitsSince = loop.clock();
-        if (timer != null) {
-            timer.callOff();
-            timer = null;
+        stageSince = loop.clock();
+        if (stageTimer != null) {
+            stageTimer.callOff();
+            stageTimer = null;
         }
         if (next != Stage.REST && next != Stage.ANSWER) {
-            // An agent that stood still itself first reads what has come meanwhile.
-            long from = next == Stage.UNREAD || hasAsked ? loop.clock() : owedSince;
-            timer = loop.at(from + (next == Stage.HALF && hasAsked ? OWED_LATER : OWED - 2 * GRACE),
-                    () -> timer = loop.at(loop.now() + GRACE, this::tooLong));
+            // The second timer lets an agent that was itself suspended read the input received meanwhile.
+            long start = next == Stage.UNREAD || hasReceivedRequest ? loop.clock() : earliestAcceptedAt;
+            stageTimer = loop.at(start + (next == Stage.HALF && hasReceivedRequest ? PARTIAL_REQUEST_TIMEOUT
+                            : STAGE_TIMEOUT - 2 * STAGE_GRACE),
+                    () -> stageTimer = loop.at(loop.now() + STAGE_GRACE, this::stageTimedOut));
         }
-        guests.waitsFor(this, next == Stage.START || next == Stage.HALF);
+        connections.updateAwaitingInput(this, next == Stage.START || next == Stage.HALF);
     }
 
-    private void tooLong() {
-        guests.tooLong();
-        drop(tooLongWord());
+    private void stageTimedOut() {
+        connections.countTimedOut();
+        terminate(tooLongWord());
     }
 
-    final boolean hasBeenServed() {
-        return hasAsked;
+    final boolean hasReceivedRequest() {
+        return hasReceivedRequest;
     }
 
-    /** It has asked, or has had time to: one that has just come sends its first RPC yet. */
-    final boolean hadItsTurn() {
-        return hasAsked || loop.now() >= hasItsTurnAt();
+    /** Whether the client has sent a request or has had enough time since it connected to send its first one. */
+    final boolean hadTimeForFirstRpc() {
+        return hasReceivedRequest || loop.now() >= firstRpcDeadline();
     }
 
-    /** What it waits for, in small letters. */
-    final String waitsFor() {
+    /** The current stage in lower case. */
+    final String stageName() {
         return stage.name().toLowerCase(Locale.ROOT);
     }
 
-    /** For how long its connection has been here. */
+    /** How long the connection has been open, in tenths of a millisecond. */
     public final long age() {
-        return loop.clock() - cameAt;
+        return loop.clock() - openedAt;
     }
 
-    /** When at the latest it has had its turn. */
-    final long hasItsTurnAt() {
-        return cameAt + FIRST_RPC_WITHIN;
+    /** The end of the time granted to a new connection for its first RPC. */
+    final long firstRpcDeadline() {
+        return openedAt + FIRST_RPC_TIMEOUT;
     }
 
     /**
-     * Closes between RPCs, unless the next one has come: then that is read first. What comes later is left unread, so
-     * that the client knows it was not taken. Guards against an RPC that comes as the agent closes: read and dropped,
-     * it would be lost. Whether it was closed.
+     * Closes the connection between RPCs, unless the next one has already arrived: then that is read first. Later
+     * input is left unread, so that the client can tell that it was not accepted. Otherwise an RPC that arrives
+     * during the close would be read and dropped. Returns whether the connection was closed.
      */
     final boolean closeIdle() {
         ByteBuffer next = loop.unread(session);
@@ -219,8 +240,8 @@
         return true;
     }
 
-    /** The agent ends: whatever is open or half read gets its last word now. */
-    final void endsNow() {
+    /** Sends a final response for an open RPC or a partial request, because the agent shuts down. */
+    final void endForShutdown() {
         if (isAsking()) {
             giveUp();
         } else if (!writing && !ending) {
@@ -228,35 +249,35 @@
         }
     }
 
-    /** Closes at once, with a last word where none is on its way. */
-    final void drop(ByteBuffer last) {
+    /** Closes the connection at once; the response is sent first unless one is already being written. */
+    final void terminate(ByteBuffer response) {
         if (stage == Stage.UNREAD) {
             session.closeNow();
         } else {
-            end(last);
+            end(response);
         }
     }
 
-    /** What is waited for could have been read by now. */
-    final boolean isLate() {
-        return waitsSince + GRACE < loop.now();
+    /** Whether the awaited input would have been read by now if the client had sent it. */
+    final boolean isOverdue() {
+        return stageSince + STAGE_GRACE < loop.now();
     }
 
-    /** Nothing has come from it yet that is kept. */
-    final boolean isSilent() {
+    /** Whether no input has been received from the client. */
+    final boolean hasSentNothing() {
         return !isStarted() && !writing && !ending && waiting() == 0;
     }
 
-    /** Nothing taken is open here, and nothing half read. */
+    /** Whether no RPC is open, nothing is being written and no partial request is buffered. */
     final boolean isIdle() {
         return isStarted() && !isAsking() && !writing && !ending && waiting() == 0;
     }
 
     protected final void close() {
-        guests.noted(ShutdownEvent.CLOSED, this);
+        connections.recordShutdownEvent(ShutdownEvent.CLOSED, this);
         ending = true;
         session.closeOnFlush();
-        stage();
+        updateStage();
     }
 
     protected final void closeNow() {
@@ -265,14 +286,14 @@
     }
 
     protected final void write(ByteBuffer... parts) {
-        if (!gone) {
+        if (!disconnected) {
             writing = true;
             session.write(new Gathered(parts));
         }
     }
 
-    protected final void end(ByteBuffer last) {
-        write(last);
+    protected final void end(ByteBuffer response) {
+        write(response);
         close();
     }
 }
--- a/src/main/java/honeygap/net/guests/Guests.java
+++ b/src/main/java/honeygap/net/guests/Guests.java
@@ -14,225 +14,237 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** All connections of one front: who may stay, who makes room, who has rested for too long. */
+/** All client connections of one front: enforces the connection limit and closes idle connections. */
 public final class Guests {
 
-    /** One place over for so many that may stay. */
-    private static final int OVER = 16;
+    /** One connection above the limit is accepted per this many, see {@link #places}. */
+    private static final int CONNECTIONS_PER_EXTRA = 16;
 
     final Loop loop;
-    private final int most;
-    private final int crowd;
-    private final long kept;
+    private final int maxConnections;
+    private final int idleCloseThreshold;
+    private final long idleTimeout;
     private final ShutdownLog shutdownLog;
-    private final Set<Guest> here = new LinkedHashSet<>();
-    /** Longest idle first. */
+    private final Set<Guest> connections = new LinkedHashSet<>();
+    /** Connections without an open RPC; longest idle first. */
     private final Set<Guest> idle = new LinkedHashSet<>();
-    /** Those whose start, or the rest of whose message, is waited for; longest so first. */
-    private final Set<Guest> waitedFor = new LinkedHashSet<>();
-    private Loop.Timer sweep;
-    /** Connections that are here, or that are closed once all has been written to them. */
+    /** Connections whose startup or rest of a message is awaited; longest waiting first. */
+    private final Set<Guest> awaitingInput = new LinkedHashSet<>();
+    private Loop.Timer idleTimer;
+    /** Number of connections, including those that close once their last response is written. */
     private int connected;
-    private boolean leaving;
+    private boolean closing;
     private boolean isShuttingDown;
     private boolean drained;
-    private long tooLong;
-    private long madeRoom;
-    private long crowded;
-    private long full;
+    private long timedOutCount;
+    private long evictedCount;
+    private long closedAboveThresholdCount;
+    private long rejectedCount;
 
-    /** Above a crowd idle ones go, most is the limit; one idle for so long, in tenths of a millisecond, goes. */
-    public Guests(Loop loop, int most, int crowd, long kept, ShutdownLog shutdownLog) {
+    /**
+     * Creates an empty set of connections.
+     *
+     * @param maxConnections how many connections may stay open
+     * @param idleCloseThreshold number of connections above which idle ones are closed
+     * @param idleTimeout time after which an idle connection is closed, in tenths of a millisecond
+     */
+    public Guests(Loop loop, int maxConnections, int idleCloseThreshold, long idleTimeout, ShutdownLog shutdownLog) {
         this.loop = loop;
         this.shutdownLog = shutdownLog;
-        this.most = most;
-        this.crowd = crowd;
-        this.kept = kept;
+        this.maxConnections = maxConnections;
+        this.idleCloseThreshold = idleCloseThreshold;
+        this.idleTimeout = idleTimeout;
     }
 
     /**
-     * At the limit whoever has been waited for longest makes room, or else has been idle longest. Guards
-     * against turning down those that came in the same moment and have not been read: they ask at once again.
+     * Adds a new connection. At the limit, the connection whose input has been awaited longest is evicted, or else
+     * the one that has been idle longest. Connections accepted at the same moment and not yet read are not
+     * evicted, because their clients would reconnect at once.
      */
-    void came(Guest guest) {
+    void add(Guest connection) {
         connected++;
-        here.add(guest);
-        waitedFor.add(guest);
-        if (leaving) {
-            closeAtLast(guest);
+        connections.add(connection);
+        awaitingInput.add(connection);
+        if (closing) {
+            closeAfterFirstRpcDeadline(connection);
         }
-        while (here.size() > most) {
-            Guest longest = waitedFor.iterator().next();
-            if (!longest.isLate() && !idle.isEmpty()) {
-                // One that has just come goes last: its first RPC may be one that another close has crossed, and is not sent a third time.
-                longest = longestIdle().orElse(idle.iterator().next());
+        while (connections.size() > maxConnections) {
+            Guest evicted = awaitingInput.iterator().next();
+            if (!evicted.isOverdue() && !idle.isEmpty()) {
+                // A new connection is closed last: its first RPC may be a resend after another connection was closed,
+                // and clients don't resend a second time.
+                evicted = evictionCandidate().orElse(idle.iterator().next());
             }
-            if (longest == guest) {
+            if (evicted == connection) {
                 return;
             }
-            madeRoom++;
-            if (longest.isIdle()) {
-                closeIdle(longest);
+            evictedCount++;
+            if (evicted.isIdle()) {
+                closeIdle(evicted);
             } else {
-                went(longest);
-                longest.drop(longest.tooManyWord());
+                remove(evicted);
+                evicted.terminate(evicted.tooManyWord());
             }
         }
     }
 
-    /** The one to close where some must: one that has been answered before one that has had time to ask and has not. */
-    private Optional<Guest> longestIdle() {
-        return idle.stream().filter(Guest::hasBeenServed).findFirst()
-                .or(() -> idle.stream().filter(Guest::hadItsTurn).findFirst());
+    /** An idle connection to close: first one that has sent a request, then one that has had time to send one. */
+    private Optional<Guest> evictionCandidate() {
+        return idle.stream().filter(Guest::hasReceivedRequest).findFirst()
+                .or(() -> idle.stream().filter(Guest::hadTimeForFirstRpc).findFirst());
     }
 
-    /** Between RPCs; it has left where it was closed, and is busy where its next RPC had come. */
-    private void closeIdle(Guest guest) {
-        idle.remove(guest);
-        if (guest.closeIdle()) {
-            went(guest);
+    /** Closes an idle connection, unless its next RPC has already arrived: then it stays and is no longer idle. */
+    private void closeIdle(Guest connection) {
+        idle.remove(connection);
+        if (connection.closeIdle()) {
+            remove(connection);
         }
     }
 
-    void noted(ShutdownEvent event, Guest guest) {
-        shutdownLog.connection(event, guest.age());
+    void recordShutdownEvent(ShutdownEvent event, Guest connection) {
+        shutdownLog.connection(event, connection.age());
     }
 
-    /** A connection has gone. */
-    void closed() {
+    /** A connection is completely closed. */
+    void connectionClosed() {
         connected--;
     }
 
-    void went(Guest guest) {
-        here.remove(guest);
-        idle.remove(guest);
-        waitedFor.remove(guest);
+    void remove(Guest connection) {
+        connections.remove(connection);
+        idle.remove(connection);
+        awaitingInput.remove(connection);
     }
 
-    void waitsFor(Guest guest, boolean waits) {
-        if (waits && here.contains(guest)) {
-            waitedFor.add(guest);
+    void updateAwaitingInput(Guest connection, boolean isAwaited) {
+        if (isAwaited && connections.contains(connection)) {
+            awaitingInput.add(connection);
         } else {
-            waitedFor.remove(guest);
+            awaitingInput.remove(connection);
         }
     }
 
-    /** Whether the one that asks is one too many, or comes while nobody is taken; counted. */
+    /** Whether requests are rejected, as there are too many connections or the front is drained; counts rejections. */
     public boolean isFull() {
-        boolean isFull = here.size() > most || drained;
-        full += isFull ? 1 : 0;
-        return isFull;
+        boolean isRejected = connections.size() > maxConnections || drained;
+        rejectedCount += isRejected ? 1 : 0;
+        return isRejected;
     }
 
-    /** Takes nobody and closes connections between RPCs, or takes them again. */
+    /** Rejects requests and closes connections between RPCs, or accepts them again. */
     public void drain(boolean isDrained) {
         drained = isDrained;
         if (isDrained) {
-            leave();
+            closeBetweenRpcs();
         } else if (!isShuttingDown) {
-            leaving = false;
+            closing = false;
         }
     }
 
     /**
-     * The process ends by this schedule: whatever is open when it should have been answered, a little after the rules had their say,
-     * gets its last word.
+     * Schedules the shutdown of all connections: shortly after the time by which the rules should have answered, those
+     * with an open RPC or a partial request get a final response.
      */
     public void shutDown(ShutdownSchedule schedule, long tick) {
         isShuttingDown = true;
-        loop.at(schedule.answersBy() + 2 * tick, () -> loop.post(() -> new ArrayList<>(here).forEach(Guest::endsNow)));
-    }
-
-    void idle(Guest guest, boolean isIdle) {
-        if (!isIdle || !here.contains(guest)) {
-            idle.remove(guest);
-        } else if (leaving) {
-            closeAtLast(guest);
-        } else if (idle.add(guest)) {
-            guest.idleSince = loop.now();
-            if (sweep == null) {
-                sweep = loop.at(loop.now() + kept, this::closeIdle);
+        loop.at(schedule.answersBy() + 2 * tick,
+                () -> loop.post(() -> new ArrayList<>(connections).forEach(Guest::endForShutdown)));
+    }
+
+    void updateIdle(Guest connection, boolean isIdle) {
+        if (!isIdle || !connections.contains(connection)) {
+            idle.remove(connection);
+        } else if (closing) {
+            closeAfterFirstRpcDeadline(connection);
+        } else if (idle.add(connection)) {
+            connection.idleSince = loop.now();
+            if (idleTimer == null) {
+                idleTimer = loop.at(loop.now() + idleTimeout, this::closeExpiredIdle);
             }
-            if (here.size() > crowd) {
-                // Guards against clients that ask once a connection: they may open no more until some go. One that has
-                // not asked yet is spared: its first RPC may be on its way, and may be one that another close has crossed.
-                idle.stream().filter(Guest::hasBeenServed).findFirst().ifPresent(longest -> {
-                    crowded++;
-                    closeIdle(longest);
+            if (connections.size() > idleCloseThreshold) {
+                // Guards against clients that send one request per connection: they could open no more until others
+                // close. A connection without a request so far is kept: its first RPC may be in transit, and may be a
+                // resend after another connection was closed.
+                idle.stream().filter(Guest::hasReceivedRequest).findFirst().ifPresent(longestIdle -> {
+                    closedAboveThresholdCount++;
+                    closeIdle(longestIdle);
                 });
             }
         }
     }
 
     /**
-     * Guards against clients that ask once and stay: their connections would leave no place for others. Those
-     * that ask again within the time are never among them.
+     * Closes connections that have been idle for the idle timeout. Guards against clients that send one request and
+     * keep the connection, which would use up the connection limit. Clients that send requests at shorter intervals
+     * are not affected.
      */
-    private void closeIdle() {
-        sweep = null;
+    private void closeExpiredIdle() {
+        idleTimer = null;
         while (!idle.isEmpty()) {
-            Guest longest = idle.iterator().next();
-            if (longest.idleSince + kept > loop.now()) {
-                sweep = loop.at(longest.idleSince + kept, this::closeIdle);
+            Guest longestIdle = idle.iterator().next();
+            if (longestIdle.idleSince + idleTimeout > loop.now()) {
+                idleTimer = loop.at(longestIdle.idleSince + idleTimeout, this::closeExpiredIdle);
                 return;
             }
-            closeIdle(longest);
+            closeIdle(longestIdle);
         }
     }
 
-    /** Guards against closing a connection that has just come and whose first RPC is on its way. */
-    private void closeAtLast(Guest guest) {
-        if (guest.hadItsTurn()) {
-            closeAtRest(guest);
+    /** Closes an inactive connection, but leaves a new one time for its first RPC, which may be in transit. */
+    private void closeAfterFirstRpcDeadline(Guest connection) {
+        if (connection.hadTimeForFirstRpc()) {
+            closeIfInactive(connection);
         } else {
-            loop.at(guest.hasItsTurnAt(), () -> closeAtRest(guest));
+            loop.at(connection.firstRpcDeadline(), () -> closeIfInactive(connection));
         }
     }
 
-    /** One that has said nothing rests as well: its client is told by the close that nothing was taken. */
-    private void closeAtRest(Guest guest) {
-        if (leaving && here.contains(guest) && (guest.isIdle() || guest.isSilent())) {
-            closeIdle(guest);
+    /** Also closes connections that have sent nothing: the close shows their clients that nothing was accepted. */
+    private void closeIfInactive(Guest connection) {
+        if (closing && connections.contains(connection) && (connection.isIdle() || connection.hasSentNothing())) {
+            closeIdle(connection);
         }
     }
 
-    void tooLong() {
-        tooLong++;
+    void countTimedOut() {
+        timedOutCount++;
     }
 
-    public boolean isLeaving() {
-        return leaving;
+    public boolean isClosing() {
+        return closing;
     }
 
-    /** From now on connections are closed between RPCs. */
-    public void leave() {
-        leaving = true;
+    /** Starts closing connections between RPCs. */
+    public void closeBetweenRpcs() {
+        closing = true;
         idle.clear();
-        new ArrayList<>(here).forEach(this::closeAtLast);
+        new ArrayList<>(connections).forEach(this::closeAfterFirstRpcDeadline);
     }
 
-    /** How many connections are in each stage. */
-    public Map<String, Long> stages() {
-        return here.stream().collect(Collectors.groupingBy(Guest::waitsFor, TreeMap::new, Collectors.counting()));
+    /** The number of connections in each stage. */
+    public Map<String, Long> countByStage() {
+        return connections.stream()
+                .collect(Collectors.groupingBy(Guest::stageName, TreeMap::new, Collectors.counting()));
     }
 
-    /** Connections, those included that are closed once all has been written to them. */
+    /** The number of connections, including those that close once their last response is written. */
     public int count() {
         return connected;
     }
 
-    /** So many are let in: a few more than may stay, so that whoever makes room can be told. */
+    /** The number of connections to accept: slightly above the limit, so that evicted clients can be sent an error. */
     public int places() {
-        return most + most / OVER + 1;
+        return maxConnections + maxConnections / CONNECTIONS_PER_EXTRA + 1;
     }
 
-    /** Tells the counters that concern connections. */
+    /** Reports the connection counters. */
     public void report(Counters counters) {
-        counters.count("here", here.size());
+        counters.count("here", connections.size());
         counters.count("idle", idle.size());
-        counters.count("too long", tooLong);
-        counters.count("made room", madeRoom);
-        counters.count("crowded", crowded);
-        counters.count("full", full);
+        counters.count("too long", timedOutCount);
+        counters.count("made room", evictedCount);
+        counters.count("crowded", closedAboveThresholdCount);
+        counters.count("full", rejectedCount);
     }
 }
--- a/src/main/java/honeygap/net/http/Answers.java
+++ b/src/main/java/honeygap/net/http/Answers.java
@@ -6,198 +6,209 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** Reads HTTP/1.1 answers as they come, cut anywhere; bodies by length, in chunks, or up to the end. */
+/**
+ * Incremental parser of HTTP/1.1 responses; input may be split anywhere. Bodies are delimited by their length, by
+ * chunks or by the end of the connection.
+ */
 public final class Answers {
 
-    /** Hears what was read. */
+    /** Receives the parsed parts of responses. */
     public interface Reader {
 
+        /** The head of a response is complete. */
         void head(int status);
 
-        /** A field of the head, before it; the name in small letters. */
+        /**
+         * One header field, reported before {@link #head}; the name is in lower case. The HTTP version comes
+         * first, with an empty name.
+         */
         default void field(String name, String value) throws Malformed {
         }
 
+        /** A part of the body. */
         void data(ByteBuffer bytes) throws Malformed;
 
+        /** The response is complete. */
         void end() throws Malformed;
     }
 
-    private static final int LONGEST_LINE = 8192;
-    private static final int MOST_LINES = 100;
+    private static final int MAX_LINE_LENGTH = 8192;
+    private static final int MAX_HEAD_LINES = 100;
 
-    private static final int STATUS = 0, HEAD = 1, BODY = 2, CHUNK_SIZE = 3, CHUNK = 4, CHUNK_END = 5,
-            TRAILER = 6, UNTIL_CLOSE = 7;
+    private static final int STATUS_LINE = 0, HEADER_FIELDS = 1, BODY = 2, CHUNK_SIZE = 3, CHUNK_DATA = 4,
+            CHUNK_END = 5, TRAILER = 6, UNTIL_CLOSE = 7;
 
-    private final Reader reader;
+    private final Reader handler;
     private byte[] line = new byte[128];
-    private int length;
-    private int state = STATUS;
-    private int lines;
+    private int lineLength;
+    private int state = STATUS_LINE;
+    private int headLines;
     private int status;
-    private long left;
+    private long remaining;
     private boolean chunked;
-    private boolean lengthSeen;
+    private boolean hasContentLength;
 
-    public Answers(Reader reader) {
-        this.reader = reader;
+    /** Creates a parser that reports to this handler. */
+    public Answers(Reader handler) {
+        this.handler = handler;
     }
 
+    /** Parses more input; the buffer is consumed completely. */
     public void feed(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             switch (state) {
                 case BODY:
-                case CHUNK:
-                    int part = (int) Math.min(left, bytes.remaining());
-                    reader.data(bytes.slice(bytes.position(), part));
+                case CHUNK_DATA:
+                    int part = (int) Math.min(remaining, bytes.remaining());
+                    handler.data(bytes.slice(bytes.position(), part));
                     bytes.position(bytes.position() + part);
-                    left -= part;
-                    if (left == 0) {
-                        if (state == CHUNK) {
+                    remaining -= part;
+                    if (remaining == 0) {
+                        if (state == CHUNK_DATA) {
                             state = CHUNK_END;
                         } else {
-                            done();
+                            completeResponse();
                         }
                     }
                     break;
                 case UNTIL_CLOSE:
-                    reader.data(bytes.slice());
+                    handler.data(bytes.slice());
                     bytes.position(bytes.limit());
                     break;
                 default:
-                    if (isLine(bytes)) {
-                        String words = new String(line, 0, length, StandardCharsets.ISO_8859_1).stripTrailing();
-                        length = 0;
-                        line(words);
+                    if (readLine(bytes)) {
+                        String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1).stripTrailing();
+                        lineLength = 0;
+                        handleLine(text);
                     }
             }
         }
     }
 
-    /** Takes in bytes up to the end of a line; whether it is there. */
-    private boolean isLine(ByteBuffer bytes) throws Malformed {
+    /** Reads bytes up to the end of a line and returns whether the line is complete. */
+    private boolean readLine(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
                 return true;
             }
-            if (length == line.length) {
-                if (length >= LONGEST_LINE) {
-                    throw new Malformed("a line too long");
+            if (lineLength == line.length) {
+                if (lineLength >= MAX_LINE_LENGTH) {
+                    throw new Malformed("line too long");
                 }
-                line = Arrays.copyOf(line, 2 * length);
+                line = Arrays.copyOf(line, 2 * lineLength);
             }
-            line[length++] = next;
+            line[lineLength++] = next;
         }
         return false;
     }
 
-    /** The connection has ended, which may be the end of an answer. */
+    /** The connection has ended, which completes a response delimited by it. */
     public void close() throws Malformed {
         if (state == UNTIL_CLOSE) {
-            done();
+            completeResponse();
         }
     }
 
-    private void line(String words) throws Malformed {
+    private void handleLine(String text) throws Malformed {
         switch (state) {
-            case STATUS:
-                if (!words.startsWith("HTTP/1.") || words.length() < 12) {
-                    throw new Malformed("no status line");
+            case STATUS_LINE:
+                if (!text.startsWith("HTTP/1.") || text.length() < 12) {
+                    throw new Malformed("missing or invalid status line");
                 }
-                status = (int) number(words.substring(9, 12), 10);
-                chunked = lengthSeen = false;
-                left = 0;
-                lines = 0;
-                state = HEAD;
-                reader.field("", words.substring(0, 8));
+                status = (int) parseNumber(text.substring(9, 12), 10);
+                chunked = hasContentLength = false;
+                remaining = 0;
+                headLines = 0;
+                state = HEADER_FIELDS;
+                handler.field("", text.substring(0, 8));
                 break;
-            case HEAD:
-                head(words);
+            case HEADER_FIELDS:
+                handleHeadLine(text);
                 break;
             case CHUNK_SIZE:
-                left = number(words.split(";", 2)[0].strip(), 16);
-                state = left == 0 ? TRAILER : CHUNK;
+                remaining = parseNumber(text.split(";", 2)[0].strip(), 16);
+                state = remaining == 0 ? TRAILER : CHUNK_DATA;
                 break;
             case CHUNK_END:
-                if (!words.isEmpty()) {
-                    throw new Malformed("a chunk without an end");
+                if (!text.isEmpty()) {
+                    throw new Malformed("chunk is not followed by a line break");
                 }
                 state = CHUNK_SIZE;
                 break;
             default:
-                if (words.isEmpty()) {
-                    done();
+                if (text.isEmpty()) {
+                    completeResponse();
                 }
         }
     }
 
-    private void head(String words) throws Malformed {
-        if (++lines > MOST_LINES) {
-            throw new Malformed("too many fields");
+    private void handleHeadLine(String text) throws Malformed {
+        if (++headLines > MAX_HEAD_LINES) {
+            throw new Malformed("too many header fields");
         }
-        if (!words.isEmpty()) {
-            int colon = words.indexOf(':');
-            String name = words.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
-            String value = words.substring(colon + 1).strip();
+        if (!text.isEmpty()) {
+            int colon = text.indexOf(':');
+            String name = text.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
+            String value = text.substring(colon + 1).strip();
             if (name.equals("content-length")) {
-                long told = number(value, 10);
-                if (lengthSeen && told != left) {
-                    throw new Malformed("two lengths");
+                long declared = parseNumber(value, 10);
+                if (hasContentLength && declared != remaining) {
+                    throw new Malformed("conflicting Content-Length fields");
                 }
-                left = told;
-                lengthSeen = true;
+                remaining = declared;
+                hasContentLength = true;
             } else if (name.equals("transfer-encoding")) {
                 chunked = value.equalsIgnoreCase("chunked");
             }
-            reader.field(name, value);
+            handler.field(name, value);
             return;
         }
         if (status / 100 == 1) {
-            state = STATUS;
+            state = STATUS_LINE;
             return;
         }
-        if (chunked && lengthSeen) {
-            throw new Malformed("both a length and chunks");
+        if (chunked && hasContentLength) {
+            throw new Malformed("both Content-Length and chunked Transfer-Encoding");
         }
-        reader.head(status);
+        handler.head(status);
         if (status == 204 || status == 304) {
-            done();
+            completeResponse();
         } else if (chunked) {
             state = CHUNK_SIZE;
-        } else if (lengthSeen) {
+        } else if (hasContentLength) {
             state = BODY;
-            if (left == 0) {
-                done();
+            if (remaining == 0) {
+                completeResponse();
             }
         } else {
             state = UNTIL_CLOSE;
         }
     }
 
-    /** Whether nothing is half read. */
+    /** Whether no response is partially read. */
     public boolean isBetween() {
-        return state == STATUS && length == 0;
+        return state == STATUS_LINE && lineLength == 0;
     }
 
-    /** Whether only the end of the connection will end the answer, so that a cut one looks whole. */
+    /** Whether only the end of the connection ends the response, so that a truncated one looks complete. */
     public boolean isOpenEnded() {
         return state == UNTIL_CLOSE;
     }
 
-    private void done() throws Malformed {
-        state = STATUS;
-        reader.end();
+    private void completeResponse() throws Malformed {
+        state = STATUS_LINE;
+        handler.end();
     }
 
-    private static long number(String digits, int radix) throws Malformed {
+    private static long parseNumber(String digits, int radix) throws Malformed {
         try {
             long number = Long.parseLong(digits, radix);
             if (number >= 0) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw new Malformed("not a number: " + digits);
     }
--- a/src/main/java/honeygap/net/http/Lines.java
+++ b/src/main/java/honeygap/net/http/Lines.java
@@ -4,36 +4,39 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Cuts a body into lines, however its parts come. */
+/** Splits a body, received in parts of any size, into lines. */
 public final class Lines {
 
-    /** Hears each line without its end. */
+    /** Receives each line without its line break. */
     public interface Reader {
 
         void line(byte[] bytes, int length) throws Malformed;
     }
 
-    private static final int LONGEST = 4 << 20;
+    /** In bytes. */
+    private static final int MAX_LINE_LENGTH = 4 << 20;
 
-    private final Reader reader;
+    private final Reader handler;
     private byte[] line = new byte[1024];
     private int length;
 
-    public Lines(Reader reader) {
-        this.reader = reader;
+    /** Creates a splitter that reports to this handler. */
+    public Lines(Reader handler) {
+        this.handler = handler;
     }
 
+    /** Splits more input; the buffer is consumed completely. */
     public void feed(ByteBuffer bytes) throws Malformed {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
-                int whole = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
+                int lineLength = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
                 length = 0;
-                reader.line(line, whole);
+                handler.line(line, lineLength);
             } else {
                 if (length == line.length) {
-                    if (length >= LONGEST) {
-                        throw new Malformed("a line too long");
+                    if (length >= MAX_LINE_LENGTH) {
+                        throw new Malformed("line too long");
                     }
                     line = Arrays.copyOf(line, 2 * length);
                 }
--- a/src/main/java/honeygap/net/http/Stream.java
+++ b/src/main/java/honeygap/net/http/Stream.java
@@ -5,51 +5,55 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** A GET whose answer may stay open: read by lines, over when it ends, fails or is silent for too long. */
+/** A GET request with a streamed response, read line by line until it ends, fails or is silent for too long. */
 public final class Stream implements Answers.Reader {
 
-    /** Hears, once, that it is over, and how. */
+    /** Notified of the progress and end of the stream. */
     public interface Ending {
 
+        /** The stream has ended; called once. */
         void ended(StreamEnd end);
 
-        /** The request has been taken: what it asks for comes, or signs of life do. */
+        /** The request was accepted: data or heartbeats follow. */
         default void taken() {
         }
     }
 
     private final Loop loop;
-    private final long silentFor;
+    private final long silenceTimeout;
     private final Lines lines;
-    private final Ending ending;
+    private final Ending listener;
     private final Connection connection;
-    private Loop.Timer silence;
+    private Loop.Timer timeoutTimer;
     private int status;
-    private boolean over;
+    private boolean ended;
 
-    /** The head must come in one time, all that is behind it in another after what came last. */
-    public Stream(Loop loop, InetSocketAddress address, String path, long answerWithin,
-                  long silentFor, Lines.Reader reader, Ending ending) {
+    /**
+     * Sends the request. The response head must arrive within {@code headTimeout}, and later data at intervals of at
+     * most {@code silenceTimeout}; both are in tenths of a millisecond.
+     */
+    public Stream(Loop loop, InetSocketAddress address, String path, long headTimeout,
+                  long silenceTimeout, Lines.Reader lineHandler, Ending listener) {
         this.loop = loop;
-        this.silentFor = silentFor;
-        this.ending = ending;
-        lines = new Lines(reader);
-        silence = loop.at(loop.now() + answerWithin, () -> end(StreamEnd.Cause.NO_ANSWER));
-        connection = new Connection(loop, address, this, (end, handedOver) -> end(cause(end)));
+        this.silenceTimeout = silenceTimeout;
+        this.listener = listener;
+        lines = new Lines(lineHandler);
+        timeoutTimer = loop.at(loop.now() + headTimeout, () -> endWith(StreamEnd.Cause.NO_ANSWER));
+        connection = new Connection(loop, address, this, (end, requestWritten) -> endWith(cause(end)));
         connection.get(path);
     }
 
-    /** Closes without a word to whoever hears the ending. */
+    /** Closes the stream without notifying the listener. */
     public void close() {
-        over = true;
-        silence.callOff();
+        ended = true;
+        timeoutTimer.callOff();
         connection.close();
     }
 
-    private void end(StreamEnd.Cause cause) {
-        if (!over) {
+    private void endWith(StreamEnd.Cause cause) {
+        if (!ended) {
             close();
-            ending.ended(new StreamEnd(cause, status));
+            listener.ended(new StreamEnd(cause, status));
         }
     }
 
@@ -65,33 +69,34 @@
     public void head(int status) {
         this.status = status;
         if (status != 200) {
-            end(StreamEnd.Cause.STATUS);
-        } else if (!over) {
-            // Guards against asking again and again where the first thing to tell is a sign of life, seconds later.
-            live();
-            ending.taken();
+            endWith(StreamEnd.Cause.STATUS);
+        } else if (!ended) {
+            // Reported with the head, because the first line may be a heartbeat seconds later and waiting for it would
+            // make the caller retry again and again.
+            restartSilenceTimer();
+            listener.taken();
         }
     }
 
     @Override
     public void data(ByteBuffer bytes) throws Malformed {
-        if (!over) {
-            live();
+        if (!ended) {
+            restartSilenceTimer();
             lines.feed(bytes);
         }
     }
 
-    private void live() {
-        silence.callOff();
-        silence = loop.at(loop.now() + silentFor, () -> end(StreamEnd.Cause.SILENT));
+    private void restartSilenceTimer() {
+        timeoutTimer.callOff();
+        timeoutTimer = loop.at(loop.now() + silenceTimeout, () -> endWith(StreamEnd.Cause.SILENT));
     }
 
     @Override
     public void end() throws Malformed {
-        if (!over) {
-            // The last line may come without its end.
+        if (!ended) {
+            // The last line may lack a line break.
             lines.feed(ByteBuffer.wrap(new byte[] {'\n'}));
         }
-        end(StreamEnd.Cause.COMPLETE);
+        endWith(StreamEnd.Cause.COMPLETE);
     }
 }
--- a/src/main/java/honeygap/net/ofrep/Bodies.java
+++ b/src/main/java/honeygap/net/ofrep/Bodies.java
@@ -17,30 +17,30 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Bodies of the remote evaluation protocol: what is read from them, and those that the agent writes. */
+/** Reads and writes JSON bodies of the OpenFeature Remote Evaluation Protocol (OFREP). */
 public final class Bodies {
 
-    private static final int DEEPEST = 64;
-    /** Types of values, as the flag API has them. */
+    private static final int MAX_NESTING_DEPTH = 64;
+    /** Types of flag values, as in the flag API. */
     static final int BOOLEAN = 0, STRING = 1, NUMBER = 2, OBJECT = 3;
 
     private static final JsonFactory JSON = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
     private Bodies() {
     }
 
     /**
-     * A hash of the targeting key in a request's context, 0 where there is none. The whole body is read, so
-     * that what is passed on is sound: one JSON object, no name twice in an object, UTF-8, not nested deeply.
+     * Returns a hash of the targeting key in a request's context, 0 if there is none. Validates the whole body, so
+     * that only one JSON object in UTF-8, without duplicate names and not nested too deeply, is forwarded.
      */
     public static long subject(byte[] body) throws Refusal {
-        long subject = 0;
+        long keyHash = 0;
         boolean hasContext = false;
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw parse("the body is not a JSON object", in.currentLocation());
+                throw parseError("the body is not a JSON object", in.currentLocation());
             }
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
@@ -48,94 +48,94 @@
                 if (name.equals("context")) {
                     hasContext = true;
                     if (value != JsonToken.START_OBJECT) {
-                        throw context("field context is not an object", in.currentLocation());
+                        throw invalidContext("field context is not an object", in.currentLocation());
                     }
-                    subject = targetingKey(in);
+                    keyHash = readTargetingKeyHash(in);
                 } else {
                     in.skipChildren();
                 }
             }
             if (in.nextToken() != null) {
-                throw parse("more than one JSON value", in.currentLocation());
+                throw parseError("more than one JSON value", in.currentLocation());
             }
         } catch (JsonProcessingException e) {
-            throw parse(e.getOriginalMessage().lines().findFirst().orElse("not JSON"), e.getLocation());
+            throw parseError(e.getOriginalMessage().lines().findFirst().orElse("not JSON"), e.getLocation());
         } catch (IOException e) {
-            // Jackson's word for bytes that are not UTF-8.
-            throw parse("not UTF-8", null);
+            // Jackson reports bytes that are not UTF-8 in this way.
+            throw parseError("not UTF-8", null);
         }
         if (!hasContext) {
             throw new Refusal(400, "INVALID_CONTEXT", "field context is missing");
         }
-        return subject;
+        return keyHash;
     }
 
-    private static long targetingKey(JsonParser in) throws IOException, Refusal {
-        long subject = 0;
+    private static long readTargetingKeyHash(JsonParser in) throws IOException, Refusal {
+        long keyHash = 0;
         while (in.nextToken() != JsonToken.END_OBJECT) {
             boolean isKey = in.currentName().equals("targetingKey");
             JsonToken value = in.nextToken();
             if (isKey && value != JsonToken.VALUE_STRING) {
-                throw context("field context.targetingKey is not a string", in.currentLocation());
+                throw invalidContext("field context.targetingKey is not a string", in.currentLocation());
             }
             if (isKey) {
-                subject = Request.hash(in.getText().getBytes(StandardCharsets.UTF_8));
+                keyHash = OfrepRequest.hash(in.getText().getBytes(StandardCharsets.UTF_8));
             }
             in.skipChildren();
         }
-        return subject;
+        return keyHash;
     }
 
-    private static Refusal parse(String words, JsonLocation at) {
-        return new Refusal(400, "PARSE_ERROR", words + place(at));
+    private static Refusal parseError(String message, JsonLocation at) {
+        return new Refusal(400, "PARSE_ERROR", message + position(at));
     }
 
-    private static Refusal context(String words, JsonLocation at) {
-        return new Refusal(400, "INVALID_CONTEXT", words + place(at));
+    private static Refusal invalidContext(String message, JsonLocation at) {
+        return new Refusal(400, "INVALID_CONTEXT", message + position(at));
     }
 
-    private static String place(JsonLocation at) {
+    private static String position(JsonLocation at) {
         return at == null ? "" : " at line " + at.getLineNr() + ", column " + at.getColumnNr();
     }
 
-    /** A server's answer, of one flag or, where none is named, of all; what can't be one is malformed. */
-    static Served served(int status, byte[] body, String flag, boolean isTracking) throws Malformed {
+    /** Parses a server's response about one flag or, if {@code flag} is null, about all flags. */
+    static Served parseResponse(int status, byte[] body, String flag, boolean isTracking) throws Malformed {
         if (isTracking || status == 401 || status == 403) {
             return new Served(status, body, Served.NO_VERSION, Served.NO_VERSION, Map.of());
         }
-        Reading reading = new Reading(flag);
+        ResponseSummary summary = new ResponseSummary(flag);
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new Malformed("an answer that is not an object");
+                throw new Malformed("response is not a JSON object");
             }
             if (status != Served.GOOD) {
-                reading.error(in);
+                summary.readError(in);
             } else if (flag == null) {
-                reading.all(in);
+                summary.readAllFlags(in);
             } else {
-                reading.one(in, flag);
+                summary.readFlag(in, flag);
             }
             if (in.nextToken() != null) {
-                throw new Malformed("more than one answer");
+                throw new Malformed("response has more than one JSON value");
             }
         } catch (IOException e) {
-            throw new Malformed("an answer that is not JSON");
+            throw new Malformed("response is not JSON");
         }
-        return new Served(status, body, reading.oldest, reading.newest, reading.kinds);
+        return new Served(status, body, summary.oldest, summary.newest, summary.kinds);
     }
 
-    /** What one answer says. */
-    private static final class Reading {
+    /** The versions and value types found in one response. */
+    private static final class ResponseSummary {
 
         private final Map<String, Integer> kinds;
         private long oldest = Served.NO_VERSION;
         private long newest = Served.NO_VERSION;
 
-        Reading(String flag) {
+        ResponseSummary(String flag) {
             kinds = new HashMap<>(flag == null ? 16 : 2);
         }
 
-        private void version(JsonParser in) throws IOException {
+        private void readMetadata(JsonParser in) throws IOException {
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 boolean isVersion = in.currentName().equals("version");
                 JsonToken value = in.nextToken();
@@ -143,20 +143,20 @@
                     String digits = in.getText();
                     if (digits.length() <= 18 && !digits.isEmpty()
                             && digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
-                        met(Long.parseLong(digits));
+                        addVersion(Long.parseLong(digits));
                     }
                 }
                 in.skipChildren();
             }
         }
 
-        private void met(long version) {
+        private void addVersion(long version) {
             oldest = oldest == Served.NO_VERSION ? version : Math.min(oldest, version);
             newest = Math.max(newest, version);
         }
 
-        /** An evaluation that went well, or that of one flag among all that did not. */
-        void one(JsonParser in, String flag) throws IOException, Malformed {
+        /** Reads the evaluation of one flag; a failed one is accepted only as part of a bulk response. */
+        void readFlag(JsonParser in, String flag) throws IOException, Malformed {
             String key = flag;
             int kind = -1;
             boolean failed = false;
@@ -165,21 +165,21 @@
                 JsonToken value = in.nextToken();
                 switch (name) {
                     case "key":
-                        key = text(in, value, name);
+                        key = readText(in, value, name);
                         break;
                     case "reason", "variant":
-                        text(in, value, name);
+                        readText(in, value, name);
                         break;
                     case "errorCode":
                         failed = true;
                         break;
                     case "value":
-                        kind = kind(value);
+                        kind = kindOf(value);
                         in.skipChildren();
                         break;
                     case "metadata":
                         if (value == JsonToken.START_OBJECT) {
-                            version(in);
+                            readMetadata(in);
                         } else if (value != JsonToken.VALUE_NULL) {
                             throw new Malformed("field metadata is not an object");
                         }
@@ -189,17 +189,17 @@
                 }
             }
             if (key == null || flag != null && !flag.equals(key)) {
-                throw new Malformed("an answer for another flag");
+                throw new Malformed("response is for another flag");
             }
             if (failed && flag != null) {
-                throw new Malformed("a good answer with an error in it");
+                throw new Malformed("successful response contains an error code");
             }
             if (kind >= 0) {
                 kinds.put(key, kind);
             }
         }
 
-        private static String text(JsonParser in, JsonToken value, String name) throws IOException, Malformed {
+        private static String readText(JsonParser in, JsonToken value, String name) throws IOException, Malformed {
             if (value == JsonToken.VALUE_NULL && !name.equals("key")) {
                 return null;
             }
@@ -209,7 +209,7 @@
             return in.getText();
         }
 
-        private static int kind(JsonToken value) {
+        private static int kindOf(JsonToken value) {
             switch (value) {
                 case VALUE_TRUE, VALUE_FALSE:
                     return BOOLEAN;
@@ -224,31 +224,31 @@
             }
         }
 
-        void all(JsonParser in) throws IOException, Malformed {
-            boolean seen = false;
+        void readAllFlags(JsonParser in) throws IOException, Malformed {
+            boolean hasFlags = false;
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 JsonToken value = in.nextToken();
                 if (name.equals("flags") && value == JsonToken.START_ARRAY) {
-                    seen = true;
+                    hasFlags = true;
                     while (in.nextToken() != JsonToken.END_ARRAY) {
                         if (in.currentToken() != JsonToken.START_OBJECT) {
-                            throw new Malformed("a flag that is not an object");
+                            throw new Malformed("entry of field flags is not an object");
                         }
-                        one(in, null);
+                        readFlag(in, null);
                     }
                 } else if (name.equals("metadata") && value == JsonToken.START_OBJECT) {
-                    version(in);
+                    readMetadata(in);
                 } else {
                     in.skipChildren();
                 }
             }
-            if (!seen) {
+            if (!hasFlags) {
                 throw new Malformed("field flags is not a list");
             }
         }
 
-        void error(JsonParser in) throws IOException, Malformed {
+        void readError(JsonParser in) throws IOException, Malformed {
             boolean hasCode = false;
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 hasCode |= in.currentName().equals("errorCode");
@@ -261,43 +261,43 @@
         }
     }
 
-    /** The same good answer with another reason, for one flag or for each of all. */
+    /** Returns a successful response with its reason replaced, for one flag or for each flag of a bulk response. */
     public static byte[] withReason(byte[] body, boolean isBulk, String reason) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(body.length + 32);
         int depth = 0;
-        int at = isBulk ? 3 : 1;
-        boolean told = false;
+        int flagDepth = isBulk ? 3 : 1;
+        boolean hasReason = false;
         boolean isFlag = !isBulk;
         try (JsonParser in = JSON.createParser(body); JsonGenerator out = JSON.createGenerator(bytes)) {
             for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
                 if (isBulk && token == JsonToken.FIELD_NAME && depth == 1) {
                     isFlag = in.currentName().equals("flags");
                 }
-                boolean isField = isFlag && token == JsonToken.FIELD_NAME && depth == at;
-                // A flag that could not be evaluated has an error and no reason.
-                told |= isField && in.currentName().equals("errorCode");
+                boolean isField = isFlag && token == JsonToken.FIELD_NAME && depth == flagDepth;
+                // A flag that could not be evaluated has an error code and no reason.
+                hasReason |= isField && in.currentName().equals("errorCode");
                 if (isField && in.currentName().equals("reason")) {
                     in.nextToken();
                     in.skipChildren();
                     out.writeStringField("reason", reason);
-                    told = true;
+                    hasReason = true;
                     continue;
                 }
-                if (isFlag && token == JsonToken.END_OBJECT && depth == at && !told) {
+                if (isFlag && token == JsonToken.END_OBJECT && depth == flagDepth && !hasReason) {
                     out.writeStringField("reason", reason);
                 }
                 depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
-                told &= token != JsonToken.START_OBJECT || depth != at;
+                hasReason &= token != JsonToken.START_OBJECT || depth != flagDepth;
                 out.copyCurrentEvent(in);
             }
         } catch (IOException e) {
-            // It was read whole when it came.
+            // Cannot happen: the body was validated when it was received.
             throw new java.io.UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    /** An error of the protocol; key and code may be null. */
+    /** Creates an error body; key and code may be null. */
     public static byte[] error(String key, String code, String details) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
--- a/src/main/java/honeygap/net/ofrep/Exchange.java
+++ b/src/main/java/honeygap/net/ofrep/Exchange.java
@@ -13,26 +13,29 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Between the evaluations of clients and the RPCs to servers: carries out what {@code Answers} decides. */
+/** Connects client evaluations with RPCs to flag servers: executes the decisions of {@code Answers}. */
 public final class Exchange implements Answers.Out, Loop.Core, Counters.Group {
 
-    private static final int MOST_TENANTS = 10_000;
+    private static final int MAX_TENANTS = 10_000;
 
     private final Loop loop;
     private final Rules rules;
     private final Answers answers;
     private final Limits limits;
-    /** A flag whose evaluations fail at every build is bad itself, as a customer may be; the oldest leaves. */
+    /**
+     * One tenant per flag, so that a flag whose evaluations fail on every build is itself considered faulty, as a
+     * tenant may be. The least recently used entry is evicted.
+     */
     private final Map<String, Tenant> tenants = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Tenant> eldest) {
-            return size() > MOST_TENANTS;
+            return size() > MAX_TENANTS;
         }
     };
-    private long asks;
-    private long rescued;
+    private long callCount;
+    private long abortedByGuardCount;
 
     public Exchange(Loop loop, Rules rules, Answers answers, Limits limits) {
         this.loop = loop;
@@ -41,42 +44,43 @@
         this.limits = limits;
     }
 
-    /** A client asks; the guard answers two steps after its deadline if nobody else has. */
-    public void asked(Awaited awaited, long tick) {
-        awaited.guard = loop.at(awaited.deadline + 2 * tick, () -> loop.post(() -> {
-            if (!awaited.isEnded()) {
-                rescued++;
-                answers.left(awaited);
-                awaited.abort();
+    /** Submits a client's evaluation; a timer aborts it two ticks after its deadline if it has not ended by then. */
+    public void submit(PendingEvaluation evaluation, long tick) {
+        evaluation.guard = loop.at(evaluation.deadline + 2 * tick, () -> loop.post(() -> {
+            if (!evaluation.isEnded()) {
+                abortedByGuardCount++;
+                answers.left(evaluation);
+                evaluation.abort();
             }
         }));
-        loop.gather(() -> answers.asked(awaited));
+        loop.gather(() -> answers.asked(evaluation));
     }
 
-    public void left(Awaited awaited) {
-        loop.gather(() -> answers.left(awaited));
+    /** Abandons an evaluation whose client has disconnected or that the shutdown ends. */
+    public void abandon(PendingEvaluation evaluation) {
+        loop.gather(() -> answers.left(evaluation));
     }
 
-    /** A server wants nothing for so many tenths of a millisecond. */
-    public void stayAway(Appliance appliance, long after) {
-        limits.told(appliance, after);
+    /** A server asked for no requests during this many tenths of a millisecond. */
+    public void applyRetryAfter(Appliance appliance, long retryAfter) {
+        limits.told(appliance, retryAfter);
     }
 
-    /** When a client that is pushed back had best ask again: not before a server takes picks. */
-    public long opensIn() {
+    /** When a pushed-back client should retry: not before a server accepts picks again. Tenths of a millisecond. */
+    public long suggestedRetryAfter() {
         return limits.opensIn();
     }
 
-    void picked(Ask ask, Appliance appliance) {
-        answers.picked(ask.shared, rules.onTrial(appliance.build));
+    void picked(Ask call, Appliance appliance) {
+        answers.picked(call.shared, rules.onTrial(appliance.build));
     }
 
-    int served(Ask ask, Appliance appliance, Served served) {
-        return answers.served(ask.shared, served, rules.onTrial(appliance.build));
+    int responseReceived(Ask call, Appliance appliance, Served served) {
+        return answers.served(call.shared, served, rules.onTrial(appliance.build));
     }
 
-    void givenUp(Ask ask, boolean isPushedBack, long stayAway) {
-        loop.gather(() -> answers.givenUp(ask.shared, isPushedBack, stayAway));
+    void callFailed(Ask call, boolean isPushedBack, long retryAfter) {
+        loop.gather(() -> answers.givenUp(call.shared, isPushedBack, retryAfter));
     }
 
     @Override
@@ -93,9 +97,9 @@
     @Override
     public void open(Shared shared) {
         String flag = shared.question.flag == null ? "" : shared.question.flag;
-        Ask ask = new Ask("f" + asks++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
-        shared.rpc = ask;
-        loop.gather(() -> rules.taken(ask));
+        Ask call = new Ask("f" + callCount++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
+        shared.rpc = call;
+        loop.gather(() -> rules.taken(call));
     }
 
     @Override
@@ -104,18 +108,18 @@
     }
 
     @Override
-    public void answer(Evaluation evaluation, Served served, int how) {
-        ((Awaited) evaluation).answer(served, how);
+    public void answer(Evaluation evaluation, Served served, int origin) {
+        ((PendingEvaluation) evaluation).answer(served, origin);
     }
 
     @Override
-    public void pushBack(Evaluation evaluation, long stayAway) {
-        ((Awaited) evaluation).pushBack(stayAway);
+    public void pushBack(Evaluation evaluation, long retryAfter) {
+        ((PendingEvaluation) evaluation).pushBack(retryAfter);
     }
 
     @Override
     public void abort(Evaluation evaluation) {
-        ((Awaited) evaluation).abort();
+        ((PendingEvaluation) evaluation).abort();
     }
 
     @Override
@@ -127,6 +131,6 @@
     public void report(Counters counters) {
         answers.report(counters::count);
         counters.count("told to stay away", limits.told());
-        counters.count("rescued", rescued);
+        counters.count("rescued", abortedByGuardCount);
     }
 }
--- a/src/main/java/honeygap/net/pg/Frames.java
+++ b/src/main/java/honeygap/net/pg/Frames.java
@@ -3,107 +3,112 @@
 import honeygap.read.Malformed;
 import java.nio.ByteBuffer;
 
-/** Cuts what came in into messages of the wire protocol, in place where a message came in one piece. */
+/** Splits received bytes into messages of the wire protocol; copies only messages that arrive in several reads. */
 public final class Frames {
 
-    private static final ByteBuffer NONE = ByteBuffer.allocate(0);
-    private static final int TYPED = 5;
-    private static final int UNTYPED = 4;
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+    private static final int TYPED_HEADER_LENGTH = 5;
+    private static final int UNTYPED_HEADER_LENGTH = 4;
 
-    private final int most;
-    private ByteBuffer data = NONE;
-    /** Whether the bytes are a copy of this parser's own, with room after the limit. */
-    private boolean own;
+    private final int maxLength;
+    private ByteBuffer buffer = EMPTY;
+    /** Whether the buffer was allocated by this decoder and may be extended behind its limit. */
+    private boolean ownsBuffer;
     private byte type;
-    private ByteBuffer whole;
+    private ByteBuffer message;
     private ByteBuffer body;
 
-    /** Messages longer than this are turned down before they are kept. */
-    public Frames(int most) {
-        this.most = most;
+    /** Creates a decoder that rejects messages longer than this many bytes before it buffers them. */
+    public Frames(int maxLength) {
+        this.maxLength = maxLength;
     }
 
+    /** Adds more input. The buffer may be used until its messages have been read and must not be modified. */
     public void feed(ByteBuffer more) {
-        if (!data.hasRemaining()) {
-            data = more;
-            own = false;
+        if (!buffer.hasRemaining()) {
+            buffer = more;
+            ownsBuffer = false;
             return;
         }
-        if (!own || data.capacity() - data.limit() < more.remaining()) {
-            int length = data.remaining() + more.remaining();
-            // Once the length of the message is there, room for all of it: no copy a read.
-            int told = data.remaining() >= TYPED ? data.getInt(data.position() + 1) + 1 : 0;
-            ByteBuffer room = ByteBuffer.allocate(Math.max(length, Math.min(told, most + TYPED)));
-            room.put(data).put(more).flip();
-            data = room;
-            own = true;
+        if (!ownsBuffer || buffer.capacity() - buffer.limit() < more.remaining()) {
+            int length = buffer.remaining() + more.remaining();
+            // Once the length of the message is known, allocates all of it to avoid a copy per read.
+            int declaredLength = buffer.remaining() >= TYPED_HEADER_LENGTH ? buffer.getInt(buffer.position() + 1) + 1 : 0;
+            ByteBuffer grown = ByteBuffer.allocate(
+                    Math.max(length, Math.min(declaredLength, maxLength + TYPED_HEADER_LENGTH)));
+            grown.put(buffer).put(more).flip();
+            buffer = grown;
+            ownsBuffer = true;
             return;
         }
-        int start = data.position();
-        int end = data.limit();
-        data.limit(end + more.remaining()).position(end);
-        data.put(more).position(start);
+        int start = buffer.position();
+        int end = buffer.limit();
+        buffer.limit(end + more.remaining()).position(end);
+        buffer.put(more).position(start);
     }
 
-    /** How many bytes wait. */
+    /** How many bytes are buffered. */
     public int waiting() {
-        return data.remaining();
+        return buffer.remaining();
     }
 
-    /** The next message without a type byte, no longer than this, as a connection begins with one. */
-    public boolean nextUntyped(int most) throws Malformed {
-        return next(UNTYPED, most);
+    /** Reads a message without a type byte and of limited length, with which a connection starts. */
+    public boolean nextUntyped(int maxLength) throws Malformed {
+        return next(UNTYPED_HEADER_LENGTH, maxLength);
     }
 
+    /** Reads the next message and returns whether it is complete. */
     public boolean next() throws Malformed {
-        return next(TYPED, most);
+        return next(TYPED_HEADER_LENGTH, maxLength);
     }
 
-    /** Whether more than so many whole messages wait. */
-    public boolean waitsMoreThan(int messages) {
-        int at = data.position();
-        for (int seen = 0; data.limit() - at >= TYPED; seen++) {
-            int length = data.getInt(at + 1);
-            if (length < UNTYPED || length > most || data.limit() - at <= length) {
+    /** Whether more than this many complete messages are buffered. */
+    public boolean hasMoreMessagesThan(int messages) {
+        int position = buffer.position();
+        for (int count = 0; buffer.limit() - position >= TYPED_HEADER_LENGTH; count++) {
+            int length = buffer.getInt(position + 1);
+            if (length < UNTYPED_HEADER_LENGTH || length > maxLength || buffer.limit() - position <= length) {
                 return false;
             }
-            if (seen == messages) {
+            if (count == messages) {
                 return true;
             }
-            at += 1 + length;
+            position += 1 + length;
         }
         return false;
     }
 
-    private boolean next(int head, int most) throws Malformed {
-        if (data.remaining() < head) {
+    private boolean next(int headerLength, int maxLength) throws Malformed {
+        if (buffer.remaining() < headerLength) {
             return false;
         }
-        int start = data.position();
-        int length = data.getInt(start + head - UNTYPED);
-        if (length < UNTYPED || length > most) {
+        int start = buffer.position();
+        int length = buffer.getInt(start + headerLength - UNTYPED_HEADER_LENGTH);
+        if (length < UNTYPED_HEADER_LENGTH || length > maxLength) {
             throw new Malformed("a message of length " + length);
         }
-        int end = start + head - UNTYPED + length;
-        if (end > data.limit()) {
+        int end = start + headerLength - UNTYPED_HEADER_LENGTH + length;
+        if (end > buffer.limit()) {
             return false;
         }
-        type = head == TYPED ? data.get(start) : 0;
-        whole = data.slice(start, end - start);
-        body = data.slice(start + head, end - start - head);
-        data.position(end);
+        type = headerLength == TYPED_HEADER_LENGTH ? buffer.get(start) : 0;
+        message = buffer.slice(start, end - start);
+        body = buffer.slice(start + headerLength, end - start - headerLength);
+        buffer.position(end);
         return true;
     }
 
+    /** The type of the message; 0 for one without a type byte. */
     public byte type() {
         return type;
     }
 
-    /** The message with its type and length. */
+    /** The message including its type and length. */
     public ByteBuffer whole() {
-        return whole;
+        return message;
     }
 
+    /** The message without its type and length. */
     public ByteBuffer body() {
         return body;
     }
--- a/src/main/java/honeygap/net/pg/Query.java
+++ b/src/main/java/honeygap/net/pg/Query.java
@@ -5,70 +5,77 @@
 import honeygap.net.Call;
 import java.nio.ByteBuffer;
 
-/** An RPC in PostgreSQL's wire protocol: the slices of its statement, and whoever waits for the answer. */
+/** An RPC in the PostgreSQL wire protocol: the slices of its statement and the handler of its response. */
 public final class Query extends Call {
 
-    /** The client's end, told the answer as it is to be written. */
-    public interface Asker {
+    /** Sends the final response of a query to the client. */
+    public interface ResponseHandler {
 
-        /** Ok: the row as the appliance gave it. */
+        /** Ok; the row is as received from the appliance. */
         void answer(ByteBuffer... row);
 
-        void pushBack(long stayAwayMs);
+        /** Pushed back; the client should not retry before this time has passed. */
+        void pushBack(long retryAfterMs);
 
+        /** Aborted; the RPC may or may not have had an effect. */
         void abort();
     }
 
-    private final ByteBuffer before;
-    private final ByteBuffer after;
-    /** Null once the answer has been given or the client has left. */
-    private Asker asker;
+    private final ByteBuffer textBeforeTimeout;
+    private final ByteBuffer textAfterTimeout;
+    /** Null once the RPC is answered or the client has disconnected. */
+    private ResponseHandler responseHandler;
 
     public Query(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
-                 boolean retry, Asker asker, ByteBuffer before, ByteBuffer after) {
+                 boolean retry, ResponseHandler responseHandler, ByteBuffer textBeforeTimeout,
+                 ByteBuffer textAfterTimeout) {
         super(id, method, tenant, key, takenAt, deadline, work, retry);
-        this.asker = asker;
-        this.before = before;
-        this.after = after;
+        this.responseHandler = responseHandler;
+        this.textBeforeTimeout = textBeforeTimeout;
+        this.textAfterTimeout = textAfterTimeout;
     }
 
+    /** The text of the statement before the client's timeout. */
     public ByteBuffer before() {
-        return before;
+        return textBeforeTimeout;
     }
 
+    /** The text of the statement after the client's timeout. */
     public ByteBuffer after() {
-        return after;
+        return textAfterTimeout;
     }
 
-    public boolean isAwaited() {
-        return asker != null;
+    /** Whether a client still waits for the response. */
+    public boolean isAwaitingResponse() {
+        return responseHandler != null;
     }
 
-    /** Nobody waits any more. */
-    public void forget() {
-        asker = null;
+    /** Detaches the client, which is sent no response from now on. */
+    public void detachHandler() {
+        responseHandler = null;
     }
 
+    /** Final answer: ok, with the row received from the appliance. */
     public void answer(ByteBuffer... row) {
         once();
-        if (asker != null) {
-            asker.answer(row);
+        if (responseHandler != null) {
+            responseHandler.answer(row);
         }
     }
 
     @Override
-    public void pushBack(long stayAway) {
+    public void pushBack(long retryAfter) {
         once();
-        if (asker != null) {
-            asker.pushBack((stayAway + 9) / 10);
+        if (responseHandler != null) {
+            responseHandler.pushBack((retryAfter + 9) / 10);
         }
     }
 
     @Override
     public void abort() {
         once();
-        if (asker != null) {
-            asker.abort();
+        if (responseHandler != null) {
+            responseHandler.abort();
         }
     }
 }
--- a/src/main/java/honeygap/net/pg/Shapes.java
+++ b/src/main/java/honeygap/net/pg/Shapes.java
@@ -4,68 +4,69 @@
 import java.nio.ByteBuffer;
 
 /**
- * Whether what is inside a message fits it. Guards against spoilt answers whose outer length is right: they
- * would otherwise be passed on, or be taken for an error that was never said.
+ * Validates the contents of messages from appliances. Guards against malformed messages with a correct outer length,
+ * which would otherwise be forwarded or be mistaken for an error response.
  */
 public final class Shapes {
 
-    /** Table, column, type, size, modifier and form of a column, behind its name. */
-    private static final int COLUMN = 18;
+    /** Bytes after a column's name: its table, column number, type, size, modifier and format. */
+    private static final int COLUMN_DESCRIPTION_LENGTH = 18;
 
     private Shapes() {
     }
 
+    /** Checks that the body of a message matches its type and length. */
     public static void check(byte type, ByteBuffer body) throws Malformed {
-        boolean fits;
+        boolean isValid;
         switch (type) {
             case 'T':
-                fits = body.remaining() > 2 && body.getShort(0) == 1
-                        && end(body, 2) + COLUMN == body.limit();
+                isValid = body.remaining() > 2 && body.getShort(0) == 1
+                        && stringEnd(body, 2) + COLUMN_DESCRIPTION_LENGTH == body.limit();
                 break;
             case 'D':
-                fits = body.remaining() >= 6 && body.getShort(0) == 1
+                isValid = body.remaining() >= 6 && body.getShort(0) == 1
                         && body.getInt(2) == body.remaining() - 6;
                 break;
             case 'C':
-                fits = body.remaining() > 1 && end(body, 0) == body.limit();
+                isValid = body.remaining() > 1 && stringEnd(body, 0) == body.limit();
                 break;
             case 'E':
-                fits = fields(body);
+                isValid = isErrorResponse(body);
                 break;
             case 'Z':
-                fits = body.remaining() == 1;
+                isValid = body.remaining() == 1;
                 break;
             case 'I':
-                fits = !body.hasRemaining();
+                isValid = !body.hasRemaining();
                 break;
             default:
-                fits = true;
+                isValid = true;
         }
-        if (!fits) {
-            throw new Malformed("a message that does not fit its length");
+        if (!isValid) {
+            throw new Malformed("message contents do not match its length");
         }
     }
 
-    /** Fields of a letter and words each, and a zero byte that ends them all, with a code among them. */
-    private static boolean fields(ByteBuffer body) {
-        int at = 0;
-        while (at < body.limit() && body.get(at) != 0) {
-            int end = end(body, at + 1);
+    /** Whether the body is a list of fields (letter and string) with a valid SQLSTATE and a final zero byte. */
+    private static boolean isErrorResponse(ByteBuffer body) {
+        int position = 0;
+        while (position < body.limit() && body.get(position) != 0) {
+            int end = stringEnd(body, position + 1);
             if (end < 0) {
                 return false;
             }
-            at = end;
+            position = end;
         }
-        return at == body.limit() - 1 && Words.field(body, 'C').matches("[0-9A-Z]{5}");
+        return position == body.limit() - 1 && Words.field(body, 'C').matches("[0-9A-Z]{5}");
     }
 
-    /** Behind the zero byte that ends the words there; under zero where there is none. */
-    private static int end(ByteBuffer body, int from) {
+    /** The index after the zero byte that ends the string; negative if there is none. */
+    private static int stringEnd(ByteBuffer body, int from) {
         for (int i = from; i < body.limit(); i++) {
             if (body.get(i) == 0) {
                 return i + 1;
             }
         }
-        return -COLUMN - 1;
+        return -COLUMN_DESCRIPTION_LENGTH - 1;
     }
 }
