--- a/src/main/java/honeygap/net/Acceptor.java
+++ b/src/main/java/honeygap/net/Acceptor.java
@@ -21,51 +21,51 @@
  */
 class Acceptor extends NioSocketAcceptor {
 
-    private static final long PLACE_WAIT_MS = 1000;
+    private static final long SLOT_WAIT_MS = 1000;
     /** The pause after a call that failed; the pauses of a process that has no descriptors left are not to fill its core. */
     private static final long FAILURE_PAUSE_MS = 10;
-    private static final long FAILURES_A_LOG_LINE = 100;
+    private static final long FAILURES_PER_LOG_LINE = 100;
 
     private final Loop loop;
-    private final Semaphore places;
+    private final Semaphore slots;
     private final AtomicLong failures = new AtomicLong();
     private final SimpleIoProcessorPool<NioSession> pool;
     /** Connections that were accepted and that the loop has not seen yet. */
-    private final AtomicInteger unseen = new AtomicInteger();
+    private final AtomicInteger notYetOpened = new AtomicInteger();
     /** When accepting what the system has accepted ends at the latest, by the runtime's monotonic clock. */
-    private volatile long drainsUntil;
-    private volatile boolean drains;
+    private volatile long drainUntilNanos;
+    private volatile boolean isDraining;
 
-    Acceptor(Loop loop, Executor executor, SimpleIoProcessorPool<NioSession> pool, int places) {
+    Acceptor(Loop loop, Executor executor, SimpleIoProcessorPool<NioSession> pool, int maxConnections) {
         super(executor, pool);
         this.loop = loop;
         this.pool = pool;
-        this.places = new Semaphore(places);
+        this.slots = new Semaphore(maxConnections);
         // Whoever has been taken is served, also when no more are.
         setCloseOnDeactivation(false);
     }
 
     @Override
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
-        return places.tryAcquire(PLACE_WAIT_MS, TimeUnit.MILLISECONDS) ? acceptInPlace(processor, handle) : null;
+        return slots.tryAcquire(SLOT_WAIT_MS, TimeUnit.MILLISECONDS) ? acceptWithSlot(processor, handle) : null;
     }
 
     /** Accepts a connection for a place that has been taken; gives the place back where there is none. */
-    private NioSession acceptInPlace(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+    private NioSession acceptWithSlot(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
         NioSession session = null;
         try {
-            session = call(processor, handle);
+            session = acceptFromSystem(processor, handle);
         } catch (IOException e) {
-            failed(e);
+            handleAcceptFailure(e);
         } finally {
             if (session == null) {
-                places.release();
+                slots.release();
             }
         }
         if (session != null) {
-            unseen.incrementAndGet();
+            notYetOpened.incrementAndGet();
             // Closed is not gone: the system's descriptor is let go of when the loop selects the next time.
-            session.getCloseFuture().addListener(closed -> loop.post(() -> loop.at(loop.now() + 1, places::release)));
+            session.getCloseFuture().addListener(closed -> loop.post(() -> loop.at(loop.now() + 1, slots::release)));
         }
         return session;
     }
@@ -75,15 +75,15 @@
      * in its queue whose clients have been told that somebody is there, and may have sent.
      */
     void stop(long untilNanos) {
-        drainsUntil = untilNanos;
-        drains = true;
+        drainUntilNanos = untilNanos;
+        isDraining = true;
         unbind();
     }
 
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
-        if (drains) {
-            while (isAwaited(handle) && acceptNext(handle)) {
+        if (isDraining) {
+            while (hasPendingConnection(handle) && acceptNext(handle)) {
                 continue;
             }
         }
@@ -91,26 +91,26 @@
     }
 
     /** Whether a connection waits to be accepted. */
-    private boolean isAwaited(ServerSocketChannel handle) throws Exception {
+    private boolean hasPendingConnection(ServerSocketChannel handle) throws Exception {
         // Woken beforehand, it comes back at once, with the sockets on which somebody waits marked.
         wakeup();
         select();
-        boolean isAwaited = false;
-        Iterator<ServerSocketChannel> marked = selectedHandles();
-        while (marked.hasNext()) {
-            isAwaited |= marked.next() == handle;
-            marked.remove();
+        boolean isPending = false;
+        Iterator<ServerSocketChannel> selected = selectedHandles();
+        while (selected.hasNext()) {
+            isPending |= selected.next() == handle;
+            selected.remove();
         }
-        return isAwaited;
+        return isPending;
     }
 
     /** Whether there was time and a place for one more connection; a call that failed is made again. */
     private boolean acceptNext(ServerSocketChannel handle) throws Exception {
-        long left = drainsUntil - System.nanoTime();
-        if (left <= 0 || !places.tryAcquire(left, TimeUnit.NANOSECONDS)) {
+        long nanosLeft = drainUntilNanos - System.nanoTime();
+        if (nanosLeft <= 0 || !slots.tryAcquire(nanosLeft, TimeUnit.NANOSECONDS)) {
             return false;
         }
-        NioSession session = acceptInPlace(pool, handle);
+        NioSession session = acceptWithSlot(pool, handle);
         if (session != null) {
             initSession(session, null, null);
             session.getProcessor().add(session);
@@ -119,22 +119,22 @@
     }
 
     /** The loop has seen one of its connections. */
-    void seen() {
-        unseen.decrementAndGet();
+    void onSessionOpened() {
+        notYetOpened.decrementAndGet();
     }
 
-    int unseen() {
-        return unseen.get();
+    int notYetOpened() {
+        return notYetOpened.get();
     }
 
     /** The system's call. */
-    NioSession call(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+    NioSession acceptFromSystem(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
         return super.accept(processor, handle);
     }
 
-    private void failed(IOException why) throws InterruptedException {
-        if (failures.getAndIncrement() % FAILURES_A_LOG_LINE == 0) {
-            Logger.warn("a connection could not be accepted, tried again: {}; {} such so far", why.getMessage(),
+    private void handleAcceptFailure(IOException cause) throws InterruptedException {
+        if (failures.getAndIncrement() % FAILURES_PER_LOG_LINE == 0) {
+            Logger.warn("a connection could not be accepted, tried again: {}; {} such so far", cause.getMessage(),
                     failures.get());
         }
         Thread.sleep(FAILURE_PAUSE_MS);
--- a/src/main/java/honeygap/net/Agent.java
+++ b/src/main/java/honeygap/net/Agent.java
@@ -16,26 +16,26 @@
 public final class Agent {
 
     /** How often the counters go to the log. */
-    private static final long REPORT = 100_000;
-    private static final long LOOK_EVERY = 100;
-    private static final long MICROSECONDS_A_TENTH = 100;
-    private static final long CLOSING_MOST_MS = 50;
-    private static final int LISTEN_TRIES = 20;
-    private static final long LISTEN_PAUSE_MS = 50;
+    private static final long COUNTER_LOG_INTERVAL = 100_000;
+    private static final long POLL_INTERVAL = 100;
+    private static final long MICROS_PER_TENTH = 100;
+    private static final long MAX_CLOSING_MS = 50;
+    private static final int LISTEN_ATTEMPTS = 20;
+    private static final long LISTEN_RETRY_PAUSE_MS = 50;
 
     private final Loop loop;
     private final List<Protocol> protocols;
-    private final List<InetSocketAddress> bound = new ArrayList<>();
-    private final CountDownLatch opens = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final Map<String, Counters.Group> others = new LinkedHashMap<>();
+    private final List<InetSocketAddress> boundAddresses = new ArrayList<>();
+    private final CountDownLatch readyToListen = new CountDownLatch(1);
+    private final CountDownLatch shutdownDone = new CountDownLatch(1);
+    private final Map<String, Counters.Group> otherCounters = new LinkedHashMap<>();
     /** Takes clients; and has been told to end. Guarded by this. */
-    private boolean isOpen;
-    private boolean isLeaving;
-    private final Object rereading = new Object();
+    private boolean isListening;
+    private boolean isShuttingDown;
+    private final Object reloadLock = new Object();
     private boolean isDrained;
-    private long rereads;
-    private long unread;
+    private long reloads;
+    private long failedReloads;
 
     public Agent(Loop loop, List<Protocol> protocols) {
         this.loop = loop;
@@ -44,50 +44,50 @@
 
     /** Warms up, waits for what it must know, then takes clients; not where it has been told to end meanwhile. */
     public void start() throws IOException {
-        protocols.forEach(Protocol::prepare);
+        protocols.forEach(Protocol::warmUp);
         synchronized (this) {
-            if (isLeaving) {
+            if (isShuttingDown) {
                 return;
             }
-            loop.post(() -> protocols.forEach(Protocol::begin));
-            loop.post(this::report);
-            loop.post(this::openWhenReady);
-            loop.start(protocols.stream().flatMap(protocol -> protocol.cores().stream()).toArray(Loop.Core[]::new));
+            loop.post(() -> protocols.forEach(Protocol::start));
+            loop.post(this::logCounters);
+            loop.post(this::listenWhenReady);
+            loop.start(protocols.stream().flatMap(protocol -> protocol.steppers().stream()).toArray(Loop.Core[]::new));
         }
-        unlessInterrupted(opens::await);
+        awaitUninterrupted(readyToListen::await);
         synchronized (this) {
-            if (isLeaving) {
+            if (isShuttingDown) {
                 return;
             }
             for (Protocol protocol : protocols) {
-                bound.add(listen(protocol));
+                boundAddresses.add(listen(protocol));
             }
-            isOpen = true;
+            isListening = true;
         }
-        Logger.info("ready after {} ms", loop.sinceStart());
+        Logger.info("ready after {} ms", loop.millisSinceStart());
     }
 
     /** A socket may be had a moment later, and an address may still be held by the process before. */
     private InetSocketAddress listen(Protocol protocol) throws IOException {
-        for (int i = 1; ; i++) {
+        for (int attempt = 1; ; attempt++) {
             try {
                 return protocol.listen();
             } catch (IOException e) {
-                if (i == LISTEN_TRIES) {
+                if (attempt == LISTEN_ATTEMPTS) {
                     throw e;
                 }
                 Logger.warn("can't listen yet, tried again: {}", e.getMessage());
-                unlessInterrupted(() -> Thread.sleep(LISTEN_PAUSE_MS));
+                awaitUninterrupted(() -> Thread.sleep(LISTEN_RETRY_PAUSE_MS));
             }
         }
     }
 
-    private interface Wait {
+    private interface InterruptibleWait {
 
         void await() throws InterruptedException;
     }
 
-    private static void unlessInterrupted(Wait wait) throws IOException {
+    private static void awaitUninterrupted(InterruptibleWait wait) throws IOException {
         try {
             wait.await();
         } catch (InterruptedException e) {
@@ -96,17 +96,17 @@
         }
     }
 
-    private void openWhenReady() {
-        if (protocols.stream().allMatch(Protocol::mayOpen)) {
-            opens.countDown();
+    private void listenWhenReady() {
+        if (protocols.stream().allMatch(Protocol::isReady)) {
+            readyToListen.countDown();
         } else {
-            loop.at(loop.now() + LOOK_EVERY, this::openWhenReady);
+            loop.at(loop.now() + POLL_INTERVAL, this::listenWhenReady);
         }
     }
 
     /** Where the protocol of this number takes clients. */
     public InetSocketAddress address(int protocol) {
-        return bound.get(protocol);
+        return boundAddresses.get(protocol);
     }
 
     /** Stops at once, whatever is open. */
@@ -115,8 +115,8 @@
     }
 
     /** Load is told to others, and theirs is heard; after the start. */
-    public void share(Shared shared) {
-        loop.post(() -> protocols.forEach(protocol -> protocol.share(shared)));
+    public void share(Shared sharing) {
+        loop.post(() -> protocols.forEach(protocol -> protocol.shareLoad(sharing)));
     }
 
     /** From any thread: to be done on the loop, in the next turn. */
@@ -126,28 +126,28 @@
 
     /** Counters of something beside the protocols, told with theirs; before the start. */
     public void count(String group, Counters.Group counts) {
-        others.put(group, counts);
+        otherCounters.put(group, counts);
     }
 
     /** All counters by group; on the loop. */
     public Counters counters() {
-        Counters counters = new Counters().group("agent", all -> {
-            all.count("faults", Loop.faults());
-            all.count("broken", Loop.broken());
-            all.count("rereads", rereads);
-            all.count("not read", unread);
-            all.count("accept failures", loop.acceptFailures());
-            all.count("own dial failures", loop.ownDialFailures());
-            all.count("first RPC ms", loop.firstRpcAfter());
+        Counters counters = new Counters().group("agent", group -> {
+            group.count("faults", Loop.faultCount());
+            group.count("broken", Loop.broken());
+            group.count("rereads", reloads);
+            group.count("not read", failedReloads);
+            group.count("accept failures", loop.acceptFailures());
+            group.count("own dial failures", loop.localConnectFailures());
+            group.count("first RPC ms", loop.firstRpcMs());
         });
         protocols.forEach(protocol -> protocol.report(counters));
-        others.forEach(counters::group);
+        otherCounters.forEach(counters::group);
         return counters;
     }
 
-    private void report() {
-        Events.counters(counters());
-        loop.at(loop.now() + REPORT, this::report);
+    private void logCounters() {
+        Events.logCounters(counters());
+        loop.at(loop.now() + COUNTER_LOG_INTERVAL, this::logCounters);
     }
 
     /** Something that can be read once more: what is to be done for it, on the loop. */
@@ -162,12 +162,12 @@
      */
     public void reread(List<Source> sources) {
         // Not this agent's own lock: files that are slow to read must not hold up the order to end.
-        synchronized (rereading) {
-            tell(sources);
+        synchronized (reloadLock) {
+            readAndApply(sources);
         }
     }
 
-    private void tell(List<Source> sources) {
+    private void readAndApply(List<Source> sources) {
         List<Runnable> changes = new ArrayList<>();
         try {
             for (Source source : sources) {
@@ -176,19 +176,19 @@
         } catch (IOException | Malformed e) {
             Logger.warn("configuration not read, all stays as it was: {}",
                     String.valueOf(e.getMessage()).replace('\n', ';'));
-            loop.post(() -> unread++);
+            loop.post(() -> failedReloads++);
             return;
         }
         loop.post(() -> {
             changes.forEach(Runnable::run);
-            rereads++;
+            reloads++;
         });
     }
 
     /** Takes no clients and closes connections between RPCs, or takes them again; on the loop. */
     public void drain(boolean isDrained) {
         this.isDrained = isDrained;
-        protocols.forEach(protocol -> protocol.drain(isDrained));
+        protocols.forEach(protocol -> protocol.setDrained(isDrained));
     }
 
     public boolean isDrained() {
@@ -197,7 +197,7 @@
 
     /** Connections of clients, of all protocols. */
     public int clients() {
-        return protocols.stream().mapToInt(Protocol::count).sum();
+        return protocols.stream().mapToInt(Protocol::connectionCount).sum();
     }
 
     /**
@@ -207,57 +207,57 @@
     public void leave() throws InterruptedException {
         long signalledAt = loop.clock();
         synchronized (this) {
-            isLeaving = true;
-            if (!isOpen) {
+            isShuttingDown = true;
+            if (!isListening) {
                 return;
             }
         }
-        long longest = protocols.stream().mapToLong(Protocol::longestDeadline).max().orElse(0);
-        ShutdownSchedule schedule = ShutdownSchedule.of(signalledAt, longest);
+        long longestDeadline = protocols.stream().mapToLong(Protocol::longestDeadline).max().orElse(0);
+        ShutdownSchedule schedule = ShutdownSchedule.of(signalledAt, longestDeadline);
         loop.post(() -> shutDown(schedule));
         // The loop ends it, after its last answers. A loop that is held up for longer than it must bear does not hold up the end.
-        long left = schedule.lastMoment() - loop.clock();
-        if (!ended.await(left * MICROSECONDS_A_TENTH, TimeUnit.MICROSECONDS)) {
+        long timeLeft = schedule.lastMoment() - loop.clock();
+        if (!shutdownDone.await(timeLeft * MICROS_PER_TENTH, TimeUnit.MICROSECONDS)) {
             Logger.warn("shutdown: ends while the loop is held up");
         }
-        endThreads();
+        closeLoop();
     }
 
     /**
      * Guards against a slow end: the runtime waits 0.3 s for threads that are in a system call, as those at sockets always are. Not
      * for ever, where one of them is held up.
      */
-    private void endThreads() throws InterruptedException {
-        Thread closing = new Thread(loop::end, "closing");
-        closing.setDaemon(true);
-        closing.start();
-        closing.join(CLOSING_MOST_MS);
+    private void closeLoop() throws InterruptedException {
+        Thread closingThread = new Thread(loop::end, "closing");
+        closingThread.setDaemon(true);
+        closingThread.start();
+        closingThread.join(MAX_CLOSING_MS);
     }
 
     private void shutDown(ShutdownSchedule schedule) {
         protocols.forEach(protocol -> protocol.shutDown(schedule));
         loop.at(schedule.closesAt(), () -> {
             Logger.info("shutdown: closing, {} connections open", clients());
-            protocols.forEach(Protocol::leave);
+            protocols.forEach(Protocol::closeBetweenRpcs);
             // Not before the next turn: what was accepted last is here by then.
-            loop.shut(schedule.answersBy(), () -> loop.at(loop.now() + LOOK_EVERY, this::endWhenDone));
+            loop.stopAccepting(schedule.answersBy(), () -> loop.at(loop.now() + POLL_INTERVAL, this::finishWhenIdle));
         });
         // Not in the turn in which it is due: where the loop was held up its last answers are written only after that one.
-        loop.at(schedule.endsBy(), () -> loop.at(loop.now() + LOOK_EVERY, () -> {
-            if (ended.getCount() > 0) {
+        loop.at(schedule.endsBy(), () -> loop.at(loop.now() + POLL_INTERVAL, () -> {
+            if (shutdownDone.getCount() > 0) {
                 Logger.warn("shutdown: ends with {} connections open", clients());
-                ended.countDown();
+                shutdownDone.countDown();
             }
         }));
     }
 
     /** Guards against ending with a connection that this machine has accepted and the loop has not seen. */
-    private void endWhenDone() {
-        if (clients() == 0 && loop.acceptedUnseen() == 0) {
+    private void finishWhenIdle() {
+        if (clients() == 0 && loop.acceptedNotOpened() == 0) {
             Logger.info("shutdown: ends, nothing open");
-            ended.countDown();
+            shutdownDone.countDown();
         } else {
-            loop.at(loop.now() + LOOK_EVERY, this::endWhenDone);
+            loop.at(loop.now() + POLL_INTERVAL, this::finishWhenIdle);
         }
     }
 }
--- a/src/main/java/honeygap/net/Back.java
+++ b/src/main/java/honeygap/net/Back.java
@@ -9,7 +9,7 @@
     Appliance appliance(long id);
 
     /** Sends the newest pick of the RPC; durations are tenths of a millisecond. */
-    void pick(Call call, Appliance appliance, long within);
+    void pick(Call call, Appliance appliance, long timeout);
 
     void cancel(Call call, int pick);
 
--- a/src/main/java/honeygap/net/Call.java
+++ b/src/main/java/honeygap/net/Call.java
@@ -35,7 +35,7 @@
     }
 
     /** Final answer: pushed back; best not asked again before so many tenths of a millisecond have passed. */
-    public abstract void pushBack(long stayAway);
+    public abstract void pushBack(long retryAfter);
 
     /** Final answer: aborted; nothing is promised about its effect. */
     public abstract void abort();
--- a/src/main/java/honeygap/net/Core.java
+++ b/src/main/java/honeygap/net/Core.java
@@ -32,26 +32,26 @@
     private final Loop loop;
     private final Rules rules;
     private final int methods;
-    private final String name;
+    private final String notePrefix;
     private final Map<Integer, Build> builds = new HashMap<>();
-    private Back back;
-    private Directory directory;
-    private Poll poll;
-    private long turns;
+    private Back upstream;
+    private Directory discovery;
+    private Poll voteSink;
+    private long iterations;
 
     /** The name stands before the module's notes, where it has one. */
     public Core(Loop loop, Rules rules, int methods, String name) {
         this.loop = loop;
         this.rules = rules;
         this.methods = methods;
-        this.name = name.isEmpty() ? "" : name + ": ";
+        this.notePrefix = name.isEmpty() ? "" : name + ": ";
     }
 
     /** Before the loop starts. */
-    public void join(Back back, Directory directory, Poll poll) {
-        this.back = back;
-        this.directory = directory;
-        this.poll = poll;
+    public void attach(Back upstream, Directory discovery, Poll voteSink) {
+        this.upstream = upstream;
+        this.discovery = discovery;
+        this.voteSink = voteSink;
     }
 
     /** The one record of a build; one that the module has let go of begins anew. */
@@ -60,17 +60,17 @@
         return builds.computeIfAbsent(number, n -> new Build(n, methods));
     }
 
-    public int builds() {
+    public int buildCount() {
         return builds.size();
     }
 
-    public long turns() {
-        return turns;
+    public long iterationCount() {
+        return iterations;
     }
 
     @Override
     public void now(long now) {
-        turns++;
+        iterations++;
         rules.now(now);
     }
 
@@ -80,14 +80,14 @@
     }
 
     @Override
-    public void pick(Rpc rpc, Appliance appliance, long within) {
+    public void pick(Rpc rpc, Appliance appliance, long timeout) {
         ((Call) rpc).picked(appliance);
-        back.pick((Call) rpc, appliance, within);
+        upstream.pick((Call) rpc, appliance, timeout);
     }
 
     @Override
-    public void pushBack(Rpc rpc, long stayAway) {
-        ((Call) rpc).pushBack(stayAway);
+    public void pushBack(Rpc rpc, long retryAfter) {
+        ((Call) rpc).pushBack(retryAfter);
     }
 
     @Override
@@ -97,27 +97,27 @@
 
     @Override
     public void cancel(Rpc rpc, int pick) {
-        back.cancel((Call) rpc, pick);
+        upstream.cancel((Call) rpc, pick);
     }
 
     @Override
     public void probe(Appliance appliance) {
-        back.probe(appliance);
+        upstream.probe(appliance);
     }
 
     @Override
     public void vote(Build build, int stage, int verdict) {
-        poll.vote(build, stage, verdict);
+        voteSink.vote(build, stage, verdict);
     }
 
     @Override
     public void watch() {
-        directory.watch();
+        discovery.watch();
     }
 
     @Override
     public void fetch() {
-        directory.fetch();
+        discovery.fetch();
     }
 
     @Override
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void note(String line) {
-        Logger.info("{}{}", name, line);
+    public void note(String message) {
+        Logger.info("{}{}", notePrefix, message);
     }
 }
--- a/src/main/java/honeygap/net/Counters.java
+++ b/src/main/java/honeygap/net/Counters.java
@@ -13,17 +13,17 @@
     }
 
     private final Map<String, Map<String, Long>> groups = new LinkedHashMap<>();
-    private Map<String, Long> group = Map.of();
+    private Map<String, Long> currentGroup = Map.of();
 
     /** Names are in small letters; a group named twice goes on. */
-    public Counters group(String name, Group counts) {
-        group = groups.computeIfAbsent(name, n -> new LinkedHashMap<>());
-        counts.report(this);
+    public Counters group(String name, Group source) {
+        currentGroup = groups.computeIfAbsent(name, n -> new LinkedHashMap<>());
+        source.report(this);
         return this;
     }
 
     public void count(String name, long value) {
-        group.put(name, value);
+        currentGroup.put(name, value);
     }
 
     /** Values by group and name, in the order of their coming. */
@@ -34,17 +34,17 @@
     /** A group in square brackets; counters that stand at zero are left out. */
     @Override
     public String toString() {
-        StringBuilder words = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         groups.forEach((name, counters) -> {
-            words.append(words.length() > 0 ? " " : "").append(name).append('[');
-            int before = words.length();
+            text.append(text.length() > 0 ? " " : "").append(name).append('[');
+            int groupStart = text.length();
             counters.forEach((counter, value) -> {
                 if (value != 0) {
-                    words.append(words.length() > before ? ", " : "").append(counter).append(' ').append(value);
+                    text.append(text.length() > groupStart ? ", " : "").append(counter).append(' ').append(value);
                 }
             });
-            words.append(']');
+            text.append(']');
         });
-        return words.toString();
+        return text.toString();
     }
 }
--- a/src/main/java/honeygap/net/Events.java
+++ b/src/main/java/honeygap/net/Events.java
@@ -28,7 +28,7 @@
         ThreadContext.put("agent", name);
     }
 
-    public static void counters(Counters counters) {
+    public static void logCounters(Counters counters) {
         ThreadContext.put(COUNTERS, json(counters));
         try {
             Logger.info("counters {}", counters);
@@ -38,12 +38,12 @@
     }
 
     /** Something wrong with one pick; not for what happens to every RPC. */
-    public static void pick(String rpc, int pick, long appliance, String words) {
+    public static void logPick(String rpc, int pick, long appliance, String message) {
         ThreadContext.put("rpc", rpc);
         ThreadContext.put("pick", String.valueOf(pick));
         ThreadContext.put("appliance", String.valueOf(appliance));
         try {
-            Logger.warn("RPC {}, pick {}, appliance {}: {}", rpc, pick, appliance, words);
+            Logger.warn("RPC {}, pick {}, appliance {}: {}", rpc, pick, appliance, message);
         } finally {
             ThreadContext.remove("rpc");
             ThreadContext.remove("pick");
@@ -52,21 +52,21 @@
     }
 
     /** An RPC was refused or failed, for this reason; the appliance is that of its last pick, -1 where it had none. */
-    public static void givenUp(String rpc, String method, String reason, long appliance, long leftMs, String words) {
+    public static void givenUp(String rpc, String method, String reason, long appliance, long leftMs, String detail) {
         Map<String, String> fields = Map.of("event", "given up", "rpc", rpc, "method", method, "reason", reason, "appliance",
                 String.valueOf(appliance), "left_ms", String.valueOf(leftMs));
         fields.forEach(ThreadContext::put);
         try {
             Logger.info("RPC {} ({}) given up: {}, last pick at appliance {}, {} ms left; {}", rpc, method, reason, appliance,
-                    leftMs, words);
+                    leftMs, detail);
         } finally {
             fields.keySet().forEach(ThreadContext::remove);
         }
     }
 
     private static String json(Counters counters) {
-        StringWriter words = new StringWriter();
-        try (JsonGenerator out = JSON.createGenerator(words)) {
+        StringWriter text = new StringWriter();
+        try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
             for (Map.Entry<String, Map<String, Long>> group : counters.groups().entrySet()) {
                 out.writeObjectFieldStart(group.getKey());
@@ -79,6 +79,6 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return words.toString();
+        return text.toString();
     }
 }
--- a/src/main/java/honeygap/net/Flags.java
+++ b/src/main/java/honeygap/net/Flags.java
@@ -13,11 +13,11 @@
 import honeygap.net.desk.Ballots;
 import honeygap.net.desk.Bulletin;
 import honeygap.net.desk.News;
-import honeygap.net.links.Links;
+import honeygap.net.links.ConnectionPool;
 import honeygap.net.list.Named;
 import honeygap.net.list.Registry;
 import honeygap.net.ofrep.Exchange;
-import honeygap.net.servers.Server;
+import honeygap.net.servers.FlagServerConnection;
 import honeygap.read.FlagSheet;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.io.IOException;
@@ -32,168 +32,168 @@
     private static final int BACKLOG = 1024;
 
     private final Loop loop;
-    private final FlagSheet sheet;
+    private final FlagSheet settings;
     private final Rules rules;
-    private final Core core;
+    private final Core engine;
     private final Exchange exchange;
-    private final Askers askers;
-    private final Links links;
-    private final Named named;
-    private final House house;
-    private final Registry registry;
-    private final Ballots ballots;
-    private final Bulletin bulletin;
-
-    public Flags(Loop loop, FlagSheet sheet, long seed) {
+    private final Askers flagClients;
+    private final ConnectionPool connections;
+    private final Named staticList;
+    private final House localRollout;
+    private final Registry discovery;
+    private final Ballots votes;
+    private final Bulletin statusStream;
+
+    public Flags(Loop loop, FlagSheet settings, long seed) {
         this.loop = loop;
-        this.sheet = sheet;
-        rules = sheet.rules(loop.clock(), seed);
-        core = new Core(loop, rules, sheet.methods.size(), "flags");
-        Answers answers = new Answers(sheet.sharing, sheet.step, sheet.allowances,
-                new Versions(sheet.keys, sheet.cells), new Kept(sheet.allowances.isEmpty() ? 0 : sheet.keptBytes));
-        exchange = new Exchange(loop, rules, answers, new Limits(sheet.retryAfterMost));
-        askers = new Askers(loop, exchange, sheet.methods.get(0), sheet.methods.get(1), sheet.methods.get(2),
-                sheet.methods.get(3), sheet.step, sheet.clients, sheet.longestBody);
-        links = new Links(loop, rules, (all, remote) -> new Server(all, remote, sheet.longestAnswer), sheet.step,
-                sheet.connectWithin, sheet.idleClose, sheet.links);
-        named = new Named(rules, links, core::build);
-        registry = sheet.list == null ? null
-                : new Registry(loop, rules, links, core::build, sheet.list, sheet.askWithin);
-        house = sheet.desk == null ? new House(sheet.caps, Fleet.LONG_AGO) : null;
-        News news = new News(loop, rules, core::build, Map.of("one", sheet.methods.get(0), "all",
-                sheet.methods.get(1), "track", sheet.methods.get(2), "tracked", sheet.methods.get(3)));
-        ballots = house != null ? null : new Ballots(loop, rules, news, sheet.desk, sheet.callTimeout);
-        bulletin = house != null ? null
-                : new Bulletin(loop, news, sheet.desk, Math.max(sheet.callTimeout, 30_000), seed);
-        core.join(links, registry != null ? registry : named, house != null ? this::vote : ballots);
+        this.settings = settings;
+        rules = settings.rules(loop.clock(), seed);
+        engine = new Core(loop, rules, settings.methods.size(), "flags");
+        Answers answerCache = new Answers(settings.sharing, settings.step, settings.allowances,
+                new Versions(settings.keys, settings.cells), new Kept(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
+        exchange = new Exchange(loop, rules, answerCache, new Limits(settings.retryAfterMost));
+        flagClients = new Askers(loop, exchange, settings.methods.get(0), settings.methods.get(1), settings.methods.get(2),
+                settings.methods.get(3), settings.step, settings.clients, settings.longestBody);
+        connections = new ConnectionPool(loop, rules, (pool, appliance) -> new FlagServerConnection(pool, appliance, settings.longestAnswer), settings.step,
+                settings.connectWithin, settings.idleClose, settings.links);
+        staticList = new Named(rules, connections, engine::build);
+        discovery = settings.list == null ? null
+                : new Registry(loop, rules, connections, engine::build, settings.list, settings.askWithin);
+        localRollout = settings.desk == null ? new House(settings.caps, Fleet.LONG_AGO) : null;
+        News rolloutStatus = new News(loop, rules, engine::build, Map.of("one", settings.methods.get(0), "all",
+                settings.methods.get(1), "track", settings.methods.get(2), "tracked", settings.methods.get(3)));
+        votes = localRollout != null ? null : new Ballots(loop, rules, rolloutStatus, settings.desk, settings.callTimeout);
+        statusStream = localRollout != null ? null
+                : new Bulletin(loop, rolloutStatus, settings.desk, Math.max(settings.callTimeout, 30_000), seed);
+        engine.attach(connections, discovery != null ? discovery : staticList, localRollout != null ? this::vote : votes);
     }
 
     @Override
-    public List<Loop.Core> cores() {
-        List<Loop.Core> cores = new ArrayList<>(List.of(exchange, core));
-        if (house != null) {
-            cores.add(new Stages());
+    public List<Loop.Core> steppers() {
+        List<Loop.Core> steppers = new ArrayList<>(List.of(exchange, engine));
+        if (localRollout != null) {
+            steppers.add(new LocalRolloutStepper());
         }
-        return cores;
+        return steppers;
     }
 
     /** Carries out what the stages of this house are. */
-    private final class Stages implements Loop.Core, House.Out {
+    private final class LocalRolloutStepper implements Loop.Core, House.Out {
 
         @Override
         public void now(long now) {
-            house.now(now);
+            localRollout.now(now);
         }
 
         @Override
         public boolean next() {
-            return house.next(this);
+            return localRollout.next(this);
         }
 
         @Override
-        public void told(int build, int phase, int stage, double cap, boolean answer, long since) {
-            loop.gather(() -> rules.told(core.build(build), phase, stage, cap, answer, since, Pick.OK));
+        public void told(int build, int phase, int stage, double cap, boolean isConfirmed, long since) {
+            loop.gather(() -> rules.told(engine.build(build), phase, stage, cap, isConfirmed, since, Pick.OK));
         }
 
         @Override
         public void list() {
-            if (registry == null) {
-                loop.gather(() -> named.tell(house::admits, loop.now()));
+            if (discovery == null) {
+                loop.gather(() -> staticList.tell(localRollout::admits, loop.now()));
             }
         }
     }
 
     private void vote(Build build, int stage, int verdict) {
-        loop.gather(() -> house.voted(build.number, stage, verdict));
+        loop.gather(() -> localRollout.voted(build.number, stage, verdict));
     }
 
     @Override
-    public void begin() {
-        if (bulletin != null) {
-            bulletin.listen();
+    public void start() {
+        if (statusStream != null) {
+            statusStream.listen();
         }
-        take(sheet);
+        applyServers(settings);
     }
 
-    private void take(FlagSheet told) {
-        if (registry != null) {
+    private void applyServers(FlagSheet newSettings) {
+        if (discovery != null) {
             return;
         }
-        var builds = named.take(told.servers);
-        if (house != null) {
-            house.listed(builds);
+        var builds = staticList.take(newSettings.servers);
+        if (localRollout != null) {
+            localRollout.listed(builds);
         } else {
-            loop.gather(() -> named.tell(build -> true, loop.now()));
+            loop.gather(() -> staticList.tell(build -> true, loop.now()));
         }
     }
 
     @Override
     public InetSocketAddress listen() throws IOException {
-        return loop.listen(sheet.listen, BACKLOG, askers.places(), askers::comer);
+        return loop.listen(settings.listen, BACKLOG, flagClients.places(), flagClients::comer);
     }
 
     /** Servers, list and desk are those of this sheet from then on; all else holds from start to end. */
-    public Runnable reread(FlagSheet told) {
-        return () -> change(told);
+    public Runnable reread(FlagSheet newSettings) {
+        return () -> applyReload(newSettings);
     }
 
-    private void change(FlagSheet told) {
-        if (registry != null && told.list != null) {
-            registry.move(told.list);
+    private void applyReload(FlagSheet newSettings) {
+        if (discovery != null && newSettings.list != null) {
+            discovery.move(newSettings.list);
         }
-        if (ballots != null && told.desk != null) {
-            ballots.move(told.desk);
-            bulletin.move(told.desk);
+        if (votes != null && newSettings.desk != null) {
+            votes.move(newSettings.desk);
+            statusStream.move(newSettings.desk);
         }
-        take(told);
+        applyServers(newSettings);
     }
 
     @Override
     public long longestDeadline() {
-        return sheet.methods.stream().mapToLong(method -> method.deadline).max().orElse(0);
+        return settings.methods.stream().mapToLong(method -> method.deadline).max().orElse(0);
     }
 
     @Override
     public void shutDown(ShutdownSchedule schedule) {
         loop.gather(() -> rules.ending(schedule));
-        askers.shutDown(schedule);
+        flagClients.shutDown(schedule);
     }
 
     @Override
-    public void leave() {
-        askers.leave();
+    public void closeBetweenRpcs() {
+        flagClients.leave();
     }
 
     @Override
-    public void drain(boolean isDrained) {
-        askers.drain(isDrained);
+    public void setDrained(boolean isDrained) {
+        flagClients.drain(isDrained);
     }
 
     @Override
-    public int count() {
-        return askers.count();
+    public int connectionCount() {
+        return flagClients.count();
     }
 
     @Override
     public void report(Counters counters) {
         counters.group("flags", exchange);
-        counters.group("flag clients", askers);
-        counters.group("flag links", links);
-        counters.group("flag shutdown", askers.shutdownLog());
-        if (registry != null) {
-            counters.group("flag list", registry);
+        counters.group("flag clients", flagClients);
+        counters.group("flag links", connections);
+        counters.group("flag shutdown", flagClients.shutdownLog());
+        if (discovery != null) {
+            counters.group("flag list", discovery);
         } else {
-            counters.group("flag servers", named);
+            counters.group("flag servers", staticList);
         }
-        if (house != null) {
-            counters.group("flag build", all -> {
-                all.count("number", house.build());
-                all.count("phase", house.phase());
-                all.count("stage", house.stage());
+        if (localRollout != null) {
+            counters.group("flag build", group -> {
+                group.count("number", localRollout.build());
+                group.count("phase", localRollout.phase());
+                group.count("stage", localRollout.stage());
             });
         } else {
-            counters.group("flag votes", ballots);
-            counters.group("flag bulletin", bulletin);
+            counters.group("flag votes", votes);
+            counters.group("flag bulletin", statusStream);
         }
     }
 }
--- a/src/main/java/honeygap/net/Gathered.java
+++ b/src/main/java/honeygap/net/Gathered.java
@@ -10,54 +10,54 @@
 /** Several slices that go out in one write, in order, none of them copied together. */
 public final class Gathered extends IoBufferWrapper {
 
-    private final ByteBuffer[] parts;
-    private int from;
+    private final ByteBuffer[] slices;
+    private int firstUnwritten;
 
-    public Gathered(ByteBuffer... parts) {
+    public Gathered(ByteBuffer... slices) {
         super(IoBuffer.allocate(0));
-        this.parts = parts;
+        this.slices = slices;
     }
 
-    int writeTo(GatheringByteChannel channel, Tap tap, IoSession session) throws IOException {
-        if (tap != null) {
-            return writeHeard(channel, tap, Door.number(session));
+    int writeTo(GatheringByteChannel channel, Tap listener, IoSession session) throws IOException {
+        if (listener != null) {
+            return writeAndReport(channel, listener, IoEventDispatcher.connectionNumber(session));
         }
         return write(channel);
     }
 
     /** Hands on what has gone out, in slices of its own. */
-    private int writeHeard(GatheringByteChannel channel, Tap tap, long number) throws IOException {
-        ByteBuffer[] slices = new ByteBuffer[parts.length - from];
-        for (int i = 0; i < slices.length; i++) {
-            slices[i] = parts[from + i].duplicate();
+    private int writeAndReport(GatheringByteChannel channel, Tap listener, long connection) throws IOException {
+        ByteBuffer[] written = new ByteBuffer[slices.length - firstUnwritten];
+        for (int i = 0; i < written.length; i++) {
+            written[i] = slices[firstUnwritten + i].duplicate();
         }
-        int written = write(channel);
-        int left = written;
+        int byteCount = write(channel);
+        int left = byteCount;
         int count = 0;
         while (left > 0) {
-            ByteBuffer slice = slices[count++];
+            ByteBuffer slice = written[count++];
             slice.limit(slice.position() + Math.min(left, slice.remaining()));
             left -= slice.remaining();
         }
-        if (written > 0) {
-            tap.sent(number, slices, count);
+        if (byteCount > 0) {
+            listener.sent(connection, written, count);
         }
-        return written;
+        return byteCount;
     }
 
     private int write(GatheringByteChannel channel) throws IOException {
-        int written = (int) channel.write(parts, from, parts.length - from);
-        while (from < parts.length && !parts[from].hasRemaining()) {
-            from++;
+        int byteCount = (int) channel.write(slices, firstUnwritten, slices.length - firstUnwritten);
+        while (firstUnwritten < slices.length && !slices[firstUnwritten].hasRemaining()) {
+            firstUnwritten++;
         }
-        return written;
+        return byteCount;
     }
 
     @Override
     public int remaining() {
         int left = 0;
-        for (int i = from; i < parts.length; i++) {
-            left += parts[i].remaining();
+        for (int i = firstUnwritten; i < slices.length; i++) {
+            left += slices[i].remaining();
         }
         return left;
     }
--- /dev/null
+++ b/src/main/java/honeygap/net/IoEventDispatcher.java
@@ -0,0 +1,92 @@
+package honeygap.net;
+
+import java.io.IOException;
+import java.util.function.Supplier;
+import org.apache.mina.core.buffer.IoBuffer;
+import org.apache.mina.core.service.IoHandlerAdapter;
+import org.apache.mina.core.session.AttributeKey;
+import org.apache.mina.core.session.IoSession;
+
+/** Hands what MINA reports of a session to the peer at its end. */
+final class IoEventDispatcher extends IoHandlerAdapter {
+
+    static final AttributeKey HANDLER = new AttributeKey(IoEventDispatcher.class, "peer");
+
+    /** The number of a connection for whoever listens in. */
+    private static final AttributeKey CONNECTION_NUMBER = new AttributeKey(IoEventDispatcher.class, "number");
+
+    private final Loop loop;
+    private final Supplier<Peer> handlerFactory;
+
+    /** Sessions that come without a peer get one from here. */
+    IoEventDispatcher(Loop loop, Supplier<Peer> handlerFactory) {
+        this.loop = loop;
+        this.handlerFactory = handlerFactory;
+    }
+
+    /** The number of a connection that is listened in on; 0 for others. */
+    static long connectionNumber(IoSession session) {
+        return session.getAttribute(CONNECTION_NUMBER) instanceof Long number ? number : 0;
+    }
+
+    private static Peer handler(IoSession session) {
+        return (Peer) session.getAttribute(HANDLER);
+    }
+
+    @Override
+    public void sessionCreated(IoSession session) {
+        if (handler(session) == null) {
+            session.setAttribute(HANDLER, handlerFactory.get());
+        }
+    }
+
+    @Override
+    public void sessionOpened(IoSession session) {
+        if (loop.trafficListener != null) {
+            session.setAttribute(CONNECTION_NUMBER, ++loop.lastConnectionNumber);
+            loop.trafficListener.opened(loop.lastConnectionNumber, session.getLocalAddress(), session.getRemoteAddress(), handlerFactory != null);
+        }
+        runGuarded(session, () -> handler(session).opened(session));
+        if (session.getService() instanceof Acceptor acceptor) {
+            acceptor.onSessionOpened();
+        }
+    }
+
+    @Override
+    public void messageReceived(IoSession session, Object message) {
+        if (loop.trafficListener != null) {
+            loop.trafficListener.received(connectionNumber(session), ((IoBuffer) message).buf());
+        }
+        runGuarded(session, () -> handler(session).received(((IoBuffer) message).buf()));
+    }
+
+    @Override
+    public void messageSent(IoSession session, Object message) {
+        runGuarded(session, handler(session)::written);
+    }
+
+    @Override
+    public void sessionClosed(IoSession session) {
+        if (loop.trafficListener != null) {
+            loop.trafficListener.closed(connectionNumber(session));
+        }
+        if (handler(session) != null) {
+            Loop.runGuarded(handler(session)::closed);
+        }
+    }
+
+    /** MINA lets an Error end its thread: a connection that brings one is closed instead. */
+    private static void runGuarded(IoSession session, Runnable callback) {
+        if (!Loop.runGuarded(callback)) {
+            session.closeNow();
+        }
+    }
+
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+        if (!(cause instanceof IOException)) {
+            Loop.fault(cause);
+        }
+        session.closeNow();
+    }
+}
--- a/src/main/java/honeygap/net/Loop.java
+++ b/src/main/java/honeygap/net/Loop.java
@@ -45,14 +45,14 @@
     /** Something to be done at a time, unless called off. */
     public static final class Timer implements Comparable<Timer> {
 
-        private final long at;
-        private final long number;
+        private final long dueAt;
+        private final long sequence;
         private final Loop loop;
         private Runnable task;
 
-        private Timer(long at, long number, Runnable task, Loop loop) {
-            this.at = at;
-            this.number = number;
+        private Timer(long dueAt, long sequence, Runnable task, Loop loop) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
             this.task = task;
             this.loop = loop;
         }
@@ -60,79 +60,79 @@
         public void callOff() {
             if (task != null) {
                 task = null;
-                loop.calledOff++;
+                loop.cancelledTimers++;
             }
         }
 
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
     }
 
     /** Faults caught since the start: each is logged, none ends the loop. */
     private static final AtomicLong FAULTS = new AtomicLong();
 
-    private static final AtomicLong BROKEN = new AtomicLong();
+    private static final AtomicLong INVARIANT_VIOLATIONS = new AtomicLong();
 
-    private static final long TENTHS_A_MS = 10;
-    private static final long NANOS_A_TENTH = 100_000;
-    private static final long IDLE_WAIT_MS = 1000;
-    private static final int TIMERS_KEPT = 64;
-    private static final int READ_AT_FIRST = 4096;
-    private static final int READ_MOST = 65536;
+    private static final long TENTHS_PER_MS = 10;
+    private static final long NANOS_PER_TENTH = 100_000;
+    private static final long MAX_WAIT_MS = 1000;
+    private static final int MIN_CANCELLED_TO_PURGE = 64;
+    private static final int INITIAL_READ_BUFFER_BYTES = 4096;
+    private static final int MAX_READ_BUFFER_BYTES = 65536;
 
-    private final LinkedBlockingQueue<Runnable> processors = new LinkedBlockingQueue<>();
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private final ArrayDeque<Runnable> gathered = new ArrayDeque<>();
+    private final LinkedBlockingQueue<Runnable> processorTasks = new LinkedBlockingQueue<>();
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+    private final ArrayDeque<Runnable> deferredTasks = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final SimpleIoProcessorPool<NioSession> pool;
+    private final SimpleIoProcessorPool<NioSession> processorPool;
     private final NioSocketConnector connector;
     private final List<Acceptor> acceptors = new ArrayList<>();
-    private final AtomicLong ownDialFailures = new AtomicLong();
-    private final long zero = System.nanoTime();
-    private final boolean isEager;
-    private long timerCount;
-    private int calledOff;
+    private final AtomicLong localConnectFailures = new AtomicLong();
+    private final long clockOriginNanos = System.nanoTime();
+    private final boolean isBusyWaiting;
+    private long nextTimerSequence;
+    private int cancelledTimers;
     private long now;
-    private List<Core> cores = List.of();
+    private List<Core> steppers = List.of();
     private volatile Thread thread;
     private volatile boolean isClosing;
-    private volatile boolean over;
-    private long startedNanos = zero;
-    private long firstRpcAfter;
-    Turns turns;
+    private volatile boolean isStopped;
+    private long programStartNanos = clockOriginNanos;
+    private long firstRpcMs;
+    LoopProcessor processor;
     /** Listens in on all connections; null where nobody does. */
-    Tap tap;
-    long tapped;
+    Tap trafficListener;
+    long lastConnectionNumber;
 
     public Loop() {
         this(false);
     }
 
     /** An eager loop does not sleep when something is due within two milliseconds: for tools that keep time. */
-    public Loop(boolean isEager) {
-        this.isEager = isEager;
+    public Loop(boolean isBusyWaiting) {
+        this.isBusyWaiting = isBusyWaiting;
         ExceptionMonitor.setInstance(new ExceptionMonitor() {
             @Override
             public void exceptionCaught(Throwable cause) {
                 fault(cause);
             }
         });
-        pool = new SimpleIoProcessorPool<>(Turns.class, this, 1, null);
-        connector = new NioSocketConnector(this::onOwnThread, pool);
-        connector.setHandler(new Door(this, null));
+        processorPool = new SimpleIoProcessorPool<>(LoopProcessor.class, this, 1, null);
+        connector = new NioSocketConnector(this::runOnHelperThread, processorPool);
+        connector.setHandler(new IoEventDispatcher(this, null));
         configure(connector.getSessionConfig());
     }
 
     private static void configure(SocketSessionConfig session) {
         session.setTcpNoDelay(true);
-        session.setReadBufferSize(READ_AT_FIRST);
-        session.setMaxReadBufferSize(READ_MOST);
+        session.setReadBufferSize(INITIAL_READ_BUFFER_BYTES);
+        session.setMaxReadBufferSize(MAX_READ_BUFFER_BYTES);
     }
 
     /** Accepting and connecting wait on threads of their own, which hand each session over. */
-    private void onOwnThread(Runnable task) {
+    private void runOnHelperThread(Runnable task) {
         Thread helper = new Thread(null, task, "connections", 1 << 17);
         helper.setDaemon(true);
         helper.start();
@@ -147,22 +147,22 @@
     /** What must hold: asserted in debug builds, counted in release builds. */
     public static void holds(boolean condition) {
         if (!condition) {
-            BROKEN.incrementAndGet();
+            INVARIANT_VIOLATIONS.incrementAndGet();
         }
         assert condition;
     }
 
     public static long broken() {
-        return BROKEN.get();
+        return INVARIANT_VIOLATIONS.get();
     }
 
-    public static long faults() {
+    public static long faultCount() {
         return FAULTS.get();
     }
 
     /** Tenths of a millisecond since the loop was made. */
     public long clock() {
-        return (System.nanoTime() - zero) / 100_000;
+        return (System.nanoTime() - clockOriginNanos) / 100_000;
     }
 
     /** The time of this turn. */
@@ -172,55 +172,55 @@
 
     /** The program began then, by the clock of the runtime; where it is not told, with the loop. */
     public void startedAt(long nanos) {
-        startedNanos = nanos;
+        programStartNanos = nanos;
     }
 
     /** Milliseconds since the program began. */
-    long sinceStart() {
-        return (System.nanoTime() - startedNanos) / 1_000_000;
+    long millisSinceStart() {
+        return (System.nanoTime() - programStartNanos) / 1_000_000;
     }
 
     /** An RPC has been taken: how long a restart takes is told by the first. */
     public void rpcTaken() {
-        if (firstRpcAfter == 0) {
-            firstRpcAfter = Math.max(1, sinceStart());
-            Logger.info("first RPC after {} ms", firstRpcAfter);
+        if (firstRpcMs == 0) {
+            firstRpcMs = Math.max(1, millisSinceStart());
+            Logger.info("first RPC after {} ms", firstRpcMs);
         }
     }
 
     /** Milliseconds from the program's beginning to its first RPC; 0 before that. */
-    long firstRpcAfter() {
-        return firstRpcAfter;
+    long firstRpcMs() {
+        return firstRpcMs;
     }
 
     /** Lets somebody listen in on all connections that come up from then on; before the start. */
-    public void tap(Tap tap) {
-        this.tap = tap;
+    public void tap(Tap listener) {
+        this.trafficListener = listener;
     }
 
-    public void start(Core... cores) {
-        this.cores = List.of(cores);
-        Thread started = new Thread(this, "loop");
-        started.setDaemon(true);
-        started.start();
+    public void start(Core... steppers) {
+        this.steppers = List.of(steppers);
+        Thread loopThread = new Thread(this, "loop");
+        loopThread.setDaemon(true);
+        loopThread.start();
     }
 
     /** Where it listens, which tells the port where none was named; before the next call, from one thread. */
-    public InetSocketAddress listen(InetSocketAddress address, int backlog, int places, Supplier<Peer> comers)
+    public InetSocketAddress listen(InetSocketAddress address, int backlog, int maxConnections, Supplier<Peer> handlerFactory)
             throws IOException {
-        return listen(address, backlog, (executor, pool) -> new Acceptor(this, executor, pool, places), comers);
+        return listen(address, backlog, (executor, pool) -> new Acceptor(this, executor, pool, maxConnections), handlerFactory);
     }
 
     /** Makes what accepts connections on a thread of this executor and hands them to this pool. */
-    interface Accepting {
+    interface AcceptorFactory {
 
-        Acceptor make(Executor executor, SimpleIoProcessorPool<NioSession> pool);
+        Acceptor create(Executor executor, SimpleIoProcessorPool<NioSession> pool);
     }
 
-    InetSocketAddress listen(InetSocketAddress address, int backlog, Accepting accepting, Supplier<Peer> comers)
+    InetSocketAddress listen(InetSocketAddress address, int backlog, AcceptorFactory acceptorFactory, Supplier<Peer> handlerFactory)
             throws IOException {
-        Acceptor acceptor = accepting.make(this::onOwnThread, pool);
-        acceptor.setHandler(new Door(this, comers));
+        Acceptor acceptor = acceptorFactory.create(this::runOnHelperThread, processorPool);
+        acceptor.setHandler(new IoEventDispatcher(this, handlerFactory));
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(backlog);
         configure(acceptor.getSessionConfig());
@@ -238,41 +238,41 @@
      * Takes no new connections from then on; those that are there go on, and those that the system has accepted are taken as well, up
      * to a time on this loop's clock. Done is told on the loop.
      */
-    void shut(long until, Runnable done) {
-        onOwnThread(() -> {
-            acceptors.forEach(acceptor -> acceptor.stop(zero + until * NANOS_A_TENTH));
-            post(done);
+    void stopAccepting(long until, Runnable onStopped) {
+        runOnHelperThread(() -> {
+            acceptors.forEach(acceptor -> acceptor.stop(clockOriginNanos + until * NANOS_PER_TENTH));
+            post(onStopped);
         });
     }
 
     /** Connections that were accepted and that no peer has heard of yet. */
-    int acceptedUnseen() {
-        return acceptors.stream().mapToInt(Acceptor::unseen).sum();
+    int acceptedNotOpened() {
+        return acceptors.stream().mapToInt(Acceptor::notYetOpened).sum();
     }
 
     /** Opens a connection; the peer hears whether it came up. Whoever gives up cancels what is returned. */
-    public ConnectFuture connect(InetSocketAddress address, Peer peer) {
+    public ConnectFuture connect(InetSocketAddress address, Peer handler) {
         ConnectFuture future = connector.connect(address,
-                (session, connecting) -> session.setAttribute(Door.PEER, peer));
+                (session, connecting) -> session.setAttribute(IoEventDispatcher.HANDLER, handler));
         future.addListener(done -> {
             if (!((ConnectFuture) done).isConnected()) {
-                boolean isOurs = isOfThisMachine(((ConnectFuture) done).getException());
-                ownDialFailures.addAndGet(isOurs ? 1 : 0);
-                post(isOurs ? peer::notDialled : peer::unreachable);
+                boolean isLocal = isLocalFailure(((ConnectFuture) done).getException());
+                localConnectFailures.addAndGet(isLocal ? 1 : 0);
+                post(isLocal ? handler::connectFailedLocally : handler::unreachable);
             }
         });
         return future;
     }
 
     /** Refused, or timed out, is the other side's word; no descriptor, port or route for it is this machine's own. */
-    private static boolean isOfThisMachine(Throwable why) {
-        return why instanceof SocketException && !(why instanceof ConnectException)
-                && !(why instanceof NoRouteToHostException);
+    private static boolean isLocalFailure(Throwable cause) {
+        return cause instanceof SocketException && !(cause instanceof ConnectException)
+                && !(cause instanceof NoRouteToHostException);
     }
 
     /** Connections that this machine could not begin to open. */
-    long ownDialFailures() {
-        return ownDialFailures.get();
+    long localConnectFailures() {
+        return localConnectFailures.get();
     }
 
     /** Calls for a new connection that failed and were made again. */
@@ -282,7 +282,7 @@
 
     /** Ends the sending at once, so that a pick given up is over before the next one goes out. */
     public void cut(IoSession session) {
-        if (session.getAttribute(Turns.CHANNEL) instanceof SocketChannel channel) {
+        if (session.getAttribute(LoopProcessor.CHANNEL) instanceof SocketChannel channel) {
             try {
                 channel.shutdownOutput();
             } catch (IOException e) {
@@ -293,9 +293,9 @@
     }
 
     /** Whether nothing waits to be read on a connection, not even its end; a byte that came is lost. */
-    public boolean isQuiet(IoSession session) {
+    public boolean hasNoPendingInput(IoSession session) {
         try {
-            return session.getAttribute(Turns.CHANNEL) instanceof SocketChannel channel
+            return session.getAttribute(LoopProcessor.CHANNEL) instanceof SocketChannel channel
                     && channel.read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
             return false;
@@ -304,56 +304,56 @@
 
     /** What has come on a connection and has not been read yet; empty where nothing has, or its end. */
     public ByteBuffer unread(IoSession session) {
-        ByteBuffer bytes = ByteBuffer.allocate(READ_AT_FIRST);
+        ByteBuffer bytes = ByteBuffer.allocate(INITIAL_READ_BUFFER_BYTES);
         try {
-            if (session.getAttribute(Turns.CHANNEL) instanceof SocketChannel channel) {
+            if (session.getAttribute(LoopProcessor.CHANNEL) instanceof SocketChannel channel) {
                 channel.read(bytes);
             }
         } catch (IOException e) {
             Logger.debug(e, "already closed");
         }
         bytes.flip();
-        if (tap != null && bytes.hasRemaining()) {
-            tap.received(Door.number(session), bytes.duplicate());
+        if (trafficListener != null && bytes.hasRemaining()) {
+            trafficListener.received(IoEventDispatcher.connectionNumber(session), bytes.duplicate());
         }
         return bytes;
     }
 
     /** From any thread: to be done in the next turn. */
     public void post(Runnable task) {
-        posted.add(task);
-        if (!isCurrent()) {
+        postedTasks.add(task);
+        if (!isLoopThread()) {
             // One is enough to end the wait, and while a processor runs nobody takes them out.
-            if (processors.isEmpty()) {
-                processors.offer(() -> { });
+            if (processorTasks.isEmpty()) {
+                processorTasks.offer(() -> { });
             }
-            turns.wake();
+            processor.wake();
         }
     }
 
     /** Something that came in, to be told in this or the next turn. */
-    public void gather(Runnable told) {
-        gathered.add(told);
+    public void gather(Runnable task) {
+        deferredTasks.add(task);
     }
 
     public Timer at(long time, Runnable task) {
         // Guards against timers called off long before their time, several an RPC, that nobody takes out.
-        if (calledOff > TIMERS_KEPT && calledOff > timers.size() / 2) {
+        if (cancelledTimers > MIN_CANCELLED_TO_PURGE && cancelledTimers > timers.size() / 2) {
             timers.removeIf(old -> old.task == null);
-            calledOff = 0;
+            cancelledTimers = 0;
         }
-        Timer timer = new Timer(time, timerCount++, task, this);
+        Timer timer = new Timer(time, nextTimerSequence++, task, this);
         timers.add(timer);
         return timer;
     }
 
-    boolean isCurrent() {
+    boolean isLoopThread() {
         return Thread.currentThread() == thread;
     }
 
     @Override
     public void execute(Runnable processor) {
-        processors.add(processor);
+        processorTasks.add(processor);
     }
 
     /** Closes everything; from another thread only. */
@@ -362,17 +362,17 @@
         isClosing = true;
         acceptors.forEach(Acceptor::dispose);
         connector.dispose();
-        pool.dispose();
-        over = true;
+        processorPool.dispose();
+        isStopped = true;
     }
 
     @Override
     public void run() {
         thread = Thread.currentThread();
-        while (!over) {
+        while (!isStopped) {
             try {
-                turn();
-                Runnable processor = processors.poll(untilDue(), TimeUnit.MILLISECONDS);
+                runIteration();
+                Runnable processor = processorTasks.poll(millisUntilNextTimer(), TimeUnit.MILLISECONDS);
                 if (processor != null) {
                     processor.run();
                 }
@@ -383,44 +383,44 @@
     }
 
     /** One turn: tells all that was gathered, pulls the decisions dry; none any more once it is over. */
-    void turn() {
+    void runIteration() {
         now = clock();
         if (isClosing) {
             return;
         }
-        for (Core core : cores) {
-            guarded(() -> core.now(now));
+        for (Core stepper : steppers) {
+            runGuarded(() -> stepper.now(now));
         }
         boolean more = true;
         while (more) {
-            for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-                guarded(task);
+            for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
+                runGuarded(task);
             }
-            while (!timers.isEmpty() && (timers.peek().task == null || timers.peek().at <= now)) {
+            while (!timers.isEmpty() && (timers.peek().task == null || timers.peek().dueAt <= now)) {
                 Runnable task = timers.poll().task;
                 if (task != null) {
-                    guarded(task);
+                    runGuarded(task);
                 }
             }
-            for (Runnable told = gathered.poll(); told != null; told = gathered.poll()) {
-                guarded(told);
+            for (Runnable task = deferredTasks.poll(); task != null; task = deferredTasks.poll()) {
+                runGuarded(task);
             }
-            for (Core core : cores) {
-                guarded(() -> decide(core));
+            for (Core stepper : steppers) {
+                runGuarded(() -> stepUntilDone(stepper));
             }
-            more = !gathered.isEmpty() || !posted.isEmpty();
+            more = !deferredTasks.isEmpty() || !postedTasks.isEmpty();
         }
     }
 
-    private static void decide(Core core) {
+    private static void stepUntilDone(Core stepper) {
         boolean more = true;
         while (more) {
-            more = core.next();
+            more = stepper.next();
         }
     }
 
     /** Nothing that a peer or the module does wrong ends the loop; whether it went well. */
-    static boolean guarded(Runnable task) {
+    static boolean runGuarded(Runnable task) {
         try {
             task.run();
             return true;
@@ -431,17 +431,17 @@
     }
 
     /** Milliseconds until the next timer, rounded up. */
-    long untilDue() {
+    long millisUntilNextTimer() {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
         if (timers.isEmpty()) {
-            return IDLE_WAIT_MS;
+            return MAX_WAIT_MS;
         }
-        long left = timers.peek().at - clock();
-        if (isEager && left < 2 * TENTHS_A_MS) {
+        long left = timers.peek().dueAt - clock();
+        if (isBusyWaiting && left < 2 * TENTHS_PER_MS) {
             return 0;
         }
-        return Math.min(IDLE_WAIT_MS, left <= 0 ? 0 : (left + TENTHS_A_MS - 1) / TENTHS_A_MS);
+        return Math.min(MAX_WAIT_MS, left <= 0 ? 0 : (left + TENTHS_PER_MS - 1) / TENTHS_PER_MS);
     }
 }
--- a/src/main/java/honeygap/net/Turns.java
+++ b/src/main/java/honeygap/net/LoopProcessor.java
@@ -10,17 +10,17 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /** The one processor of all sessions: before it waits for sockets, it lets the loop take its turn. */
-public final class Turns extends NioProcessor {
+public final class LoopProcessor extends NioProcessor {
 
-    static final AttributeKey CHANNEL = new AttributeKey(Turns.class, "channel");
+    static final AttributeKey CHANNEL = new AttributeKey(LoopProcessor.class, "channel");
 
     private final Loop loop;
 
     /** The executor is the loop itself, by way of the pool that makes processors. */
-    public Turns(Executor loop) {
+    public LoopProcessor(Executor loop) {
         super(loop);
         this.loop = (Loop) loop;
-        this.loop.turns = this;
+        this.loop.processor = this;
     }
 
     /**
@@ -30,8 +30,8 @@
     @Override
     protected int select(long timeout) throws Exception {
         while (true) {
-            loop.turn();
-            long wait = loop.untilDue();
+            loop.runIteration();
+            long wait = loop.millisUntilNextTimer();
             int ready = wakeupCalled.get() || wait <= 0 ? selector.selectNow() : selector.select(wait);
             if (ready > 0 || wakeupCalled.get()) {
                 return ready;
@@ -42,7 +42,7 @@
     /** On the loop's own thread a mark is enough. */
     @Override
     protected void wakeup() {
-        if (loop.isCurrent()) {
+        if (loop.isLoopThread()) {
             wakeupCalled.set(true);
         } else {
             super.wakeup();
@@ -67,7 +67,7 @@
     @Override
     protected int write(NioSession session, IoBuffer bytes, int length) throws IOException {
         return bytes instanceof Gathered gathered
-                ? gathered.writeTo((GatheringByteChannel) session.getAttribute(CHANNEL), loop.tap, session)
+                ? gathered.writeTo((GatheringByteChannel) session.getAttribute(CHANNEL), loop.trafficListener, session)
                 : super.write(session, bytes, length);
     }
 }
--- a/src/main/java/honeygap/net/Peer.java
+++ b/src/main/java/honeygap/net/Peer.java
@@ -12,7 +12,7 @@
     void unreachable();
 
     /** This machine could not begin to open it, which says nothing of the other side. */
-    default void notDialled() {
+    default void connectFailedLocally() {
         unreachable();
     }
 
--- a/src/main/java/honeygap/net/Protocol.java
+++ b/src/main/java/honeygap/net/Protocol.java
@@ -9,17 +9,17 @@
 public interface Protocol extends Counters.Group {
 
     /** What turns on the loop. */
-    List<Loop.Core> cores();
+    List<Loop.Core> steppers();
 
     /** Makes ready, before the loop turns. */
-    default void prepare() {
+    default void warmUp() {
     }
 
     /** On the loop, in its first turn. */
-    void begin();
+    void start();
 
     /** Whether clients may come yet; on the loop. */
-    default boolean mayOpen() {
+    default boolean isReady() {
         return true;
     }
 
@@ -33,15 +33,15 @@
     void shutDown(ShutdownSchedule schedule);
 
     /** From now on connections are closed between RPCs. */
-    void leave();
+    void closeBetweenRpcs();
 
     /** Takes no clients and closes connections between RPCs, or takes them again. */
-    void drain(boolean isDrained);
+    void setDrained(boolean isDrained);
 
     /** Load goes to and comes from others there, from then on; on the loop. */
-    default void share(Shared shared) {
+    default void shareLoad(Shared sharing) {
     }
 
     /** How many connections of clients there are, those included that are closed once all has been written to them. */
-    int count();
+    int connectionCount();
 }
--- a/src/main/java/honeygap/net/Queries.java
+++ b/src/main/java/honeygap/net/Queries.java
@@ -2,12 +2,12 @@
 
 import honeygap.Rules;
 import honeygap.fleet.Method;
-import honeygap.net.appliances.Session;
+import honeygap.net.appliances.PostgresConnection;
 import honeygap.net.clients.Clients;
 import honeygap.net.desk.Ballots;
 import honeygap.net.desk.Bulletin;
 import honeygap.net.desk.News;
-import honeygap.net.links.Links;
+import honeygap.net.links.ConnectionPool;
 import honeygap.net.list.Registry;
 import honeygap.read.Deployment;
 import honeygap.read.Fields;
@@ -25,123 +25,123 @@
 public final class Queries implements Protocol {
 
     /** Descriptors kept back for the list, the desk and what the runtime itself holds. */
-    private static final int RESERVE = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
     /** Clients hold at most this part of the descriptors for RPCs; half of it is kept free for new ones. */
-    private static final int CLIENTS_PART = 3;
+    private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
     /** For so long, in milliseconds, the code is warmed up before the agent listens. */
-    private static final long REHEARSED_MS = 50;
+    private static final long WARM_UP_MS = 50;
 
     private final Loop loop;
     private final Rules rules;
-    private final Core core;
+    private final Core engine;
     private final Clients clients;
-    private final Links links;
-    private final Registry registry;
-    private final Ballots ballots;
-    private final Bulletin bulletin;
-    private final InetSocketAddress listen;
-    private final int most;
-    private final Fields info;
-    private final Rehearsal rehearsal;
+    private final ConnectionPool connections;
+    private final Registry discovery;
+    private final Ballots votes;
+    private final Bulletin statusStream;
+    private final InetSocketAddress listenAddress;
+    private final int maxConnections;
+    private final Fields settings;
+    private final WarmUp warmUp;
     private volatile long longestDeadline;
 
-    public Queries(Loop loop, Fields told) throws Malformed {
+    public Queries(Loop loop, Fields config) throws Malformed {
         this.loop = loop;
-        info = told.object("settings");
-        Fields desk = told.object("rollouts");
-        List<Method> methods = Deployment.methods(info);
-        longestDeadline = longest(methods);
+        settings = config.object("settings");
+        Fields desk = config.object("rollouts");
+        List<Method> methods = Deployment.methods(settings);
+        longestDeadline = longestDeadlineOf(methods);
         long seed;
         try {
-            seed = Long.parseUnsignedLong(told.text("seed"), 16);
+            seed = Long.parseUnsignedLong(config.text("seed"), 16);
         } catch (NumberFormatException e) {
             throw new Malformed("field seed is not a number in hexadecimal");
         }
-        listen = told.address("listen");
+        listenAddress = config.address("listen");
         // A client's connection may need one to an appliance.
-        int sockets = told.part("limits").index("sockets", 1024);
-        most = Math.max(2, sockets - RESERVE) / 2;
-        Listing listing = Deployment.onSockets(info);
-        rules = Deployment.rules(loop.clock(), seed, methods, info, listing);
-        Map<String, Method> names = new HashMap<>();
-        int at = 0;
-        for (Fields method : info.objects("Classes")) {
-            names.put(method.text("Name"), methods.get(at++));
+        int sockets = config.part("limits").index("sockets", 1024);
+        maxConnections = Math.max(2, sockets - RESERVED_DESCRIPTORS) / 2;
+        Listing listing = Deployment.onSockets(settings);
+        rules = Deployment.rules(loop.clock(), seed, methods, settings, listing);
+        Map<String, Method> methodsByName = new HashMap<>();
+        int index = 0;
+        for (Fields method : settings.objects("Classes")) {
+            methodsByName.put(method.text("Name"), methods.get(index++));
         }
-        core = new Core(loop, rules, methods.size(), "");
-        clients = new Clients(loop, rules, names, info, most, sockets / CLIENTS_PART / 2);
-        Fields ceilings = info.part("Ceilings");
-        links = new Links(loop, rules, Session::new, info.tenths("TickNs"),
-                ceilings.tenths("ConnectTimeoutNs", 2500), ceilings.tenths("IdleCloseNs", 100_000), most);
-        registry = new Registry(loop, rules, links, core::build, told.address("discovery"),
+        engine = new Core(loop, rules, methods.size(), "");
+        clients = new Clients(loop, rules, methodsByName, settings, maxConnections, sockets / CLIENT_DESCRIPTOR_DIVISOR / 2);
+        Fields ceilings = settings.part("Ceilings");
+        connections = new ConnectionPool(loop, rules, PostgresConnection::new, settings.tenths("TickNs"),
+                ceilings.tenths("ConnectTimeoutNs", 2500), ceilings.tenths("IdleCloseNs", 100_000), maxConnections);
+        discovery = new Registry(loop, rules, connections, engine::build, config.address("discovery"),
                 listing.askWithin());
-        News news = new News(loop, rules, core::build, names);
+        News rolloutStatus = new News(loop, rules, engine::build, methodsByName);
         InetSocketAddress deskAddress = desk.address("address");
-        long callTimeout = info.part("FamilyInfo").tenths("CallTimeoutNs", 20_000);
-        ballots = new Ballots(loop, rules, news, deskAddress, callTimeout);
-        core.join(links, registry, ballots);
-        bulletin = new Bulletin(loop, news, deskAddress, Math.max(callTimeout, 30_000), seed);
-        if (told.has("known")) {
-            registry.known(told.object("known"));
+        long callTimeout = settings.part("FamilyInfo").tenths("CallTimeoutNs", 20_000);
+        votes = new Ballots(loop, rules, rolloutStatus, deskAddress, callTimeout);
+        engine.attach(connections, discovery, votes);
+        statusStream = new Bulletin(loop, rolloutStatus, deskAddress, Math.max(callTimeout, 30_000), seed);
+        if (config.has("known")) {
+            discovery.known(config.object("known"));
         }
         if (desk.has("news")) {
-            loop.gather(news.first(desk.object("news")));
+            loop.gather(rolloutStatus.first(desk.object("news")));
         }
-        rehearsal = new Rehearsal(info);
+        warmUp = new WarmUp(settings);
     }
 
-    private static long longest(List<Method> methods) {
+    private static long longestDeadlineOf(List<Method> methods) {
         return methods.stream().mapToLong(method -> method.deadline).max().orElse(0);
     }
 
     @Override
-    public List<Loop.Core> cores() {
-        return List.of(core);
+    public List<Loop.Core> steppers() {
+        return List.of(engine);
     }
 
     @Override
-    public void prepare() {
-        Logger.info("rehearsed {} RPCs", rehearsal.play(REHEARSED_MS));
+    public void warmUp() {
+        Logger.info("rehearsed {} RPCs", warmUp.run(WARM_UP_MS));
     }
 
     @Override
-    public void begin() {
-        bulletin.listen();
+    public void start() {
+        statusStream.listen();
     }
 
     @Override
-    public boolean mayOpen() {
+    public boolean isReady() {
         return rules.mayOpen();
     }
 
     @Override
     public InetSocketAddress listen() throws IOException {
-        return loop.listen(listen, 2 * most, clients.places(), clients::comer);
+        return loop.listen(listenAddress, 2 * maxConnections, clients.places(), clients::comer);
     }
 
     /**
      * Reads a configuration once more: the list and the desk are asked at the addresses that it names; all else
      * holds from start to end. What is to be done for it, on the loop.
      */
-    public Runnable reread(Fields told) throws Malformed {
-        InetSocketAddress list = told.address("discovery");
-        InetSocketAddress desk = told.object("rollouts").address("address");
+    public Runnable reread(Fields config) throws Malformed {
+        InetSocketAddress discoveryAddress = config.address("discovery");
+        InetSocketAddress deskAddress = config.object("rollouts").address("address");
         // Whoever ends this process may go by either: the shorter one leaves enough time in any case.
-        long shorter = told.has("settings") ? Math.min(longestDeadline, longest(Deployment.methods(told.object("settings"))))
+        long deadline = config.has("settings") ? Math.min(longestDeadline, longestDeadlineOf(Deployment.methods(config.object("settings"))))
                 : longestDeadline;
         return () -> {
-            longestDeadline = shorter;
-            registry.move(list);
-            ballots.move(desk);
-            bulletin.move(desk);
+            longestDeadline = deadline;
+            discovery.move(discoveryAddress);
+            votes.move(deskAddress);
+            statusStream.move(deskAddress);
         };
     }
 
     @Override
-    public void share(Shared shared) {
-        shared.figures(registry.out());
-        registry.others(shared.others());
-        loop.at(loop.now() + shared.every(), () -> share(shared));
+    public void shareLoad(Shared sharing) {
+        sharing.figures(discovery.out());
+        discovery.others(sharing.others());
+        loop.at(loop.now() + sharing.every(), () -> shareLoad(sharing));
     }
 
     @Override
@@ -156,28 +156,28 @@
     }
 
     @Override
-    public void leave() {
+    public void closeBetweenRpcs() {
         clients.leave();
     }
 
     @Override
-    public void drain(boolean isDrained) {
+    public void setDrained(boolean isDrained) {
         clients.drain(isDrained);
     }
 
     @Override
-    public int count() {
+    public int connectionCount() {
         return clients.count();
     }
 
     @Override
     public void report(Counters counters) {
-        counters.group("core", all -> {
-            all.count("turns", core.turns());
-            all.count("builds", core.builds());
+        counters.group("core", group -> {
+            group.count("turns", engine.iterationCount());
+            group.count("builds", engine.buildCount());
         });
-        counters.group("clients", clients).group("links", links).group("list", registry)
-                .group("votes", ballots).group("bulletin", bulletin)
+        counters.group("clients", clients).group("links", connections).group("list", discovery)
+                .group("votes", votes).group("bulletin", statusStream)
                 .group("shutdown", clients.shutdownLog());
     }
 }
--- a/src/main/java/honeygap/net/Shared.java
+++ b/src/main/java/honeygap/net/Shared.java
@@ -9,7 +9,7 @@
     long every();
 
     /** Picks now out at appliances, by the names of the list; none is left out that has any. */
-    void figures(Map<String, Integer> out);
+    void figures(Map<String, Integer> inFlight);
 
     /** Picks of others, by the same names, as last published. */
     Map<String, Double> others();
--- a/src/main/java/honeygap/net/Tap.java
+++ b/src/main/java/honeygap/net/Tap.java
@@ -10,7 +10,7 @@
 public interface Tap {
 
     /** A connection came up; whether it was opened from outside. */
-    void opened(long connection, SocketAddress here, SocketAddress there, boolean isComer);
+    void opened(long connection, SocketAddress local, SocketAddress remote, boolean isInbound);
 
     void received(long connection, ByteBuffer bytes);
 
--- a/src/main/java/honeygap/net/Rehearsal.java
+++ b/src/main/java/honeygap/net/WarmUp.java
@@ -23,7 +23,7 @@
  * Runs made-up RPCs through the parsers and a module of its own before the agent listens, so that the first
  * real ones do not wait for classes to load and code to compile. No peer is touched and nothing is kept.
  */
-final class Rehearsal implements Ctl {
+final class WarmUp implements Ctl {
 
     private static final int APPLIANCES = 8;
     private static final long STEP = 10;
@@ -32,19 +32,19 @@
     private final Rules rules;
     private final Frames frames = new Frames(1 << 16);
     private final Statement statement = new Statement();
-    private final ArrayDeque<Rpc> out = new ArrayDeque<>();
+    private final ArrayDeque<Rpc> inFlight = new ArrayDeque<>();
     private final Tenant tenant = new Tenant();
     private long now;
 
-    Rehearsal(Fields info) throws Malformed {
-        methods = Deployment.methods(info);
-        rules = Deployment.rules(0, 1, methods, info, Deployment.onSockets(info));
+    WarmUp(Fields settings) throws Malformed {
+        methods = Deployment.methods(settings);
+        rules = Deployment.rules(0, 1, methods, settings, Deployment.onSockets(settings));
         rules.listBegins(true, true);
-        Build earlier = new Build(1, methods.size());
+        Build stable = new Build(1, methods.size());
         Build trial = new Build(2, methods.size());
         Location location = new Location();
         for (int i = 0; i < APPLIANCES; i++) {
-            rules.listed(new Appliance(i), i % 2 == 0 ? earlier : trial, location, 0, Appliance.UP,
+            rules.listed(new Appliance(i), i % 2 == 0 ? stable : trial, location, 0, Appliance.UP,
                     Fleet.LONG_AGO);
         }
         rules.listEnds();
@@ -52,37 +52,37 @@
     }
 
     /** Goes on for so long, in milliseconds; how many RPCs were played. */
-    int play(long ms) {
+    int run(long ms) {
         long end = System.nanoTime() + ms * 1_000_000;
-        int played = 0;
+        int completed = 0;
         while (System.nanoTime() < end) {
             now += STEP;
             rules.now(now);
             rules.listConfirmed(now);
             rules.woken();
-            take(played++);
+            submit(completed++);
             while (rules.next(this)) {
                 continue;
             }
-            if (out.size() > APPLIANCES / 2) {
-                Rpc rpc = out.poll();
-                int outcome = played % 16 == 0 ? Pick.ERROR : Pick.OK;
+            if (inFlight.size() > APPLIANCES / 2) {
+                Rpc rpc = inFlight.poll();
+                int outcome = completed % 16 == 0 ? Pick.ERROR : Pick.OK;
                 rules.ended(rpc, rpc.picks.size() - 1, outcome, rpc.closed || outcome == Pick.OK, 10 * STEP);
             }
         }
-        return played;
+        return completed;
     }
 
-    private void take(int number) {
+    private void submit(int number) {
         try {
-            read(number);
+            parseAndSubmit(number);
         } catch (Malformed e) {
             // What is made up here can be read.
             throw new IllegalStateException(e);
         }
     }
 
-    private void read(int number) throws Malformed {
+    private void parseAndSubmit(int number) throws Malformed {
         Method method = methods.get(number % methods.size());
         frames.feed(Words.query("SELECT content FROM kv WHERE name = '" + number + "' /* id=" + number
                 + ",c=m,t=t,d=480,h=1000 */"));
@@ -98,13 +98,13 @@
     }
 
     @Override
-    public void pick(Rpc rpc, Appliance appliance, long within) {
-        out.add(rpc);
+    public void pick(Rpc rpc, Appliance appliance, long timeout) {
+        inFlight.add(rpc);
     }
 
     @Override
-    public void pushBack(Rpc rpc, long stayAway) {
-        Words.error(Words.TOO_MANY, "rehearsed", stayAway);
+    public void pushBack(Rpc rpc, long retryAfter) {
+        Words.error(Words.TOO_MANY, "rehearsed", retryAfter);
     }
 
     @Override
@@ -137,6 +137,6 @@
     }
 
     @Override
-    public void note(String line) {
+    public void note(String message) {
     }
 }
--- /dev/null
+++ b/src/main/java/honeygap/net/appliances/PostgresConnection.java
@@ -0,0 +1,138 @@
+package honeygap.net.appliances;
+
+import honeygap.fleet.Pick;
+import honeygap.net.Gathered;
+import honeygap.net.links.UpstreamConnection;
+import honeygap.net.links.ConnectionPool;
+import honeygap.net.links.Remote;
+import honeygap.net.pg.Frames;
+import honeygap.net.pg.Query;
+import honeygap.net.pg.Shapes;
+import honeygap.net.pg.Words;
+import honeygap.read.Malformed;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
+
+/** A connection to an appliance that speaks PostgreSQL's wire protocol. */
+public final class PostgresConnection extends UpstreamConnection {
+
+    private static final int MAX_MESSAGE_BYTES = 65536 + 4096;
+
+    /** The types of messages that may come: as it starts, for a pick or probe, behind its answer, at rest. */
+    private static final String STARTUP_TYPES = "RSKNEZ";
+    private static final String REQUEST_TYPES = "TDCEISNZ";
+    private static final String ANSWERED_TYPES = "SNZ";
+    private static final String IDLE_TYPES = "SNA";
+
+    private String expectedTypes = STARTUP_TYPES;
+    private final Frames frames = new Frames(MAX_MESSAGE_BYTES);
+    /** Slices of the answer as it comes: description, row, completion. */
+    private final List<ByteBuffer> answerSlices = new ArrayList<>(3);
+    private boolean rowSeen;
+
+    public PostgresConnection(ConnectionPool pool, Remote appliance) {
+        super(pool, appliance);
+    }
+
+    @Override
+    protected void startProtocol() {
+        session.write(new Gathered(Words.startup()));
+    }
+
+    @Override
+    protected void sendProbe() {
+        expectedTypes = REQUEST_TYPES;
+        session.write(new Gathered(Words.query("SELECT 1")));
+    }
+
+    @Override
+    protected void sendRequest() {
+        answerSlices.clear();
+        rowSeen = false;
+        expectedTypes = REQUEST_TYPES;
+        Query query = (Query) call;
+        session.write(new Gathered(Words.query(query.before(), pool.millisLeft(timeoutAt), query.after())));
+    }
+
+    @Override
+    protected void handleInput(ByteBuffer bytes) throws Malformed {
+        frames.feed(bytes);
+        while (!isClosed && frames.next()) {
+            handleMessage();
+        }
+    }
+
+    @Override
+    protected boolean lacksAnswerIds() {
+        return true;
+    }
+
+    @Override
+    protected boolean hasPartialMessage() {
+        return frames.waiting() > 0;
+    }
+
+    @Override
+    protected void onIdle() {
+        expectedTypes = IDLE_TYPES;
+    }
+
+    private void handleMessage() throws Malformed {
+        if (expectedTypes.indexOf(frames.type()) < 0) {
+            throw new Malformed("a message that nobody waits for");
+        }
+        Shapes.check(frames.type(), frames.body());
+        switch (frames.type()) {
+            case 'T':
+                answerSlices.add(frames.whole());
+                break;
+            case 'D':
+                rowSeen = true;
+                answerSlices.add(frames.whole());
+                break;
+            case 'C':
+                answerSlices.add(frames.whole());
+                if (!isProbing) {
+                    handleAnswer();
+                }
+                break;
+            case 'E':
+                if (!isProbing || !isReady) {
+                    handleError(Words.field(frames.body(), 'C'));
+                }
+                break;
+            case 'Z':
+                if (call == null || !isReady) {
+                    answerSlices.clear();
+                }
+                becomeIdle();
+                break;
+            default:
+                break;
+        }
+        if (answerSlices.size() > 3) {
+            throw new Malformed("more than one row");
+        }
+    }
+
+    private void handleAnswer() throws Malformed {
+        if (call == null || !isFullyWritten || !rowSeen || answerSlices.size() != 3) {
+            throw new Malformed("no whole row");
+        }
+        expectedTypes = ANSWERED_TYPES;
+        ((Query) finishPick(Pick.OK)).answer(answerSlices.toArray(new ByteBuffer[0]));
+        answerSlices.clear();
+    }
+
+    private void handleError(String sqlState) {
+        int outcome = sqlState.equals(Words.TOO_MANY) ? Pick.FULL
+                : isFullyWritten ? Pick.ERROR : Pick.CONNECT_FAILED;
+        if (call == null || !isReady) {
+            close(outcome);
+        } else {
+            expectedTypes = ANSWERED_TYPES;
+            finishPick(outcome);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/honeygap/net/links/ConnectionPool.java
@@ -0,0 +1,187 @@
+package honeygap.net.links;
+
+import honeygap.Rules;
+import honeygap.fleet.Appliance;
+import honeygap.fleet.Pick;
+import honeygap.net.Back;
+import honeygap.net.Call;
+import honeygap.net.Counters;
+import honeygap.net.Events;
+import honeygap.net.Loop;
+import honeygap.net.OncePerSecond;
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.Set;
+import java.util.function.BiFunction;
+
+/** All connections of one back to its appliances. */
+public final class ConnectionPool implements Back {
+
+    /** Part of the time that appliances keep an idle connection for which this agent does. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.8;
+
+    final Loop loop;
+    private final Rules rules;
+    private final BiFunction<ConnectionPool, Remote, UpstreamConnection> connectionFactory;
+    final long tick;
+    final long connectTimeout;
+    final long idleTimeout;
+    private final int maxConnections;
+    private final Set<UpstreamConnection> connections = new LinkedHashSet<>();
+    private final long[] outcomeCounts = new long[8];
+    private long malformedAnswers;
+    private final OncePerSecond malformedLogLimiter;
+    private long discardedWithInput;
+    private long openedCount;
+
+    /**
+     * Times are tenths of a millisecond: the agent's own step, how long connecting may take, for how long the
+     * appliances keep an idle connection; most is the number of connections. The kind is the protocol's.
+     */
+    public ConnectionPool(Loop loop, Rules rules, BiFunction<ConnectionPool, Remote, UpstreamConnection> connectionFactory, long tick, long connectTimeout,
+                 long applianceIdleTimeout, int maxConnections) {
+        this.loop = loop;
+        this.rules = rules;
+        this.connectionFactory = connectionFactory;
+        this.tick = tick;
+        this.connectTimeout = connectTimeout;
+        this.maxConnections = maxConnections;
+        malformedLogLimiter = new OncePerSecond(loop);
+        idleTimeout = (long) (IDLE_TIMEOUT_FRACTION * applianceIdleTimeout);
+    }
+
+    @Override
+    public Appliance appliance(long id) {
+        return new Remote(id);
+    }
+
+    /** Whole milliseconds left until then, at least one. */
+    public long millisLeft(long time) {
+        return Math.max(1, (time - loop.clock()) / 10);
+    }
+
+    /** Without a descriptor for a connection the pick is not sent at all. */
+    @Override
+    public void pick(Call call, Appliance appliance, long timeout) {
+        int pickIndex = call.picks.size() - 1;
+        UpstreamConnection connection = acquire((Remote) appliance);
+        if (connection == null) {
+            reportEnded(call, pickIndex, Pick.MOOT);
+            return;
+        }
+        connection.execute(call, pickIndex, timeout);
+        connection.connect(Math.min(timeout, connectTimeout));
+    }
+
+    /** Asks whether the appliance is ready; the module has no use for the answer but what it keeps open. */
+    @Override
+    public void probe(Appliance appliance) {
+        UpstreamConnection connection = acquire((Remote) appliance);
+        if (connection != null) {
+            connection.probe();
+            connection.connect(connectTimeout);
+        }
+    }
+
+    private UpstreamConnection acquire(Remote appliance) {
+        UpstreamConnection connection = pollIdle(appliance);
+        while (connection != null && !connection.hasNoPendingInput()) {
+            discardedWithInput++;
+            connection.close(Pick.CANCELLED);
+            connection = pollIdle(appliance);
+        }
+        if (connection == null && (connections.size() < maxConnections || closeOneIdle())) {
+            connection = connectionFactory.apply(this, appliance);
+            connections.add(connection);
+            openedCount++;
+        }
+        return connection;
+    }
+
+    /**
+     * The one used last among those that have rested for a little. Guards against appliances that close, or
+     * send more, just behind an answer: what is written to such a connection is lost and may have run.
+     */
+    private static UpstreamConnection pollIdle(Remote appliance) {
+        Iterator<UpstreamConnection> idle = appliance.idleConnections.descendingIterator();
+        while (idle.hasNext()) {
+            UpstreamConnection connection = idle.next();
+            if (connection.isPauseOver()) {
+                idle.remove();
+                return connection;
+            }
+        }
+        return appliance.idleConnections.pollLast();
+    }
+
+    private boolean closeOneIdle() {
+        for (UpstreamConnection connection : connections) {
+            if (connection.appliance().idleConnections.contains(connection)) {
+                connection.close(Pick.CANCELLED);
+                return true;
+            }
+        }
+        return false;
+    }
+
+    @Override
+    public void cancel(Call call, int pickIndex) {
+        for (UpstreamConnection connection : new ArrayList<>(connections)) {
+            connection.cancel(call, pickIndex);
+        }
+    }
+
+    @Override
+    public void dropIdle(Appliance appliance) {
+        for (UpstreamConnection connection : new ArrayList<>(((Remote) appliance).idleConnections)) {
+            connection.close(Pick.CANCELLED);
+        }
+    }
+
+    void release(UpstreamConnection connection) {
+        if (!connection.isCurrent()) {
+            // Guards against a pool that leads to the process before: its picks would count as the new build's.
+            loop.gather(() -> connection.close(Pick.CANCELLED));
+        } else {
+            connection.appliance().idleConnections.addLast(connection);
+        }
+    }
+
+    void remove(UpstreamConnection connection) {
+        connections.remove(connection);
+        connection.appliance().idleConnections.remove(connection);
+    }
+
+    void reportEnded(Call call, int pickIndex, int outcome) {
+        outcomeCounts[outcome]++;
+        long lag = loop.clock() - call.picks.get(pickIndex).sentAt;
+        boolean closed = call.closed || outcome == Pick.OK;
+        loop.gather(() -> rules.ended(call, pickIndex, outcome, closed, lag));
+    }
+
+    /** An answer could not be read: counted, and told now and then with the pick that it was for. */
+    void reportMalformed(Call call, int pick, Remote appliance, String cause) {
+        malformedAnswers++;
+        if (malformedLogLimiter.isDue()) {
+            Events.logPick(call == null ? "none" : call.id, call == null ? -1 : pick, appliance.id, appliance.address
+                    + " sent what can't be read: " + cause);
+        }
+    }
+
+    @Override
+    public void report(Counters counters) {
+        counters.count("here", connections.size());
+        counters.count("opened", openedCount);
+        counters.count("ok", outcomeCounts[Pick.OK]);
+        counters.count("error", outcomeCounts[Pick.ERROR]);
+        counters.count("full", outcomeCounts[Pick.FULL]);
+        counters.count("timeout", outcomeCounts[Pick.TIMEOUT]);
+        counters.count("no connection", outcomeCounts[Pick.CONNECT_FAILED]);
+        counters.count("reset", outcomeCounts[Pick.RESET]);
+        counters.count("cancelled", outcomeCounts[Pick.CANCELLED]);
+        counters.count("moot", outcomeCounts[Pick.MOOT]);
+        counters.count("unreadable", malformedAnswers);
+        counters.count("unquiet", discardedWithInput);
+    }
+}
--- a/src/main/java/honeygap/net/links/Remote.java
+++ b/src/main/java/honeygap/net/links/Remote.java
@@ -11,7 +11,7 @@
     /** When its process started by the list's own word, a wall-clock time in milliseconds; 0 is long ago. */
     public long sinceMs;
     /** The one used last at the end. */
-    final ArrayDeque<Link> idle = new ArrayDeque<>();
+    final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
     public Remote(long id) {
         super(id);
--- a/src/main/java/honeygap/net/servers/Server.java
+++ b/src/main/java/honeygap/net/servers/FlagServerConnection.java
@@ -4,8 +4,8 @@
 import honeygap.fleet.Pick;
 import honeygap.net.Gathered;
 import honeygap.net.http.Answers;
-import honeygap.net.links.Link;
-import honeygap.net.links.Links;
+import honeygap.net.links.UpstreamConnection;
+import honeygap.net.links.ConnectionPool;
 import honeygap.net.links.Remote;
 import honeygap.net.ofrep.Ask;
 import honeygap.read.Malformed;
@@ -23,70 +23,70 @@
  * A connection to a flag server, which speaks the remote evaluation protocol over HTTP/1.1. Only whole answers
  * count: one whose end is the connection's end can't be told from half of one.
  */
-public final class Server extends Link implements Answers.Reader {
+public final class FlagServerConnection extends UpstreamConnection implements Answers.Reader {
 
     /** What outlasts this many seconds is taken for it; the decision on limits has a bound of its own. */
-    private static final long LONGEST_AWAY = 86_400;
+    private static final long MAX_RETRY_AFTER_SECONDS = 86_400;
 
-    private final int longest;
+    private final int maxAnswerBytes;
     private final Answers answers = new Answers(this);
     private byte[] body = new byte[256];
     private int length;
-    private byte[] host;
+    private byte[] hostHeader;
     private int status;
-    private boolean isLast;
-    private String saidAt;
-    private String awayUntil;
-    private boolean whole;
+    private boolean closesAfterAnswer;
+    private String dateHeader;
+    private String retryAfterHeader;
+    private boolean isComplete;
 
     /** Answers longer than so many bytes are turned down. */
-    public Server(Links all, Remote remote, int longest) {
-        super(all, remote);
-        this.longest = longest;
+    public FlagServerConnection(ConnectionPool pool, Remote appliance, int maxAnswerBytes) {
+        super(pool, appliance);
+        this.maxAnswerBytes = maxAnswerBytes;
     }
 
     @Override
-    protected void begin() {
-        idle();
+    protected void startProtocol() {
+        becomeIdle();
     }
 
     @Override
     protected void sendProbe() {
         // Nothing of the protocol asks whether a server is well: connecting is all.
-        idle();
+        becomeIdle();
     }
 
     @Override
-    protected void send() {
-        if (host == null) {
-            String figures = remote.address.getAddress().getHostAddress();
-            host = ((figures.indexOf(':') < 0 ? figures : "[" + figures + "]") + ":" + remote.address.getPort())
+    protected void sendRequest() {
+        if (hostHeader == null) {
+            String ip = appliance.address.getAddress().getHostAddress();
+            hostHeader = ((ip.indexOf(':') < 0 ? ip : "[" + ip + "]") + ":" + appliance.address.getPort())
                     .getBytes(StandardCharsets.US_ASCII);
         }
         length = 0;
-        isLast = false;
-        awayUntil = null;
-        saidAt = null;
-        session.write(new Gathered(((Ask) call).request().parts(host)));
+        closesAfterAnswer = false;
+        retryAfterHeader = null;
+        dateHeader = null;
+        session.write(new Gathered(((Ask) call).request().parts(hostHeader)));
     }
 
     @Override
-    protected void read(ByteBuffer bytes) throws Malformed {
-        if (call == null || !handedOver) {
+    protected void handleInput(ByteBuffer bytes) throws Malformed {
+        if (call == null || !isFullyWritten) {
             throw new Malformed("an answer that nobody waits for");
         }
-        whole = false;
+        isComplete = false;
         answers.feed(bytes);
-        if (whole && bytes.hasRemaining()) {
+        if (isComplete && bytes.hasRemaining()) {
             throw new Malformed("more than one answer");
         }
-        if (!over && answers.isOpenEnded()) {
+        if (!isClosed && answers.isOpenEnded()) {
             throw new Malformed("an answer without a length");
         }
     }
 
     @Override
-    protected boolean isHalfRead() {
+    protected boolean hasPartialMessage() {
         return !answers.isBetween();
     }
 
@@ -95,21 +95,21 @@
         switch (name) {
             case "content-length":
                 // What can't be kept is not waited for.
-                if (value.length() > 9 || Long.parseLong(value) > longest) {
+                if (value.length() > 9 || Long.parseLong(value) > maxAnswerBytes) {
                     throw new Malformed("an answer too long");
                 }
                 break;
             case "":
-                isLast = value.equals("HTTP/1.0");
+                closesAfterAnswer = value.equals("HTTP/1.0");
                 break;
             case "connection":
-                isLast |= value.toLowerCase(Locale.ROOT).contains("close");
+                closesAfterAnswer |= value.toLowerCase(Locale.ROOT).contains("close");
                 break;
             case "retry-after":
-                awayUntil = value;
+                retryAfterHeader = value;
                 break;
             case "date":
-                saidAt = value;
+                dateHeader = value;
                 break;
             default:
                 break;
@@ -123,33 +123,33 @@
 
     @Override
     public void data(ByteBuffer bytes) throws Malformed {
-        int more = bytes.remaining();
-        if (length + more > longest) {
+        int added = bytes.remaining();
+        if (length + added > maxAnswerBytes) {
             throw new Malformed("an answer too long");
         }
-        if (length + more > body.length) {
-            body = Arrays.copyOf(body, Math.max(length + more, 2 * body.length));
+        if (length + added > body.length) {
+            body = Arrays.copyOf(body, Math.max(length + added, 2 * body.length));
         }
-        bytes.get(body, length, more);
-        length += more;
+        bytes.get(body, length, added);
+        length += added;
     }
 
     @Override
     public void end() throws Malformed {
-        if (call == null || whole) {
+        if (call == null || isComplete) {
             throw new Malformed("an answer that nobody waits for");
         }
-        whole = true;
+        isComplete = true;
         Ask ask = (Ask) call;
-        if (awayUntil != null && (status == 429 || status == 503)) {
-            ask.stayAway(remote, tenths(awayUntil, saidAt));
+        if (retryAfterHeader != null && (status == 429 || status == 503)) {
+            ask.stayAway(appliance, parseRetryAfter(retryAfterHeader, dateHeader));
         }
-        boolean last = isLast;
-        finish(outcome(ask));
-        if (last) {
-            end(Pick.CANCELLED);
+        boolean closes = closesAfterAnswer;
+        finishPick(outcome(ask));
+        if (closes) {
+            close(Pick.CANCELLED);
         } else {
-            idle();
+            becomeIdle();
         }
     }
 
@@ -162,9 +162,9 @@
             return status == 429 ? Pick.FULL : Pick.ERROR;
         }
         try {
-            return ask.served(remote, status, Arrays.copyOf(body, length));
+            return ask.served(appliance, status, Arrays.copyOf(body, length));
         } catch (Malformed e) {
-            unreadable(e);
+            reportMalformed(e);
             return Pick.ERROR;
         }
     }
@@ -173,16 +173,16 @@
      * Seconds or a date, in tenths of a millisecond from now; what is neither is no wait. A date counts from the server's
      * own, where it says one: this machine's clock may have been stepped since.
      */
-    private static long tenths(String words, String saidAt) {
+    private static long parseRetryAfter(String retryAfter, String dateHeader) {
         try {
-            if (words.matches("[0-9]{1,9}")) {
-                return Math.min(LONGEST_AWAY, Long.parseLong(words)) * 10_000;
+            if (retryAfter.matches("[0-9]{1,9}")) {
+                return Math.min(MAX_RETRY_AFTER_SECONDS, Long.parseLong(retryAfter)) * 10_000;
             }
-            ZonedDateTime date = ZonedDateTime.parse(words, DateTimeFormatter.RFC_1123_DATE_TIME);
-            Instant from = saidAt == null ? Instant.now()
-                    : ZonedDateTime.parse(saidAt, DateTimeFormatter.RFC_1123_DATE_TIME).toInstant();
+            ZonedDateTime date = ZonedDateTime.parse(retryAfter, DateTimeFormatter.RFC_1123_DATE_TIME);
+            Instant from = dateHeader == null ? Instant.now()
+                    : ZonedDateTime.parse(dateHeader, DateTimeFormatter.RFC_1123_DATE_TIME).toInstant();
             Duration left = Duration.between(from, date.toInstant());
-            return Math.max(0, Math.min(LONGEST_AWAY, left.getSeconds()) * 10_000);
+            return Math.max(0, Math.min(MAX_RETRY_AFTER_SECONDS, left.getSeconds()) * 10_000);
         } catch (DateTimeParseException e) {
             return 0;
         }
--- a/src/main/java/honeygap/net/shutdown/ShutdownEvent.java
+++ b/src/main/java/honeygap/net/shutdown/ShutdownEvent.java
@@ -18,9 +18,9 @@
     CLOSED("closed");
 
     /** How it is called in the log and among the counters. */
-    public final String word;
+    public final String label;
 
-    ShutdownEvent(String word) {
-        this.word = word;
+    ShutdownEvent(String label) {
+        this.label = label;
     }
 }
--- a/src/main/java/honeygap/net/shutdown/ShutdownLog.java
+++ b/src/main/java/honeygap/net/shutdown/ShutdownLog.java
@@ -17,23 +17,23 @@
 public final class ShutdownLog implements Counters.Group {
 
     private static final int LINES_PER_SECOND = 50;
-    private static final long TENTHS_A_MS = 10;
+    private static final long TENTHS_PER_MS = 10;
 
     private final Loop loop;
-    private final LogBudget budget;
+    private final LogBudget logLimiter;
     private final Map<String, Long> counts = new LinkedHashMap<>();
     private ShutdownSchedule schedule;
 
     public ShutdownLog(Loop loop) {
         this.loop = loop;
-        budget = new LogBudget(loop, LINES_PER_SECOND);
+        logLimiter = new LogBudget(loop, LINES_PER_SECOND);
     }
 
     /** The process was told to end; connections by stage are open. */
-    public void signalled(ShutdownSchedule told, Map<String, Long> connections) {
-        schedule = told;
+    public void signalled(ShutdownSchedule newSchedule, Map<String, Long> connections) {
+        schedule = newSchedule;
         Logger.info("shutdown: signal heard, connections by stage {}; closing after {} ms, answers by {} ms, end by {} ms", connections,
-                sinceSignal(told.closesAt()), sinceSignal(told.answersBy()), sinceSignal(told.endsBy()));
+                millisSinceSignal(newSchedule.closesAt()), millisSinceSignal(newSchedule.answersBy()), millisSinceSignal(newSchedule.endsBy()));
     }
 
     private boolean isSignalled() {
@@ -42,16 +42,16 @@
 
     /** Something happened to an RPC; nothing is noted before the signal. Times are tenths of a millisecond. */
     public void rpc(ShutdownEvent event, String id, String method, long connectionAge, long timeLeft) {
-        if (!isSignalled() || !counted(event)) {
+        if (!isSignalled() || !countAndCheckLimit(event)) {
             return;
         }
-        ThreadContext.put("event", event.word);
+        ThreadContext.put("event", event.label);
         ThreadContext.put("rpc", id);
         ThreadContext.put("method", method);
-        ThreadContext.put("left_ms", Long.toString(timeLeft / TENTHS_A_MS));
+        ThreadContext.put("left_ms", Long.toString(timeLeft / TENTHS_PER_MS));
         try {
             Logger.info("shutdown: RPC {} ({}) {} {} ms after the signal, {} ms left, on a connection {} ms old", id, method,
-                    event.word, sinceSignal(loop.clock()), timeLeft / TENTHS_A_MS, connectionAge / TENTHS_A_MS);
+                    event.label, millisSinceSignal(loop.clock()), timeLeft / TENTHS_PER_MS, connectionAge / TENTHS_PER_MS);
         } finally {
             ThreadContext.remove("event");
             ThreadContext.remove("rpc");
@@ -62,26 +62,26 @@
 
     /** Something happened to a connection; nothing is noted before the signal. */
     public void connection(ShutdownEvent event, long age) {
-        if (isSignalled() && counted(event)) {
-            Logger.info("shutdown: connection {} {} ms after the signal, {} ms old", event.word, sinceSignal(loop.clock()), age / TENTHS_A_MS);
+        if (isSignalled() && countAndCheckLimit(event)) {
+            Logger.info("shutdown: connection {} {} ms after the signal, {} ms old", event.label, millisSinceSignal(loop.clock()), age / TENTHS_PER_MS);
         }
     }
 
     /** Counts it; whether it may be logged as well. */
-    private boolean counted(ShutdownEvent event) {
+    private boolean countAndCheckLimit(ShutdownEvent event) {
         String phase = schedule.phase(loop.clock()).name().toLowerCase(Locale.ROOT);
-        counts.merge(event.word + " while " + phase, 1L, Long::sum);
-        return budget.allows();
+        counts.merge(event.label + " while " + phase, 1L, Long::sum);
+        return logLimiter.allows();
     }
 
-    private long sinceSignal(long time) {
-        return (time - schedule.signalledAt()) / TENTHS_A_MS;
+    private long millisSinceSignal(long time) {
+        return (time - schedule.signalledAt()) / TENTHS_PER_MS;
     }
 
     @Override
     public void report(Counters counters) {
         counters.count("signalled", isSignalled() ? 1 : 0);
         counts.forEach(counters::count);
-        counters.count("lines left out", budget.leftOut());
+        counters.count("lines left out", logLimiter.leftOut());
     }
 }
--- a/src/test/java/honeygap/net/AcceptorTest.java
+++ b/src/test/java/honeygap/net/AcceptorTest.java
@@ -58,12 +58,12 @@
         InetSocketAddress at = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10,
                 (executor, pool) -> new Acceptor(loop, executor, pool, 10) {
                     @Override
-                    NioSession call(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+                    NioSession acceptFromSystem(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
                         int call = calls.getAndIncrement();
                         if (call < failing) {
                             throw new SocketException(FAILURES[call % FAILURES.length]);
                         }
-                        return super.call(processor, handle);
+                        return super.acceptFromSystem(processor, handle);
                     }
                 }, Welcome::new);
         long from = System.nanoTime();
--- a/src/test/java/honeygap/net/LoopTest.java
+++ b/src/test/java/honeygap/net/LoopTest.java
@@ -22,7 +22,7 @@
     @ParameterizedTest
     @ValueSource(classes = {IllegalStateException.class, StackOverflowError.class, OutOfMemoryError.class})
     void faults(Class<? extends Throwable> kind) throws Exception {
-        long faults = Loop.faults();
+        long faults = Loop.faultCount();
         Loop loop = new Loop();
         AtomicInteger comers = new AtomicInteger();
         loop.start(new Loop.Core() {
@@ -41,7 +41,7 @@
         assertEquals(-1, echo(at));
         assertTrue(fires(loop), "a timer after the only connection");
         assertEquals('x', echo(at));
-        assertEquals(faults + 1, Loop.faults());
+        assertEquals(faults + 1, Loop.faultCount());
         loop.end();
     }
 
--- a/src/test/java/honeygap/net/ShutdownTest.java
+++ b/src/test/java/honeygap/net/ShutdownTest.java
@@ -84,7 +84,7 @@
         start(fleet);
         Caller caller = new Caller().hello();
         assertEquals("ok:v1", caller.ask("assign", 900));
-        Hold hold = new Hold(queries::leave);
+        Hold hold = new Hold(queries::closeBetweenRpcs);
         caller.out.write(query(statement("late", "assign", 900)));
         hold.close();
         assertEquals("ok:v1", caller.hear());
@@ -103,7 +103,7 @@
         Caller caller = new Caller().hello();
         assertEquals("ok:v1", caller.ask("assign", 900));
         new Hold(() -> {
-            queries.leave();
+            queries.closeBetweenRpcs();
             try {
                 caller.out.write(query(statement("late", "assign", 900)));
             } catch (IOException e) {
@@ -127,7 +127,7 @@
         } else {
             await("clients", "here", 1);
         }
-        new Hold(queries::leave).close();
+        new Hold(queries::closeBetweenRpcs).close();
         if (!isWelcome) {
             caller.hello();
         }
@@ -150,7 +150,7 @@
         }
         hold.close();
         caller.hello();
-        new Hold(queries::leave).close();
+        new Hold(queries::closeBetweenRpcs).close();
         assertEquals("ok:v1", caller.ask("assign", 900));
         assertEquals("end", caller.hear());
     }
@@ -165,7 +165,7 @@
         await("links", "ok", 1);
         await("clients", "idle", 1);
         new Hold(() -> {
-            queries.leave();
+            queries.closeBetweenRpcs();
             try {
                 caller.out.write(query(statement("second", "assign", 900)));
             } catch (IOException e) {
@@ -286,12 +286,12 @@
         Fleet fleet = new Fleet("ok");
         StandIn desk = new StandIn("silent");
         configure(entry("s-1", fleet, "SERVING", 1), "", new StandIn("refused"), new StandIn("refused"), 1024);
-        long faults = Loop.faults();
+        long faults = Loop.faultCount();
         agent.reread(List.of(() -> queries.reread(fields("{'discovery':'127.0.0.1:1','rollouts':{'address':'"
                 + desk.address() + "'}}"))));
         agent.start();
         desk.heard.take();
-        assertEquals(faults, Loop.faults());
+        assertEquals(faults, Loop.faultCount());
         assertEquals(1, counter("agent", "rereads"));
     }
 
