--- a/src/main/java/honeygap/net/Acceptor.java
+++ b/src/main/java/honeygap/net/Acceptor.java
@@ -15,14 +15,18 @@
 import org.tinylog.Logger;
 
 /**
- * Accepts connections up to a number of places. Guards against a flood of connections that takes all descriptors before
- * the loop has seen the first of them: beyond its places they wait with the system until others have gone. A call that fails for a
- * moment is made again soon; left to MINA, each such failure would stop all accepting for a second.
+ * Accepts at most a fixed number of open connections. The limit keeps a flood of connections from using up all file
+ * descriptors before the loop has processed the first of them: connections over the limit wait in the system's accept
+ * queue until others have closed. A failed accept call is retried after a short pause; MINA's own handling would
+ * suspend all accepting for a second per failure.
  */
 class Acceptor extends NioSocketAcceptor {
 
     private static final long SLOT_WAIT_MS = 1000;
-    /** The pause after a call that failed; the pauses of a process that has no descriptors left are not to fill its core. */
+    /**
+     * The pause after a failed accept call, so that a process without free file descriptors does not use a whole CPU
+     * core on retries.
+     */
     private static final long FAILURE_PAUSE_MS = 10;
     private static final long FAILURES_PER_LOG_LINE = 100;
 
@@ -30,9 +34,9 @@
     private final Semaphore slots;
     private final AtomicLong failures = new AtomicLong();
     private final SimpleIoProcessorPool<NioSession> pool;
-    /** Connections that were accepted and that the loop has not seen yet. */
+    /** Connections that were accepted and whose handlers the loop has not opened yet. */
     private final AtomicInteger notYetOpened = new AtomicInteger();
-    /** When accepting what the system has accepted ends at the latest, by the runtime's monotonic clock. */
+    /** The latest time to accept connections from the system's queue during shutdown, by {@link System#nanoTime}. */
     private volatile long drainUntilNanos;
     private volatile boolean isDraining;
 
@@ -41,7 +45,7 @@
         this.loop = loop;
         this.pool = pool;
         this.slots = new Semaphore(maxConnections);
-        // Whoever has been taken is served, also when no more are.
+        // Connections that were already accepted are served after the acceptor is unbound.
         setCloseOnDeactivation(false);
     }
 
@@ -50,7 +54,7 @@
         return slots.tryAcquire(SLOT_WAIT_MS, TimeUnit.MILLISECONDS) ? acceptWithSlot(processor, handle) : null;
     }
 
-    /** Accepts a connection for a place that has been taken; gives the place back where there is none. */
+    /** Accepts a connection for a slot that has been acquired; releases the slot if there is no connection. */
     private NioSession acceptWithSlot(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
         NioSession session = null;
         try {
@@ -64,15 +68,15 @@
         }
         if (session != null) {
             notYetOpened.incrementAndGet();
-            // Closed is not gone: the system's descriptor is let go of when the loop selects the next time.
+            // The system's file descriptor is released only at the next select after the session has been closed.
             session.getCloseFuture().addListener(closed -> loop.post(() -> loop.at(loop.now() + 1, slots::release)));
         }
         return session;
     }
 
     /**
-     * Closes the listening sockets; what the system has accepted before is accepted here first. Guards against a reset of connections
-     * in its queue whose clients have been told that somebody is there, and may have sent.
+     * Closes the listening sockets, after accepting the connections in the system's queue. Closing at once would
+     * reset them, although their clients see an established connection and may have sent requests.
      */
     void stop(long untilNanos) {
         drainUntilNanos = untilNanos;
@@ -90,9 +94,9 @@
         super.close(handle);
     }
 
-    /** Whether a connection waits to be accepted. */
+    /** Whether a connection waits in the accept queue. */
     private boolean hasPendingConnection(ServerSocketChannel handle) throws Exception {
-        // Woken beforehand, it comes back at once, with the sockets on which somebody waits marked.
+        // After wakeup(), select() returns at once with the listening sockets that have pending connections.
         wakeup();
         select();
         boolean isPending = false;
@@ -104,7 +108,10 @@
         return isPending;
     }
 
-    /** Whether there was time and a place for one more connection; a call that failed is made again. */
+    /**
+     * Accepts one more connection; a failed accept call is retried by the caller. Returns false if no slot was free
+     * before the deadline.
+     */
     private boolean acceptNext(ServerSocketChannel handle) throws Exception {
         long nanosLeft = drainUntilNanos - System.nanoTime();
         if (nanosLeft <= 0 || !slots.tryAcquire(nanosLeft, TimeUnit.NANOSECONDS)) {
@@ -118,7 +125,7 @@
         return true;
     }
 
-    /** The loop has seen one of its connections. */
+    /** Called when the loop has opened the handler of an accepted connection. */
     void onSessionOpened() {
         notYetOpened.decrementAndGet();
     }
@@ -127,14 +134,14 @@
         return notYetOpened.get();
     }
 
-    /** The system's call. */
+    /** The system call; overridden in tests. */
     NioSession acceptFromSystem(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
         return super.accept(processor, handle);
     }
 
     private void handleAcceptFailure(IOException cause) throws InterruptedException {
         if (failures.getAndIncrement() % FAILURES_PER_LOG_LINE == 0) {
-            Logger.warn("a connection could not be accepted, tried again: {}; {} such so far", cause.getMessage(),
+            Logger.warn("accept failed, retrying: {}; {} failures so far", cause.getMessage(),
                     failures.get());
         }
         Thread.sleep(FAILURE_PAUSE_MS);
--- a/src/main/java/honeygap/net/Agent.java
+++ b/src/main/java/honeygap/net/Agent.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
 
-/** One agent on sockets: a loop, and the protocols that it speaks on it. */
+/** An agent: an event loop and the protocols that it serves on it. */
 public final class Agent {
 
-    /** How often the counters go to the log. */
+    /** The interval at which counters are logged, in tenths of a millisecond. */
     private static final long COUNTER_LOG_INTERVAL = 100_000;
     private static final long POLL_INTERVAL = 100;
     private static final long MICROS_PER_TENTH = 100;
@@ -29,7 +29,7 @@
     private final CountDownLatch readyToListen = new CountDownLatch(1);
     private final CountDownLatch shutdownDone = new CountDownLatch(1);
     private final Map<String, Counters.Group> otherCounters = new LinkedHashMap<>();
-    /** Takes clients; and has been told to end. Guarded by this. */
+    /** Whether the protocols listen, and whether a shutdown was requested. Both are guarded by this. */
     private boolean isListening;
     private boolean isShuttingDown;
     private final Object reloadLock = new Object();
@@ -42,7 +42,10 @@
         this.protocols = List.copyOf(protocols);
     }
 
-    /** Warms up, waits for what it must know, then takes clients; not where it has been told to end meanwhile. */
+    /**
+     * Warms up, waits until the protocols are ready, then listens; returns early if a shutdown is requested
+     * meanwhile.
+     */
     public void start() throws IOException {
         protocols.forEach(Protocol::warmUp);
         synchronized (this) {
@@ -67,7 +70,10 @@
         Logger.info("ready after {} ms", loop.millisSinceStart());
     }
 
-    /** A socket may be had a moment later, and an address may still be held by the process before. */
+    /**
+     * Retries a failed bind: file descriptors may run short for a moment, and the previous process may still hold the
+     * address.
+     */
     private InetSocketAddress listen(Protocol protocol) throws IOException {
         for (int attempt = 1; ; attempt++) {
             try {
@@ -76,7 +82,7 @@
                 if (attempt == LISTEN_ATTEMPTS) {
                     throw e;
                 }
-                Logger.warn("can't listen yet, tried again: {}", e.getMessage());
+                Logger.warn("bind failed, retrying: {}", e.getMessage());
                 awaitUninterrupted(() -> Thread.sleep(LISTEN_RETRY_PAUSE_MS));
             }
         }
@@ -92,7 +98,7 @@
             wait.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted before the start", e);
+            throw new IOException("interrupted during startup", e);
         }
     }
 
@@ -104,27 +110,27 @@
         }
     }
 
-    /** Where the protocol of this number takes clients. */
+    /** The address on which the protocol with this index listens. */
     public InetSocketAddress address(int protocol) {
         return boundAddresses.get(protocol);
     }
 
-    /** Stops at once, whatever is open. */
+    /** Stops at once and closes everything that is open. */
     public void end() {
         loop.end();
     }
 
-    /** Load is told to others, and theirs is heard; after the start. */
+    /** Publishes this agent's load to other agents and uses theirs; call it after the start. */
     public void share(Shared sharing) {
         loop.post(() -> protocols.forEach(protocol -> protocol.shareLoad(sharing)));
     }
 
-    /** From any thread: to be done on the loop, in the next turn. */
+    /** Runs a task on the loop, in its next iteration; callable from any thread. */
     public void onLoop(Runnable task) {
         loop.post(task);
     }
 
-    /** Counters of something beside the protocols, told with theirs; before the start. */
+    /** Adds a group of counters that does not belong to a protocol; call it before the start. */
     public void count(String group, Counters.Group counts) {
         otherCounters.put(group, counts);
     }
@@ -150,18 +156,19 @@
         loop.at(loop.now() + COUNTER_LOG_INTERVAL, this::logCounters);
     }
 
-    /** Something that can be read once more: what is to be done for it, on the loop. */
+    /** A part of the configuration that can be reloaded. Reading it returns the change to apply on the loop. */
     public interface Source {
 
         Runnable read() throws IOException, Malformed;
     }
 
     /**
-     * Reads all anew, on this thread, and goes by it; where one can't be read whole, all stays as it was. One at a
-     * time: each signal has a thread of its own, and one that read the older file must not be the last to tell.
+     * Reads all sources on this thread and applies them together; if one of them is malformed, nothing changes.
+     * Reloads run one at a time: each signal has a thread of its own, and a reload that read an older file must not
+     * be applied last.
      */
     public void reread(List<Source> sources) {
-        // Not this agent's own lock: files that are slow to read must not hold up the order to end.
+        // A lock of its own rather than this object's: slow reads must not delay a shutdown.
         synchronized (reloadLock) {
             readAndApply(sources);
         }
@@ -174,7 +181,7 @@
                 changes.add(source.read());
             }
         } catch (IOException | Malformed e) {
-            Logger.warn("configuration not read, all stays as it was: {}",
+            Logger.warn("configuration not read, keeping the current one: {}",
                     String.valueOf(e.getMessage()).replace('\n', ';'));
             loop.post(() -> failedReloads++);
             return;
@@ -185,7 +192,7 @@
         });
     }
 
-    /** Takes no clients and closes connections between RPCs, or takes them again; on the loop. */
+    /** Refuses clients and closes connections between RPCs, or accepts clients again; on the loop. */
     public void drain(boolean isDrained) {
         this.isDrained = isDrained;
         protocols.forEach(protocol -> protocol.setDrained(isDrained));
@@ -195,14 +202,14 @@
         return isDrained;
     }
 
-    /** Connections of clients, of all protocols. */
+    /** The number of client connections of all protocols. */
     public int clients() {
         return protocols.stream().mapToInt(Protocol::connectionCount).sum();
     }
 
     /**
-     * Ends by the schedule of a shutdown: comes back when nothing that was taken is open, at the shutdown's end at the latest; at once
-     * before the start.
+     * Shuts down by schedule: returns when no accepted connection is open any more, at the latest at the end of the
+     * schedule. Returns at once if the agent has not started.
      */
     public void leave() throws InterruptedException {
         long signalledAt = loop.clock();
@@ -215,17 +222,19 @@
         long longestDeadline = protocols.stream().mapToLong(Protocol::longestDeadline).max().orElse(0);
         ShutdownSchedule schedule = ShutdownSchedule.of(signalledAt, longestDeadline);
         loop.post(() -> shutDown(schedule));
-        // The loop ends it, after its last answers. A loop that is held up for longer than it must bear does not hold up the end.
+        // The loop ends the wait after the last answers are written. A blocked loop must not delay the end of the
+        // process, so the wait is bounded.
         long timeLeft = schedule.lastMoment() - loop.clock();
         if (!shutdownDone.await(timeLeft * MICROS_PER_TENTH, TimeUnit.MICROSECONDS)) {
-            Logger.warn("shutdown: ends while the loop is held up");
+            Logger.warn("shutdown: ends while the event loop is blocked");
         }
         closeLoop();
     }
 
     /**
-     * Guards against a slow end: the runtime waits 0.3 s for threads that are in a system call, as those at sockets always are. Not
-     * for ever, where one of them is held up.
+     * Closes the loop's sockets before the process exits, as the Java runtime otherwise waits 0.3 s for threads that
+     * are in a system call, which threads on sockets always are. The wait is bounded in case one of those threads is
+     * blocked.
      */
     private void closeLoop() throws InterruptedException {
         Thread closingThread = new Thread(loop::end, "closing");
@@ -239,10 +248,11 @@
         loop.at(schedule.closesAt(), () -> {
             Logger.info("shutdown: closing, {} connections open", clients());
             protocols.forEach(Protocol::closeBetweenRpcs);
-            // Not before the next turn: what was accepted last is here by then.
+            // Wait for the next iteration: by then the connections accepted last have been opened.
             loop.stopAccepting(schedule.answersBy(), () -> loop.at(loop.now() + POLL_INTERVAL, this::finishWhenIdle));
         });
-        // Not in the turn in which it is due: where the loop was held up its last answers are written only after that one.
+        // Not in the iteration in which the timer is due: if the loop was delayed, the last answers are written only
+        // after that iteration.
         loop.at(schedule.endsBy(), () -> loop.at(loop.now() + POLL_INTERVAL, () -> {
             if (shutdownDone.getCount() > 0) {
                 Logger.warn("shutdown: ends with {} connections open", clients());
@@ -251,7 +261,10 @@
         }));
     }
 
-    /** Guards against ending with a connection that this machine has accepted and the loop has not seen. */
+    /**
+     * Finishes the shutdown when no connection is open, including connections that were accepted and that the loop
+     * has not opened yet.
+     */
     private void finishWhenIdle() {
         if (clients() == 0 && loop.acceptedNotOpened() == 0) {
             Logger.info("shutdown: ends, nothing open");
--- a/src/main/java/honeygap/net/Back.java
+++ b/src/main/java/honeygap/net/Back.java
@@ -2,19 +2,19 @@
 
 import honeygap.fleet.Appliance;
 
-/** Who serves: carries out picks and tells the module how each ended. */
+/** The upstream side of a protocol: sends picks to appliances and reports to the rules how each ended. */
 public interface Back extends Counters.Group {
 
-    /** The record of an appliance that the list names for the first time. */
+    /** Creates the record of an appliance that appears in the list for the first time. */
     Appliance appliance(long id);
 
-    /** Sends the newest pick of the RPC; durations are tenths of a millisecond. */
+    /** Sends the latest pick of the RPC; durations are tenths of a millisecond. */
     void pick(Call call, Appliance appliance, long timeout);
 
     void cancel(Call call, int pick);
 
     void probe(Appliance appliance);
 
-    /** What is idle to an appliance that drains, is gone or has started anew is of no use. */
+    /** Closes idle connections to an appliance that is draining, was removed or has restarted. */
     void dropIdle(Appliance appliance);
 }
--- a/src/main/java/honeygap/net/Call.java
+++ b/src/main/java/honeygap/net/Call.java
@@ -6,13 +6,14 @@
 import honeygap.fleet.Tenant;
 
 /**
- * An RPC between a front and a back: the front that opened it is told its one final answer, the back carries
- * out its picks. What was asked and how it is answered is the business of the pair that shares a protocol.
+ * An RPC as passed between the downstream and the upstream side of one protocol: the downstream side creates it and
+ * receives its one final answer, the upstream side carries out its picks. Subclasses hold the request and write the
+ * answer in the form of the protocol.
  */
 public abstract class Call extends Rpc {
 
     private boolean answered;
-    /** Answers in time whatever the rules do: a fault there must not lose an RPC. */
+    /** Answers the RPC at its deadline independently of the rules, so that a fault there does not lose the RPC. */
     public Loop.Timer guard;
 
     protected Call(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
@@ -20,7 +21,7 @@
         super(id, method, tenant, key, takenAt, deadline, work, retry);
     }
 
-    /** Guards against a second final answer, whoever gives it. */
+    /** Marks the RPC as answered; each RPC has exactly one final answer. */
     protected final void once() {
         Loop.holds(!answered);
         answered = true;
@@ -30,13 +31,13 @@
         return answered;
     }
 
-    /** A pick of it goes to this appliance. */
+    /** Called when a pick of this RPC is sent to the appliance. */
     public void picked(Appliance appliance) {
     }
 
-    /** Final answer: pushed back; best not asked again before so many tenths of a millisecond have passed. */
+    /** Final answer: pushed back. The client should wait this many tenths of a millisecond before it retries. */
     public abstract void pushBack(long retryAfter);
 
-    /** Final answer: aborted; nothing is promised about its effect. */
+    /** Final answer: aborted. The RPC may or may not have taken effect. */
     public abstract void abort();
 }
--- a/src/main/java/honeygap/net/Core.java
+++ b/src/main/java/honeygap/net/Core.java
@@ -10,12 +10,13 @@
 import org.tinylog.Logger;
 
 /**
- * A decision module on the loop, between the front whose RPCs it decides and the back that serves them, with
- * the list and the desk that it hears. Each protocol that an agent speaks has one of its own.
+ * Runs the rules of one protocol on the event loop and passes their decisions on: to the downstream side whose RPCs
+ * they concern, the upstream side that serves these, service discovery and the release desk. Each protocol of an
+ * agent has an engine of its own.
  */
 public final class Core implements Ctl, Loop.Core {
 
-    /** Where the appliances are listed. */
+    /** Client of the service discovery that lists the appliances. */
     public interface Directory {
 
         void watch();
@@ -23,7 +24,7 @@
         void fetch();
     }
 
-    /** Where votes are cast. */
+    /** Receives the votes on trial builds. */
     public interface Poll {
 
         void vote(Build build, int stage, int verdict);
@@ -39,7 +40,7 @@
     private Poll voteSink;
     private long iterations;
 
-    /** The name stands before the module's notes, where it has one. */
+    /** The name, if not empty, prefixes log messages of the rules. */
     public Core(Loop loop, Rules rules, int methods, String name) {
         this.loop = loop;
         this.rules = rules;
@@ -47,14 +48,14 @@
         this.notePrefix = name.isEmpty() ? "" : name + ": ";
     }
 
-    /** Before the loop starts. */
+    /** Connects the engine to its collaborators; call it before the loop starts. */
     public void attach(Back upstream, Directory discovery, Poll voteSink) {
         this.upstream = upstream;
         this.discovery = discovery;
         this.voteSink = voteSink;
     }
 
-    /** The one record of a build; one that the module has let go of begins anew. */
+    /** The one record of a build; a build that the rules have removed gets a new record. */
     public Build build(int number) {
         builds.values().removeIf(build -> build.left);
         return builds.computeIfAbsent(number, n -> new Build(n, methods));
--- a/src/main/java/honeygap/net/Counters.java
+++ b/src/main/java/honeygap/net/Counters.java
@@ -3,10 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Counters in groups with names: the same for a line that people read and for one that programs do. */
+/** Named counters in groups, for readable log lines as well as for JSON. */
 public final class Counters {
 
-    /** Something that counts. */
+    /** A component that reports counters. */
     public interface Group {
 
         void report(Counters counters);
@@ -15,7 +15,7 @@
     private final Map<String, Map<String, Long>> groups = new LinkedHashMap<>();
     private Map<String, Long> currentGroup = Map.of();
 
-    /** Names are in small letters; a group named twice goes on. */
+    /** Begins or continues the group with this name and adds the counters of the source. Names are in lower case. */
     public Counters group(String name, Group source) {
         currentGroup = groups.computeIfAbsent(name, n -> new LinkedHashMap<>());
         source.report(this);
@@ -26,12 +26,12 @@
         currentGroup.put(name, value);
     }
 
-    /** Values by group and name, in the order of their coming. */
+    /** Values by group and name, in insertion order. */
     public Map<String, Map<String, Long>> groups() {
         return groups;
     }
 
-    /** A group in square brackets; counters that stand at zero are left out. */
+    /** Each group as name[counter value, ...]; counters that are zero are left out. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/honeygap/net/Events.java
+++ b/src/main/java/honeygap/net/Events.java
@@ -10,12 +10,12 @@
 import org.tinylog.ThreadContext;
 
 /**
- * Events for the log, with the ids that belong to them: a line for people, and one field each where the log is
- * written as JSON. Ids are those of an agent, an RPC, a pick (its number, from 0) and an appliance.
+ * Structured log events: a readable line, and the ids as separate fields if the log is written as JSON. Ids are those
+ * of an agent, an RPC, a pick (its index, from 0) and an appliance.
  */
 public final class Events {
 
-    /** The field that holds counters, as JSON. */
+    /** The log field that holds counters, as JSON. */
     public static final String COUNTERS = "counters";
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -23,7 +23,7 @@
     private Events() {
     }
 
-    /** All that is logged from now on by this thread, and those that it starts, is this agent's. */
+    /** Sets the agent's name for all log events of this thread and of threads that it starts later. */
     public static void agent(String name) {
         ThreadContext.put("agent", name);
     }
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Something wrong with one pick; not for what happens to every RPC. */
+    /** Logs a problem with a single pick. Not for events that occur with every RPC. */
     public static void logPick(String rpc, int pick, long appliance, String message) {
         ThreadContext.put("rpc", rpc);
         ThreadContext.put("pick", String.valueOf(pick));
@@ -51,7 +51,10 @@
         }
     }
 
-    /** An RPC was refused or failed, for this reason; the appliance is that of its last pick, -1 where it had none. */
+    /**
+     * Logs that an RPC was refused or failed, with the reason; the appliance is that of its last pick, or -1 if it
+     * had none.
+     */
     public static void givenUp(String rpc, String method, String reason, long appliance, long leftMs, String detail) {
         Map<String, String> fields = Map.of("event", "given up", "rpc", rpc, "method", method, "reason", reason, "appliance",
                 String.valueOf(appliance), "left_ms", String.valueOf(leftMs));
--- a/src/main/java/honeygap/net/Flags.java
+++ b/src/main/java/honeygap/net/Flags.java
@@ -26,7 +26,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The flag API of an agent: a core of its own on the same loop, its front, its back, its list and its desk. */
+/**
+ * The feature-flag API of an agent. It runs on the agent's event loop with an engine, client side, connection pool,
+ * discovery and rollout of its own.
+ */
 public final class Flags implements Protocol {
 
     private static final int BACKLOG = 1024;
@@ -77,7 +80,7 @@
         return steppers;
     }
 
-    /** Carries out what the stages of this house are. */
+    /** Applies the decisions of the local rollout, which replaces the release desk if none is configured. */
     private final class LocalRolloutStepper implements Loop.Core, House.Out {
 
         @Override
@@ -132,7 +135,10 @@
         return loop.listen(settings.listen, BACKLOG, flagClients.places(), flagClients::comer);
     }
 
-    /** Servers, list and desk are those of this sheet from then on; all else holds from start to end. */
+    /**
+     * Reads discovery, desk and static servers from the new settings; all other settings stay until a restart.
+     * Returns the change to apply on the loop.
+     */
     public Runnable reread(FlagSheet newSettings) {
         return () -> applyReload(newSettings);
     }
--- a/src/main/java/honeygap/net/Front.java
+++ b/src/main/java/honeygap/net/Front.java
@@ -1,17 +1,20 @@
 package honeygap.net;
 
-/** Who asks: opens RPCs, tells the module of them and takes their final answers ({@link Call}). */
+/**
+ * The downstream side of a protocol: reads RPCs from clients, passes them to the rules and writes their final answers
+ * ({@link Call}).
+ */
 public interface Front extends Counters.Group {
 
-    /** The end of a connection that has just come in. */
+    /** Creates the handler of a connection that was just accepted. */
     Peer comer();
 
-    /** From now on connections are closed between RPCs. */
+    /** From now on closes each connection as soon as no RPC is open on it. */
     void leave();
 
-    /** Takes nobody and closes connections between RPCs, or takes them again. */
+    /** Refuses clients and closes connections between RPCs, or accepts clients again. */
     void drain(boolean isDrained);
 
-    /** How many connections there are. */
+    /** The number of open connections. */
     int count();
 }
--- a/src/main/java/honeygap/net/Gathered.java
+++ b/src/main/java/honeygap/net/Gathered.java
@@ -7,7 +7,7 @@
 import org.apache.mina.core.buffer.IoBufferWrapper;
 import org.apache.mina.core.session.IoSession;
 
-/** Several slices that go out in one write, in order, none of them copied together. */
+/** Several buffers that are sent in one gathering write, in order and without copying. */
 public final class Gathered extends IoBufferWrapper {
 
     private final ByteBuffer[] slices;
@@ -25,7 +25,7 @@
         return write(channel);
     }
 
-    /** Hands on what has gone out, in slices of its own. */
+    /** Writes, and passes duplicates of the written bytes to the traffic listener. */
     private int writeAndReport(GatheringByteChannel channel, Tap listener, long connection) throws IOException {
         ByteBuffer[] written = new ByteBuffer[slices.length - firstUnwritten];
         for (int i = 0; i < written.length; i++) {
@@ -67,13 +67,13 @@
         return remaining() > 0;
     }
 
-    /** MINA writes a duplicate of what it is given; these slices are nobody else's. */
+    /** MINA writes a duplicate of each message; these slices are not shared, so the buffer itself serves. */
     @Override
     public IoBuffer duplicate() {
         return this;
     }
 
-    /** A write that did not finish is not begun again: what has gone out has gone out. */
+    /** MINA resets a buffer after an incomplete write; here the written bytes must stay consumed. */
     @Override
     public IoBuffer reset() {
         return this;
--- a/src/main/java/honeygap/net/IoEventDispatcher.java
+++ b/src/main/java/honeygap/net/IoEventDispatcher.java
@@ -7,24 +7,24 @@
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 
-/** Hands what MINA reports of a session to the peer at its end. */
+/** Passes MINA's session events to the handler of the connection. */
 final class IoEventDispatcher extends IoHandlerAdapter {
 
     static final AttributeKey HANDLER = new AttributeKey(IoEventDispatcher.class, "peer");
 
-    /** The number of a connection for whoever listens in. */
+    /** The number that identifies a connection to the traffic listener. */
     private static final AttributeKey CONNECTION_NUMBER = new AttributeKey(IoEventDispatcher.class, "number");
 
     private final Loop loop;
     private final Supplier<Peer> handlerFactory;
 
-    /** Sessions that come without a peer get one from here. */
+    /** Sessions created without a handler get one from the factory. */
     IoEventDispatcher(Loop loop, Supplier<Peer> handlerFactory) {
         this.loop = loop;
         this.handlerFactory = handlerFactory;
     }
 
-    /** The number of a connection that is listened in on; 0 for others. */
+    /** The number of a connection that is reported to the traffic listener; 0 for others. */
     static long connectionNumber(IoSession session) {
         return session.getAttribute(CONNECTION_NUMBER) instanceof Long number ? number : 0;
     }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** MINA lets an Error end its thread: a connection that brings one is closed instead. */
+    /** MINA's I/O thread would end on an Error: the connection that caused it is closed instead. */
     private static void runGuarded(IoSession session, Runnable callback) {
         if (!Loop.runGuarded(callback)) {
             session.closeNow();
--- a/src/main/java/honeygap/net/LogBudget.java
+++ b/src/main/java/honeygap/net/LogBudget.java
@@ -1,6 +1,6 @@
 package honeygap.net;
 
-/** Bounds the log lines of one kind of event to a number a second; lines beyond it are counted. */
+/** Limits the log lines for one kind of event to a number per second; suppressed lines are counted. */
 public final class LogBudget {
 
     private static final long TENTHS_PER_SECOND = 10_000;
@@ -16,7 +16,7 @@
         this.linesPerSecond = linesPerSecond;
     }
 
-    /** Whether one more line may be written now; counted either way. */
+    /** Whether one more line may be logged now; counts it as logged or suppressed. */
     public boolean allows() {
         if (loop.now() >= windowStart + TENTHS_PER_SECOND) {
             windowStart = loop.now();
@@ -30,7 +30,7 @@
         return false;
     }
 
-    /** Lines that were left out so far. */
+    /** The number of lines suppressed so far. */
     public long leftOut() {
         return suppressed;
     }
--- a/src/main/java/honeygap/net/Loop.java
+++ b/src/main/java/honeygap/net/Loop.java
@@ -28,13 +28,16 @@
 import org.tinylog.Logger;
 
 /**
- * The one thread that owns all state. What comes in is gathered; each turn tells it in one go, pulls the
- * decisions dry and carries them out. As MINA's executor it also runs the processor of the sockets, whose
- * thread would end with the last session: timers go on then in the loop itself.
+ * The event loop: one thread that owns all state. Input is queued; each iteration processes the queue, then asks the
+ * steppers for decisions until there are none left. As MINA's executor the loop also runs the I/O processor, which
+ * ends with its last session; from then on timers are run by the loop itself.
  */
 public final class Loop implements Executor, Runnable {
 
-    /** What the loop turns for: is told the time, and makes one decision at a time until there is none. */
+    /**
+     * A component that the loop drives: it is given the time once per iteration and takes one step at a time until it
+     * has none left.
+     */
     public interface Core {
 
         void now(long now);
@@ -42,7 +45,7 @@
         boolean next();
     }
 
-    /** Something to be done at a time, unless called off. */
+    /** A task scheduled for a time, unless it is cancelled. */
     public static final class Timer implements Comparable<Timer> {
 
         private final long dueAt;
@@ -70,7 +73,7 @@
         }
     }
 
-    /** Faults caught since the start: each is logged, none ends the loop. */
+    /** Faults caught since the process started: the first 100 are logged, and none ends the loop. */
     private static final AtomicLong FAULTS = new AtomicLong();
 
     private static final AtomicLong INVARIANT_VIOLATIONS = new AtomicLong();
@@ -102,7 +105,7 @@
     private long programStartNanos = clockOriginNanos;
     private long firstRpcMs;
     LoopProcessor processor;
-    /** Listens in on all connections; null where nobody does. */
+    /** Receives a copy of the traffic on all connections; null if unused. */
     Tap trafficListener;
     long lastConnectionNumber;
 
@@ -110,7 +113,9 @@
         this(false);
     }
 
-    /** An eager loop does not sleep when something is due within two milliseconds: for tools that keep time. */
+    /**
+     * A busy-waiting loop does not sleep if a timer is due within two milliseconds: for tools that need exact timing.
+     */
     public Loop(boolean isBusyWaiting) {
         this.isBusyWaiting = isBusyWaiting;
         ExceptionMonitor.setInstance(new ExceptionMonitor() {
@@ -131,7 +136,7 @@
         session.setMaxReadBufferSize(MAX_READ_BUFFER_BYTES);
     }
 
-    /** Accepting and connecting wait on threads of their own, which hand each session over. */
+    /** MINA's acceptors and connectors block on threads of their own and hand each session over to the loop. */
     private void runOnHelperThread(Runnable task) {
         Thread helper = new Thread(null, task, "connections", 1 << 17);
         helper.setDaemon(true);
@@ -140,11 +145,11 @@
 
     public static void fault(Throwable cause) {
         if (FAULTS.incrementAndGet() <= 100) {
-            Logger.error(cause, "a fault, answered and gone on");
+            Logger.error(cause, "internal fault, continuing");
         }
     }
 
-    /** What must hold: asserted in debug builds, counted in release builds. */
+    /** Checks an invariant: a violation is counted, and fails an assertion where assertions are enabled. */
     public static void holds(boolean condition) {
         if (!condition) {
             INVARIANT_VIOLATIONS.incrementAndGet();
@@ -160,27 +165,27 @@
         return FAULTS.get();
     }
 
-    /** Tenths of a millisecond since the loop was made. */
+    /** Tenths of a millisecond since the loop was created. */
     public long clock() {
         return (System.nanoTime() - clockOriginNanos) / 100_000;
     }
 
-    /** The time of this turn. */
+    /** The time at which this iteration began, in tenths of a millisecond. */
     public long now() {
         return now;
     }
 
-    /** The program began then, by the clock of the runtime; where it is not told, with the loop. */
+    /** Sets the start of the program, by {@link System#nanoTime}; by default it is the creation of the loop. */
     public void startedAt(long nanos) {
         programStartNanos = nanos;
     }
 
-    /** Milliseconds since the program began. */
+    /** Milliseconds since the program started. */
     long millisSinceStart() {
         return (System.nanoTime() - programStartNanos) / 1_000_000;
     }
 
-    /** An RPC has been taken: how long a restart takes is told by the first. */
+    /** Called when an RPC has been read. The first one is logged: it shows how long a restart takes. */
     public void rpcTaken() {
         if (firstRpcMs == 0) {
             firstRpcMs = Math.max(1, millisSinceStart());
@@ -188,12 +193,12 @@
         }
     }
 
-    /** Milliseconds from the program's beginning to its first RPC; 0 before that. */
+    /** Milliseconds from the start of the program to its first RPC; 0 before that. */
     long firstRpcMs() {
         return firstRpcMs;
     }
 
-    /** Lets somebody listen in on all connections that come up from then on; before the start. */
+    /** Sets the listener for traffic on all connections opened from then on; call it before the start. */
     public void tap(Tap listener) {
         this.trafficListener = listener;
     }
@@ -205,13 +210,16 @@
         loopThread.start();
     }
 
-    /** Where it listens, which tells the port where none was named; before the next call, from one thread. */
+    /**
+     * Listens on an address and returns the bound address, which has the port if none was given. Calls must not
+     * overlap.
+     */
     public InetSocketAddress listen(InetSocketAddress address, int backlog, int maxConnections, Supplier<Peer> handlerFactory)
             throws IOException {
         return listen(address, backlog, (executor, pool) -> new Acceptor(this, executor, pool, maxConnections), handlerFactory);
     }
 
-    /** Makes what accepts connections on a thread of this executor and hands them to this pool. */
+    /** Creates an acceptor that runs on the executor and hands its connections to the processor pool. */
     interface AcceptorFactory {
 
         Acceptor create(Executor executor, SimpleIoProcessorPool<NioSession> pool);
@@ -235,8 +243,8 @@
     }
 
     /**
-     * Takes no new connections from then on; those that are there go on, and those that the system has accepted are taken as well, up
-     * to a time on this loop's clock. Done is told on the loop.
+     * Stops accepting connections. Open connections stay, and connections in the system's accept queue are still
+     * accepted, up to a time on this loop's clock. The callback runs on the loop.
      */
     void stopAccepting(long until, Runnable onStopped) {
         runOnHelperThread(() -> {
@@ -245,12 +253,15 @@
         });
     }
 
-    /** Connections that were accepted and that no peer has heard of yet. */
+    /** Connections that were accepted and whose handlers have not been opened yet. */
     int acceptedNotOpened() {
         return acceptors.stream().mapToInt(Acceptor::notYetOpened).sum();
     }
 
-    /** Opens a connection; the peer hears whether it came up. Whoever gives up cancels what is returned. */
+    /**
+     * Opens a connection; the handler is notified of success or failure. Cancel the returned future to abandon the
+     * attempt.
+     */
     public ConnectFuture connect(InetSocketAddress address, Peer handler) {
         ConnectFuture future = connector.connect(address,
                 (session, connecting) -> session.setAttribute(IoEventDispatcher.HANDLER, handler));
@@ -264,23 +275,29 @@
         return future;
     }
 
-    /** Refused, or timed out, is the other side's word; no descriptor, port or route for it is this machine's own. */
+    /**
+     * A refused or timed-out connection is a failure of the remote side; a missing file descriptor, port or route is
+     * local.
+     */
     private static boolean isLocalFailure(Throwable cause) {
         return cause instanceof SocketException && !(cause instanceof ConnectException)
                 && !(cause instanceof NoRouteToHostException);
     }
 
-    /** Connections that this machine could not begin to open. */
+    /** Connections that could not be opened because of a failure on this machine. */
     long localConnectFailures() {
         return localConnectFailures.get();
     }
 
-    /** Calls for a new connection that failed and were made again. */
+    /** Accept calls that failed and were retried. */
     long acceptFailures() {
         return acceptors.stream().mapToLong(Acceptor::failures).sum();
     }
 
-    /** Ends the sending at once, so that a pick given up is over before the next one goes out. */
+    /**
+     * Closes a connection after ending its output at once, so that an abandoned pick can no longer be sent when the
+     * next one is.
+     */
     public void cut(IoSession session) {
         if (session.getAttribute(LoopProcessor.CHANNEL) instanceof SocketChannel channel) {
             try {
@@ -292,7 +309,10 @@
         session.closeNow();
     }
 
-    /** Whether nothing waits to be read on a connection, not even its end; a byte that came is lost. */
+    /**
+     * Whether a connection has neither unread input nor been closed by the remote side. If it has input, one byte of
+     * it is lost.
+     */
     public boolean hasNoPendingInput(IoSession session) {
         try {
             return session.getAttribute(LoopProcessor.CHANNEL) instanceof SocketChannel channel
@@ -302,7 +322,7 @@
         }
     }
 
-    /** What has come on a connection and has not been read yet; empty where nothing has, or its end. */
+    /** Reads the input that has arrived and was not read yet; empty if there is none or the connection was closed. */
     public ByteBuffer unread(IoSession session) {
         ByteBuffer bytes = ByteBuffer.allocate(INITIAL_READ_BUFFER_BYTES);
         try {
@@ -319,11 +339,11 @@
         return bytes;
     }
 
-    /** From any thread: to be done in the next turn. */
+    /** Runs a task in the next iteration; callable from any thread. */
     public void post(Runnable task) {
         postedTasks.add(task);
         if (!isLoopThread()) {
-            // One is enough to end the wait, and while a processor runs nobody takes them out.
+            // One task suffices to end the wait; while the I/O processor runs, this queue is not read.
             if (processorTasks.isEmpty()) {
                 processorTasks.offer(() -> { });
             }
@@ -331,13 +351,13 @@
         }
     }
 
-    /** Something that came in, to be told in this or the next turn. */
+    /** Queues input for processing in this or the next iteration; on the loop's thread only. */
     public void gather(Runnable task) {
         deferredTasks.add(task);
     }
 
     public Timer at(long time, Runnable task) {
-        // Guards against timers called off long before their time, several an RPC, that nobody takes out.
+        // Each RPC cancels several timers long before they are due: they are purged here so that they don't pile up.
         if (cancelledTimers > MIN_CANCELLED_TO_PURGE && cancelledTimers > timers.size() / 2) {
             timers.removeIf(old -> old.task == null);
             cancelledTimers = 0;
@@ -356,9 +376,10 @@
         processorTasks.add(processor);
     }
 
-    /** Closes everything; from another thread only. */
+    /** Closes all connections and stops the loop; must not be called on the loop's thread. */
     public void end() {
-        // First: a turn that comes while it closes must not dial any more. The thread itself goes on until all is closed.
+        // Set first, so that an iteration during the close opens no connections. The thread runs until everything is
+        // closed.
         isClosing = true;
         acceptors.forEach(Acceptor::dispose);
         connector.dispose();
@@ -382,7 +403,10 @@
         }
     }
 
-    /** One turn: tells all that was gathered, pulls the decisions dry; none any more once it is over. */
+    /**
+     * One iteration: processes all queued input, then steps until no decision is left; does nothing once the loop is
+     * closing.
+     */
     void runIteration() {
         now = clock();
         if (isClosing) {
@@ -419,7 +443,10 @@
         }
     }
 
-    /** Nothing that a peer or the module does wrong ends the loop; whether it went well. */
+    /**
+     * Runs a task and reports any exception as a fault, so that no handler or rule can end the loop; returns whether
+     * it succeeded.
+     */
     static boolean runGuarded(Runnable task) {
         try {
             task.run();
@@ -430,7 +457,7 @@
         }
     }
 
-    /** Milliseconds until the next timer, rounded up. */
+    /** Milliseconds until the next timer is due, rounded up. */
     long millisUntilNextTimer() {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
--- a/src/main/java/honeygap/net/LoopProcessor.java
+++ b/src/main/java/honeygap/net/LoopProcessor.java
@@ -9,14 +9,14 @@
 import org.apache.mina.transport.socket.nio.NioProcessor;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** The one processor of all sessions: before it waits for sockets, it lets the loop take its turn. */
+/** The I/O processor of all sessions. It runs an iteration of the loop before each wait for I/O. */
 public final class LoopProcessor extends NioProcessor {
 
     static final AttributeKey CHANNEL = new AttributeKey(LoopProcessor.class, "channel");
 
     private final Loop loop;
 
-    /** The executor is the loop itself, by way of the pool that makes processors. */
+    /** MINA's processor pool passes its executor, which is the loop. */
     public LoopProcessor(Executor loop) {
         super(loop);
         this.loop = (Loop) loop;
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Comes back only with work: MINA takes short waits that bring nothing for a fault of the selector and
-     * would register all sockets anew.
+     * Returns only when there is work: MINA takes short waits without events for a broken selector and would replace
+     * it, registering all sockets anew.
      */
     @Override
     protected int select(long timeout) throws Exception {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** On the loop's own thread a mark is enough. */
+    /** On the loop's own thread setting the flag is sufficient. */
     @Override
     protected void wakeup() {
         if (loop.isLoopThread()) {
@@ -56,7 +56,7 @@
     @Override
     protected void init(NioSession session) throws Exception {
         super.init(session);
-        // MINA keeps the channel to itself, and gathered writes need it.
+        // MINA does not expose the channel, which gathering writes need.
         for (SelectionKey key : selector.keys()) {
             if (key.attachment() == session) {
                 session.setAttribute(CHANNEL, key.channel());
--- a/src/main/java/honeygap/net/OncePerSecond.java
+++ b/src/main/java/honeygap/net/OncePerSecond.java
@@ -1,6 +1,6 @@
 package honeygap.net;
 
-/** Lets one line a second into the log of a kind of event that may come in floods; what is left out is only counted. */
+/** Limits the log lines for an event that may occur in bursts to one per second; the caller counts all of them. */
 public final class OncePerSecond {
 
     private static final long TENTHS_PER_SECOND = 10_000;
@@ -12,7 +12,7 @@
         this.loop = loop;
     }
 
-    /** Whether this event may be logged; the next one that may comes a second later. */
+    /** Whether this event may be logged; if so, the next one is allowed a second later. */
     public boolean isDue() {
         boolean due = loop.now() >= nextAt;
         nextAt = due ? loop.now() + TENTHS_PER_SECOND : nextAt;
--- a/src/main/java/honeygap/net/Peer.java
+++ b/src/main/java/honeygap/net/Peer.java
@@ -3,23 +3,26 @@
 import java.nio.ByteBuffer;
 import org.apache.mina.core.session.IoSession;
 
-/** One end of a connection, told by the loop what happens on it. All calls come on the loop's thread. */
+/** Handles the events of one connection. All methods are called on the loop's thread. */
 public interface Peer {
 
     void opened(IoSession session);
 
-    /** The connection never came up. */
+    /** The connection could not be established. */
     void unreachable();
 
-    /** This machine could not begin to open it, which says nothing of the other side. */
+    /**
+     * The connection could not be opened because of a failure on this machine, which says nothing about the remote
+     * side.
+     */
     default void connectFailedLocally() {
         unreachable();
     }
 
-    /** Bytes came in; they stay as they are and may be kept. */
+    /** Bytes were received; they are not overwritten later and may be retained. */
     void received(ByteBuffer bytes);
 
-    /** All bytes of the oldest unfinished write have been handed over. */
+    /** The oldest unfinished write has been passed to the system completely. */
     void written();
 
     void closed();
--- a/src/main/java/honeygap/net/Protocol.java
+++ b/src/main/java/honeygap/net/Protocol.java
@@ -5,43 +5,45 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** One protocol that an agent speaks: a core with its front and back, on the agent's loop. */
+/**
+ * A protocol that an agent serves: a rules engine with its downstream and upstream side, on the agent's event loop.
+ */
 public interface Protocol extends Counters.Group {
 
-    /** What turns on the loop. */
+    /** The components that the loop drives. */
     List<Loop.Core> steppers();
 
-    /** Makes ready, before the loop turns. */
+    /** Runs code paths in advance, before the loop starts. */
     default void warmUp() {
     }
 
-    /** On the loop, in its first turn. */
+    /** Called on the loop in its first iteration. */
     void start();
 
-    /** Whether clients may come yet; on the loop. */
+    /** Whether clients may connect yet; on the loop. */
     default boolean isReady() {
         return true;
     }
 
-    /** Lets clients come; where. */
+    /** Starts listening for clients; returns the bound address. */
     InetSocketAddress listen() throws IOException;
 
-    /** The longest deadline of all methods, in tenths of a millisecond; from any thread. */
+    /** The longest deadline of all methods, in tenths of a millisecond; callable from any thread. */
     long longestDeadline();
 
-    /** The process was told to end, and goes by this schedule; on the loop. */
+    /** A shutdown was requested and follows this schedule; on the loop. */
     void shutDown(ShutdownSchedule schedule);
 
-    /** From now on connections are closed between RPCs. */
+    /** From now on closes each client connection as soon as no RPC is open on it. */
     void closeBetweenRpcs();
 
-    /** Takes no clients and closes connections between RPCs, or takes them again. */
+    /** Refuses clients and closes connections between RPCs, or accepts clients again. */
     void setDrained(boolean isDrained);
 
-    /** Load goes to and comes from others there, from then on; on the loop. */
+    /** Starts exchanging load figures with other agents; on the loop. */
     default void shareLoad(Shared sharing) {
     }
 
-    /** How many connections of clients there are, those included that are closed once all has been written to them. */
+    /** The number of client connections, including those that will be closed once their output is written. */
     int connectionCount();
 }
--- a/src/main/java/honeygap/net/Queries.java
+++ b/src/main/java/honeygap/net/Queries.java
@@ -21,14 +21,19 @@
 import java.util.Map;
 import org.tinylog.Logger;
 
-/** PostgreSQL's wire protocol with clients and appliances; the list and the desk over HTTP/1.1. */
+/**
+ * Serves PostgreSQL's wire protocol to clients and appliances; discovery and the release desk are reached over
+ * HTTP/1.1.
+ */
 public final class Queries implements Protocol {
 
-    /** Descriptors kept back for the list, the desk and what the runtime itself holds. */
+    /** File descriptors reserved for discovery, the desk and the Java runtime. */
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** Clients hold at most this part of the descriptors for RPCs; half of it is kept free for new ones. */
+    /**
+     * Clients with RPCs hold at most one in this many of the descriptors; half of that is kept free for new clients.
+     */
     private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
-    /** For so long, in milliseconds, the code is warmed up before the agent listens. */
+    /** How long the code is warmed up before the agent listens, in milliseconds. */
     private static final long WARM_UP_MS = 50;
 
     private final Loop loop;
@@ -55,10 +60,10 @@
         try {
             seed = Long.parseUnsignedLong(config.text("seed"), 16);
         } catch (NumberFormatException e) {
-            throw new Malformed("field seed is not a number in hexadecimal");
+            throw new Malformed("field seed is not a hexadecimal number");
         }
         listenAddress = config.address("listen");
-        // A client's connection may need one to an appliance.
+        // Each client connection may need a connection to an appliance.
         int sockets = config.part("limits").index("sockets", 1024);
         maxConnections = Math.max(2, sockets - RESERVED_DESCRIPTORS) / 2;
         Listing listing = Deployment.onSockets(settings);
@@ -120,13 +125,14 @@
     }
 
     /**
-     * Reads a configuration once more: the list and the desk are asked at the addresses that it names; all else
-     * holds from start to end. What is to be done for it, on the loop.
+     * Reads the addresses of discovery and the desk from a reloaded configuration; all other settings stay until a
+     * restart. Returns the change to apply on the loop.
      */
     public Runnable reread(Fields config) throws Malformed {
         InetSocketAddress discoveryAddress = config.address("discovery");
         InetSocketAddress deskAddress = config.object("rollouts").address("address");
-        // Whoever ends this process may go by either: the shorter one leaves enough time in any case.
+        // The supervisor may derive its stop timeout from the old or the new file: the shorter deadline is within
+        // both.
         long deadline = config.has("settings") ? Math.min(longestDeadline, longestDeadlineOf(Deployment.methods(config.object("settings"))))
                 : longestDeadline;
         return () -> {
--- a/src/main/java/honeygap/net/Shared.java
+++ b/src/main/java/honeygap/net/Shared.java
@@ -2,15 +2,18 @@
 
 import java.util.Map;
 
-/** What processes that share tell each other of their load, seen from the loop: neither call ever waits. */
+/** Exchanges load figures with other agents, as seen from the loop: no method blocks. */
 public interface Shared {
 
-    /** How often figures go out and come in, in tenths of a millisecond. */
+    /** The interval at which figures are published and read, in tenths of a millisecond. */
     long every();
 
-    /** Picks now out at appliances, by the names of the list; none is left out that has any. */
+    /**
+     * Publishes the picks in flight by the appliances' names in the list; every appliance with picks in flight is
+     * included.
+     */
     void figures(Map<String, Integer> inFlight);
 
-    /** Picks of others, by the same names, as last published. */
+    /** The other agents' picks in flight, by the same names, as last published. */
     Map<String, Double> others();
 }
--- a/src/main/java/honeygap/net/Tap.java
+++ b/src/main/java/honeygap/net/Tap.java
@@ -4,17 +4,17 @@
 import java.nio.ByteBuffer;
 
 /**
- * Hears what goes over all connections of a loop, on its thread: it must be quick, and must not wait. The buffers are
- * good, and are to be left as they are, until the call comes back.
+ * Receives the traffic on all connections of a loop. Called on the loop's thread, it must return quickly and must not
+ * block. The buffers are valid until the call returns and must not be modified.
  */
 public interface Tap {
 
-    /** A connection came up; whether it was opened from outside. */
+    /** A connection was opened; inbound if the remote side opened it. */
     void opened(long connection, SocketAddress local, SocketAddress remote, boolean isInbound);
 
     void received(long connection, ByteBuffer bytes);
 
-    /** What the system has taken, as slices; those behind the count are empty. */
+    /** Bytes that were passed to the system, as slices; only the first ones, up to the count, are used. */
     void sent(long connection, ByteBuffer[] slices, int count);
 
     void closed(long connection);
--- a/src/main/java/honeygap/net/WarmUp.java
+++ b/src/main/java/honeygap/net/WarmUp.java
@@ -20,8 +20,8 @@
 import java.util.List;
 
 /**
- * Runs made-up RPCs through the parsers and a module of its own before the agent listens, so that the first
- * real ones do not wait for classes to load and code to compile. No peer is touched and nothing is kept.
+ * Runs synthetic RPCs through the parsers and a separate instance of the rules before the agent listens, so that the
+ * first real RPCs do not wait for class loading and compilation. It opens no connections and keeps no results.
  */
 final class WarmUp implements Ctl {
 
@@ -51,7 +51,7 @@
         rules.told(trial, Build.ON_TRIAL, 0, 1, false, 0, Pick.OK);
     }
 
-    /** Goes on for so long, in milliseconds; how many RPCs were played. */
+    /** Runs for a number of milliseconds and returns the number of RPCs. */
     int run(long ms) {
         long end = System.nanoTime() + ms * 1_000_000;
         int completed = 0;
@@ -77,7 +77,7 @@
         try {
             parseAndSubmit(number);
         } catch (Malformed e) {
-            // What is made up here can be read.
+            // The synthetic statements are well-formed.
             throw new IllegalStateException(e);
         }
     }
--- a/src/main/java/honeygap/net/appliances/PostgresConnection.java
+++ b/src/main/java/honeygap/net/appliances/PostgresConnection.java
@@ -14,12 +14,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A connection to an appliance that speaks PostgreSQL's wire protocol. */
+/** A connection to an appliance over PostgreSQL's wire protocol. */
 public final class PostgresConnection extends UpstreamConnection {
 
     private static final int MAX_MESSAGE_BYTES = 65536 + 4096;
 
-    /** The types of messages that may come: as it starts, for a pick or probe, behind its answer, at rest. */
+    /**
+     * The message types allowed in each state: during startup, for a request or probe, after its answer, and while
+     * idle.
+     */
     private static final String STARTUP_TYPES = "RSKNEZ";
     private static final String REQUEST_TYPES = "TDCEISNZ";
     private static final String ANSWERED_TYPES = "SNZ";
@@ -27,7 +30,7 @@
 
     private String expectedTypes = STARTUP_TYPES;
     private final Frames frames = new Frames(MAX_MESSAGE_BYTES);
-    /** Slices of the answer as it comes: description, row, completion. */
+    /** The messages of the answer: row description, data row, command completion. */
     private final List<ByteBuffer> answerSlices = new ArrayList<>(3);
     private boolean rowSeen;
 
@@ -80,7 +83,7 @@
 
     private void handleMessage() throws Malformed {
         if (expectedTypes.indexOf(frames.type()) < 0) {
-            throw new Malformed("a message that nobody waits for");
+            throw new Malformed("unexpected message type");
         }
         Shapes.check(frames.type(), frames.body());
         switch (frames.type()) {
@@ -112,13 +115,13 @@
                 break;
         }
         if (answerSlices.size() > 3) {
-            throw new Malformed("more than one row");
+            throw new Malformed("answer has more than one row");
         }
     }
 
     private void handleAnswer() throws Malformed {
         if (call == null || !isFullyWritten || !rowSeen || answerSlices.size() != 3) {
-            throw new Malformed("no whole row");
+            throw new Malformed("answer has no complete row");
         }
         expectedTypes = ANSWERED_TYPES;
         ((Query) finishPick(Pick.OK)).answer(answerSlices.toArray(new ByteBuffer[0]));
--- a/src/main/java/honeygap/net/links/ConnectionPool.java
+++ b/src/main/java/honeygap/net/links/ConnectionPool.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 import java.util.function.BiFunction;
 
-/** All connections of one back to its appliances. */
+/** The pool of connections to all appliances of one protocol. */
 public final class ConnectionPool implements Back {
 
-    /** Part of the time that appliances keep an idle connection for which this agent does. */
+    /** This agent closes idle connections after this fraction of the appliances' own idle timeout. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
     final Loop loop;
@@ -36,8 +36,8 @@
     private long openedCount;
 
     /**
-     * Times are tenths of a millisecond: the agent's own step, how long connecting may take, for how long the
-     * appliances keep an idle connection; most is the number of connections. The kind is the protocol's.
+     * Times are tenths of a millisecond: the agent's tick, the connect timeout and the idle timeout of the
+     * appliances. The factory creates connections of the protocol.
      */
     public ConnectionPool(Loop loop, Rules rules, BiFunction<ConnectionPool, Remote, UpstreamConnection> connectionFactory, long tick, long connectTimeout,
                  long applianceIdleTimeout, int maxConnections) {
@@ -56,12 +56,12 @@
         return new Remote(id);
     }
 
-    /** Whole milliseconds left until then, at least one. */
+    /** Whole milliseconds left until a time, at least one. */
     public long millisLeft(long time) {
         return Math.max(1, (time - loop.clock()) / 10);
     }
 
-    /** Without a descriptor for a connection the pick is not sent at all. */
+    /** If the connection limit is reached the pick is not sent at all. */
     @Override
     public void pick(Call call, Appliance appliance, long timeout) {
         int pickIndex = call.picks.size() - 1;
@@ -74,7 +74,10 @@
         connection.connect(Math.min(timeout, connectTimeout));
     }
 
-    /** Asks whether the appliance is ready; the module has no use for the answer but what it keeps open. */
+    /**
+     * Checks whether the appliance is ready. The result is not reported; a successful probe leaves an idle
+     * connection.
+     */
     @Override
     public void probe(Appliance appliance) {
         UpstreamConnection connection = acquire((Remote) appliance);
@@ -100,8 +103,8 @@
     }
 
     /**
-     * The one used last among those that have rested for a little. Guards against appliances that close, or
-     * send more, just behind an answer: what is written to such a connection is lost and may have run.
+     * Prefers the most recently used connection whose pause after its last answer is over. Some appliances close a
+     * connection, or send more, just after an answer: a request written then is lost and may have run.
      */
     private static UpstreamConnection pollIdle(Remote appliance) {
         Iterator<UpstreamConnection> idle = appliance.idleConnections.descendingIterator();
@@ -141,7 +144,8 @@
 
     void release(UpstreamConnection connection) {
         if (!connection.isCurrent()) {
-            // Guards against a pool that leads to the process before: its picks would count as the new build's.
+            // A connection to the previous process must not return to the pool: its picks would be attributed to the
+            // new build.
             loop.gather(() -> connection.close(Pick.CANCELLED));
         } else {
             connection.appliance().idleConnections.addLast(connection);
@@ -160,12 +164,12 @@
         loop.gather(() -> rules.ended(call, pickIndex, outcome, closed, lag));
     }
 
-    /** An answer could not be read: counted, and told now and then with the pick that it was for. */
+    /** Counts an answer that could not be parsed and logs it at a limited rate, with the pick that it was for. */
     void reportMalformed(Call call, int pick, Remote appliance, String cause) {
         malformedAnswers++;
         if (malformedLogLimiter.isDue()) {
             Events.logPick(call == null ? "none" : call.id, call == null ? -1 : pick, appliance.id, appliance.address
-                    + " sent what can't be read: " + cause);
+                    + " sent a malformed answer: " + cause);
         }
     }
 
--- a/src/main/java/honeygap/net/links/UpstreamConnection.java
+++ b/src/main/java/honeygap/net/links/UpstreamConnection.java
@@ -12,28 +12,32 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * A connection to an appliance, with at most one pick on it. A pick whose last byte has been handed over may
- * have run, whatever comes after; one that has not never ran. What is said on it is the protocol's.
+ * A connection to an appliance that carries at most one pick at a time. Once the last byte of a pick has been written
+ * to the system, the pick may have run, whatever happens later; before that it has certainly not run. Subclasses
+ * implement the protocol.
  */
 public abstract class UpstreamConnection implements Peer {
 
-    /** A second answer may come some milliseconds after the first: so long nothing is sent behind an answer, in tenths of one. */
+    /**
+     * The pause after an answer, in tenths of a millisecond: a duplicate of the answer may arrive some milliseconds
+     * late.
+     */
     private static final long LATE_DUPLICATE = 200;
 
     protected final ConnectionPool pool;
     protected final Remote appliance;
     protected IoSession session;
-    /** The connection is up and its start is over. */
+    /** The connection is established and the protocol's startup is complete. */
     protected boolean isReady;
     protected boolean isClosed;
     protected Call call;
     protected int pickIndex;
-    /** When the pick on it times out. */
+    /** When the current pick times out. */
     protected long timeoutAt;
     protected boolean isFullyWritten;
     protected boolean isProbing;
     private ConnectFuture connectFuture;
-    /** Whom it was opened to: the process that stood there then. */
+    /** The address that was connected to, which the appliance's record may no longer have. */
     private InetSocketAddress address;
     private long processStartedAt;
     private long connectStartedAt;
@@ -45,21 +49,21 @@
         this.appliance = appliance;
     }
 
-    /** The connection is up: what it begins with, or {@link #becomeIdle} where it begins with nothing. */
+    /** The connection is established: begins the protocol's startup, or calls {@link #becomeIdle} if there is none. */
     protected abstract void startProtocol();
 
-    /** Writes the pick that it has taken on. */
+    /** Writes the request of the current pick. */
     protected abstract void sendRequest();
 
     protected abstract void sendProbe();
 
-    /** What has come in, as far as the connection is not over. */
+    /** Parses received bytes; stops when the connection is closed. */
     protected abstract void handleInput(ByteBuffer bytes) throws Malformed;
 
-    /** Bytes are kept that are no whole message yet. */
+    /** Whether part of an incomplete message is buffered. */
     protected abstract boolean hasPartialMessage();
 
-    /** It rests from now on. */
+    /** Called when the connection becomes idle. */
     protected void onIdle() {
     }
 
@@ -67,7 +71,7 @@
         return appliance;
     }
 
-    /** Opens the connection where that has not been done. */
+    /** Opens the connection unless that has been done. */
     final void connect(long timeout) {
         if (connectFuture == null) {
             setTimeout(pool.loop.now() + timeout, this::onTimeout);
@@ -78,12 +82,12 @@
         }
     }
 
-    /** Whether it leads to the process that the list names now, and takes on RPCs. */
+    /** Whether it is connected to the process that the list has now, and that process accepts RPCs. */
     final boolean isCurrent() {
         return appliance.state == Appliance.UP && appliance.startedAt == processStartedAt && address.equals(appliance.address);
     }
 
-    /** Takes a probe on instead of a pick. */
+    /** Runs a probe instead of a pick. */
     final void probe() {
         isProbing = true;
         if (isReady) {
@@ -96,9 +100,9 @@
         sendProbe();
     }
 
-    /** Takes a pick on, to be sent as soon as the connection is ready. */
+    /** Accepts a pick, to be sent as soon as the connection is ready. */
     final void execute(Call call, int pickIndex, long timeout) {
-        // One pick at a time, never on a connection that is over, nor for an RPC that has its answer.
+        // One pick at a time, never on a closed connection, nor for an RPC that has been answered.
         Loop.holds(!isClosed && this.call == null && !isProbing && !call.isAnswered());
         this.call = call;
         this.pickIndex = pickIndex;
@@ -115,8 +119,8 @@
     }
 
     /**
-     * Whether an answer does not say what it answers. Guards against a second answer some milliseconds late: it would
-     * be taken for that of a pick sent right behind the first. Such a pick waits for the rest of the pause.
+     * Whether answers of this protocol do not identify their request. A duplicate answer some milliseconds late would
+     * then be taken for the answer to the next pick, so the next pick is delayed until the pause is over.
      */
     protected boolean lacksAnswerIds() {
         return false;
@@ -174,7 +178,7 @@
         close(isFullyWritten ? Pick.TIMEOUT : Pick.CONNECT_FAILED);
     }
 
-    /** Stops waiting for the pick on it; one that was not handed over never ran. */
+    /** Stops waiting for a pick; a pick that was not fully written never ran. */
     final void cancel(Call call, int pickIndex) {
         if (this.call == call && this.pickIndex == pickIndex) {
             close(isFullyWritten ? Pick.CANCELLED : Pick.MOOT);
@@ -194,14 +198,14 @@
         }
     }
 
-    /** An answer on it can't be read. */
+    /** Reports that an answer could not be parsed. */
     protected final void reportMalformed(Malformed cause) {
         pool.reportMalformed(call, pickIndex, appliance, cause.getMessage());
     }
 
     /**
-     * Whether it still rests, with nothing come that nobody asked for, read or not. Guards against a second
-     * copy or noise behind an answer, which would be taken for the answer of the next pick.
+     * Whether the idle connection has no unexpected input, parsed or not. A duplicate or garbage after an answer
+     * would be taken for the answer to the next pick.
      */
     final boolean hasNoPendingInput() {
         return !hasPartialMessage() && pool.loop.hasNoPendingInput(session);
@@ -215,18 +219,18 @@
         return idleSince + Math.max(2 * pool.tick, LATE_DUPLICATE);
     }
 
-    /** Ready for a pick: the first, or the next. */
+    /** The connection is ready for its first or next pick. */
     protected final void becomeIdle() {
         if (call != null && isReady) {
-            // Ready again without an answer to what was asked.
+            // The appliance is ready again without having answered the request.
             close(isFullyWritten ? Pick.ERROR : Pick.CONNECT_FAILED);
             return;
         }
         isProbing &= !isReady;
         isReady = true;
         if (call != null && (call.closed || !isCurrent())) {
-            // Guards against sending for an RPC that was answered, or left, while the connection came up; and to an
-            // appliance that began to drain meanwhile, or left its address to another.
+            // While the connection was being established, the RPC was answered or abandoned by its client, or the
+            // appliance began to drain or its address passed to another process: don't send the pick.
             detachCall(Pick.MOOT);
         }
         if (call != null) {
@@ -236,13 +240,13 @@
         } else {
             setTimeout(pool.loop.now() + pool.idleTimeout, () -> close(Pick.CANCELLED));
             onIdle();
-            // By the clock: a turn may have begun long before what was read in it.
+            // The exact time: this iteration may have begun long before the input was read.
             idleSince = pool.loop.clock();
             pool.release(this);
         }
     }
 
-    /** The pick on it has ended; what follows must come soon, or the connection is of no use. */
+    /** Ends the current pick. The appliance must become ready soon after, or the connection is closed. */
     protected final Call finishPick(int outcome) {
         setTimeout(pool.loop.now() + pool.connectTimeout, () -> close(Pick.CANCELLED));
         return detachCall(outcome);
@@ -257,7 +261,7 @@
         return done;
     }
 
-    /** What becomes of it by then unless something else comes first. */
+    /** Sets what happens at a time unless another event replaces it first. */
     private void setTimeout(long time, Runnable action) {
         if (timer != null) {
             timer.callOff();
@@ -265,7 +269,7 @@
         timer = pool.loop.at(time, action);
     }
 
-    /** Closes the connection at once; a pick still on it ends so. */
+    /** Closes the connection at once; a current pick ends with this outcome. */
     protected final void close(int outcome) {
         if (isClosed) {
             return;
--- a/src/main/java/honeygap/net/servers/FlagServerConnection.java
+++ b/src/main/java/honeygap/net/servers/FlagServerConnection.java
@@ -20,12 +20,12 @@
 import java.util.Locale;
 
 /**
- * A connection to a flag server, which speaks the remote evaluation protocol over HTTP/1.1. Only whole answers
- * count: one whose end is the connection's end can't be told from half of one.
+ * A connection to a flag server over the OpenFeature remote evaluation protocol (OFREP) on HTTP/1.1. Answers need an
+ * explicit length: one that ends with the connection can't be told from a truncated one.
  */
 public final class FlagServerConnection extends UpstreamConnection implements Answers.Reader {
 
-    /** What outlasts this many seconds is taken for it; the decision on limits has a bound of its own. */
+    /** Longer Retry-After times are cut to this; the rules apply a limit of their own. */
     private static final long MAX_RETRY_AFTER_SECONDS = 86_400;
 
     private final int maxAnswerBytes;
@@ -39,7 +39,7 @@
     private String retryAfterHeader;
     private boolean isComplete;
 
-    /** Answers longer than so many bytes are turned down. */
+    /** Answers longer than the limit are rejected. */
     public FlagServerConnection(ConnectionPool pool, Remote appliance, int maxAnswerBytes) {
         super(pool, appliance);
         this.maxAnswerBytes = maxAnswerBytes;
@@ -52,7 +52,7 @@
 
     @Override
     protected void sendProbe() {
-        // Nothing of the protocol asks whether a server is well: connecting is all.
+        // The protocol has no health check: a successful connect is sufficient.
         becomeIdle();
     }
 
@@ -73,15 +73,15 @@
     @Override
     protected void handleInput(ByteBuffer bytes) throws Malformed {
         if (call == null || !isFullyWritten) {
-            throw new Malformed("an answer that nobody waits for");
+            throw new Malformed("unexpected answer");
         }
         isComplete = false;
         answers.feed(bytes);
         if (isComplete && bytes.hasRemaining()) {
-            throw new Malformed("more than one answer");
+            throw new Malformed("more than one answer to a request");
         }
         if (!isClosed && answers.isOpenEnded()) {
-            throw new Malformed("an answer without a length");
+            throw new Malformed("answer without a length");
         }
     }
 
@@ -94,9 +94,9 @@
     public void field(String name, String value) throws Malformed {
         switch (name) {
             case "content-length":
-                // What can't be kept is not waited for.
+                // Rejects an oversized answer before its body arrives.
                 if (value.length() > 9 || Long.parseLong(value) > maxAnswerBytes) {
-                    throw new Malformed("an answer too long");
+                    throw new Malformed("answer too long");
                 }
                 break;
             case "":
@@ -125,7 +125,7 @@
     public void data(ByteBuffer bytes) throws Malformed {
         int added = bytes.remaining();
         if (length + added > maxAnswerBytes) {
-            throw new Malformed("an answer too long");
+            throw new Malformed("answer too long");
         }
         if (length + added > body.length) {
             body = Arrays.copyOf(body, Math.max(length + added, 2 * body.length));
@@ -137,7 +137,7 @@
     @Override
     public void end() throws Malformed {
         if (call == null || isComplete) {
-            throw new Malformed("an answer that nobody waits for");
+            throw new Malformed("unexpected answer");
         }
         isComplete = true;
         Ask ask = (Ask) call;
@@ -153,7 +153,7 @@
         }
     }
 
-    /** What a server pushes back, surely unheard, is 429; all else that is no answer may have run. */
+    /** Status 429 is a push-back: the request has certainly not run. After any other error it may have run. */
     private int outcome(Ask ask) {
         boolean isTracking = !ask.request().shareable;
         boolean isAnswer = status / 100 == 2 && (isTracking || status == 200)
@@ -170,8 +170,8 @@
     }
 
     /**
-     * Seconds or a date, in tenths of a millisecond from now; what is neither is no wait. A date counts from the server's
-     * own, where it says one: this machine's clock may have been stepped since.
+     * Parses a Retry-After value, in seconds or as a date, to tenths of a millisecond from now; 0 if it is neither. A
+     * date is compared with the server's Date header if present, as this machine's clock may have been stepped.
      */
     private static long parseRetryAfter(String retryAfter, String dateHeader) {
         try {
--- a/src/main/java/honeygap/net/shutdown/ShutdownEvent.java
+++ b/src/main/java/honeygap/net/shutdown/ShutdownEvent.java
@@ -1,23 +1,22 @@
 package honeygap.net.shutdown;
 
-/** What may happen to an RPC or a connection after the signal to end. */
+/** Events of RPCs and connections that are logged during a shutdown. */
 public enum ShutdownEvent {
-    /** A connection was accepted. */
     ACCEPTED("accepted"),
-    /** An RPC was read and taken on. */
+    /** An RPC was read from a client. */
     TAKEN("taken"),
-    /** An RPC was answered with what an appliance made for it. */
+    /** An RPC was answered with an appliance's answer. */
     SERVED("served"),
-    /** An RPC was refused with the promise of no effect. */
+    /** An RPC was refused; it has not taken effect. */
     REFUSED("refused"),
-    /** An RPC was answered as failed. */
+    /** An RPC was answered with an error. */
     FAILED("failed"),
-    /** The client left before the answer. */
+    /** The client disconnected before the answer. */
     ABANDONED("abandoned by its client"),
     /** A connection was closed between RPCs. */
     CLOSED("closed");
 
-    /** How it is called in the log and among the counters. */
+    /** The name in the log and the counters. */
     public final String label;
 
     ShutdownEvent(String label) {
--- a/src/main/java/honeygap/net/shutdown/ShutdownLog.java
+++ b/src/main/java/honeygap/net/shutdown/ShutdownLog.java
@@ -11,8 +11,8 @@
 import org.tinylog.ThreadContext;
 
 /**
- * What happens to the RPCs and connections of one front between the signal to end and the end of the process: a structured
- * line each, bounded a second, and counters. On the loop.
+ * Logs and counts what happens to the client connections and RPCs of one protocol during a shutdown. The number of
+ * log lines per second is limited. On the loop.
  */
 public final class ShutdownLog implements Counters.Group {
 
@@ -29,7 +29,7 @@
         logLimiter = new LogBudget(loop, LINES_PER_SECOND);
     }
 
-    /** The process was told to end; connections by stage are open. */
+    /** A shutdown was requested; the argument has the open connections by stage. */
     public void signalled(ShutdownSchedule newSchedule, Map<String, Long> connections) {
         schedule = newSchedule;
         Logger.info("shutdown: signal heard, connections by stage {}; closing after {} ms, answers by {} ms, end by {} ms", connections,
@@ -40,7 +40,7 @@
         return schedule != null;
     }
 
-    /** Something happened to an RPC; nothing is noted before the signal. Times are tenths of a millisecond. */
+    /** Records an event of an RPC; ignored before the shutdown begins. Times are tenths of a millisecond. */
     public void rpc(ShutdownEvent event, String id, String method, long connectionAge, long timeLeft) {
         if (!isSignalled() || !countAndCheckLimit(event)) {
             return;
@@ -60,14 +60,14 @@
         }
     }
 
-    /** Something happened to a connection; nothing is noted before the signal. */
+    /** Records an event of a connection; ignored before the shutdown begins. */
     public void connection(ShutdownEvent event, long age) {
         if (isSignalled() && countAndCheckLimit(event)) {
             Logger.info("shutdown: connection {} {} ms after the signal, {} ms old", event.label, millisSinceSignal(loop.clock()), age / TENTHS_PER_MS);
         }
     }
 
-    /** Counts it; whether it may be logged as well. */
+    /** Counts the event; returns whether it may be logged as well. */
     private boolean countAndCheckLimit(ShutdownEvent event) {
         String phase = schedule.phase(loop.clock()).name().toLowerCase(Locale.ROOT);
         counts.merge(event.label + " while " + phase, 1L, Long::sum);
