--- a/src/main/java/honeygap/net/Core.java
+++ b/src/main/java/honeygap/net/Core.java
@@ -19,8 +19,10 @@
     /** Client of the service discovery that lists the appliances. */
     public interface Directory {
 
+        /** Opens a stream of changes to the list, replacing an open one. */
         void watch();
 
+        /** Requests the complete list once. */
         void fetch();
     }
 
--- a/src/main/java/honeygap/net/Counters.java
+++ b/src/main/java/honeygap/net/Counters.java
@@ -9,6 +9,7 @@
     /** A component that reports counters. */
     public interface Group {
 
+        /** Adds the current values to the counters. */
         void report(Counters counters);
     }
 
@@ -22,6 +23,7 @@
         return this;
     }
 
+    /** Sets a counter of the current group. */
     public void count(String name, long value) {
         currentGroup.put(name, value);
     }
--- a/src/main/java/honeygap/net/Events.java
+++ b/src/main/java/honeygap/net/Events.java
@@ -55,13 +55,14 @@
      * Logs that an RPC was refused or failed, with the reason; the appliance is that of its last pick, or -1 if it
      * had none.
      */
-    public static void givenUp(String rpc, String method, String reason, long appliance, long leftMs, String detail) {
-        Map<String, String> fields = Map.of("event", "given up", "rpc", rpc, "method", method, "reason", reason, "appliance",
-                String.valueOf(appliance), "left_ms", String.valueOf(leftMs));
+    public static void givenUp(String rpc, String method, String reason, long appliance, long leftMs,
+                                String detail) {
+        Map<String, String> fields = Map.of("event", "given up", "rpc", rpc, "method", method, "reason", reason,
+                "appliance", String.valueOf(appliance), "left_ms", String.valueOf(leftMs));
         fields.forEach(ThreadContext::put);
         try {
-            Logger.info("RPC {} ({}) given up: {}, last pick at appliance {}, {} ms left; {}", rpc, method, reason, appliance,
-                    leftMs, detail);
+            Logger.info("RPC {} ({}) given up: {}, last pick at appliance {}, {} ms left; {}",
+                    rpc, method, reason, appliance, leftMs, detail);
         } finally {
             fields.keySet().forEach(ThreadContext::remove);
         }
--- a/src/main/java/honeygap/net/Flags.java
+++ b/src/main/java/honeygap/net/Flags.java
@@ -53,22 +53,26 @@
         rules = settings.rules(loop.clock(), seed);
         engine = new Core(loop, rules, settings.methods.size(), "flags");
         Answers answerCache = new Answers(settings.sharing, settings.step, settings.allowances,
-                new Versions(settings.keys, settings.cells), new Kept(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
+                new Versions(settings.keys, settings.cells),
+                new Kept(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
         exchange = new Exchange(loop, rules, answerCache, new Limits(settings.retryAfterMost));
-        flagClients = new Askers(loop, exchange, settings.methods.get(0), settings.methods.get(1), settings.methods.get(2),
-                settings.methods.get(3), settings.step, settings.clients, settings.longestBody);
-        connections = new ConnectionPool(loop, rules, (pool, appliance) -> new FlagServerConnection(pool, appliance, settings.longestAnswer), settings.step,
-                settings.connectWithin, settings.idleClose, settings.links);
+        flagClients = new Askers(loop, exchange, settings.methods.get(0), settings.methods.get(1),
+                settings.methods.get(2), settings.methods.get(3), settings.step, settings.clients, settings.longestBody);
+        connections = new ConnectionPool(loop, rules,
+                (pool, appliance) -> new FlagServerConnection(pool, appliance, settings.longestAnswer),
+                settings.step, settings.connectWithin, settings.idleClose, settings.links);
         staticList = new Named(rules, connections, engine::build);
         discovery = settings.list == null ? null
                 : new Registry(loop, rules, connections, engine::build, settings.list, settings.askWithin);
         localRollout = settings.desk == null ? new House(settings.caps, Fleet.LONG_AGO) : null;
         News rolloutStatus = new News(loop, rules, engine::build, Map.of("one", settings.methods.get(0), "all",
                 settings.methods.get(1), "track", settings.methods.get(2), "tracked", settings.methods.get(3)));
-        votes = localRollout != null ? null : new Ballots(loop, rules, rolloutStatus, settings.desk, settings.callTimeout);
+        votes = localRollout != null ? null
+                : new Ballots(loop, rules, rolloutStatus, settings.desk, settings.callTimeout);
         statusStream = localRollout != null ? null
                 : new Bulletin(loop, rolloutStatus, settings.desk, Math.max(settings.callTimeout, 30_000), seed);
-        engine.attach(connections, discovery != null ? discovery : staticList, localRollout != null ? this::vote : votes);
+        engine.attach(connections, discovery != null ? discovery : staticList,
+                localRollout != null ? this::vote : votes);
     }
 
     @Override
--- a/src/main/java/honeygap/net/IoEventDispatcher.java
+++ b/src/main/java/honeygap/net/IoEventDispatcher.java
@@ -44,7 +44,8 @@
     public void sessionOpened(IoSession session) {
         if (loop.trafficListener != null) {
             session.setAttribute(CONNECTION_NUMBER, ++loop.lastConnectionNumber);
-            loop.trafficListener.opened(loop.lastConnectionNumber, session.getLocalAddress(), session.getRemoteAddress(), handlerFactory != null);
+            loop.trafficListener.opened(loop.lastConnectionNumber, session.getLocalAddress(),
+                    session.getRemoteAddress(), handlerFactory != null);
         }
         runGuarded(session, () -> handler(session).opened(session));
         if (session.getService() instanceof Acceptor acceptor) {
--- a/src/main/java/honeygap/net/Loop.java
+++ b/src/main/java/honeygap/net/Loop.java
@@ -40,8 +40,10 @@
      */
     public interface Core {
 
+        /** Begins an iteration at this time, in tenths of a millisecond. */
         void now(long now);
 
+        /** Takes one step; returns false if there is nothing left to do. */
         boolean next();
     }
 
@@ -60,6 +62,7 @@
             this.loop = loop;
         }
 
+        /** Cancels the timer; has no effect if it already ran. */
         public void callOff() {
             if (task != null) {
                 task = null;
@@ -76,6 +79,7 @@
     /** Faults caught since the process started: the first 100 are logged, and none ends the loop. */
     private static final AtomicLong FAULTS = new AtomicLong();
 
+    /** Violations of {@link #holds} since the process started. */
     private static final AtomicLong INVARIANT_VIOLATIONS = new AtomicLong();
 
     private static final long TENTHS_PER_MS = 10;
@@ -143,6 +147,7 @@
         helper.start();
     }
 
+    /** Counts and logs an unexpected exception or error. */
     public static void fault(Throwable cause) {
         if (FAULTS.incrementAndGet() <= 100) {
             Logger.error(cause, "internal fault, continuing");
@@ -157,10 +162,12 @@
         assert condition;
     }
 
+    /** The number of invariant violations since the process started. */
     public static long broken() {
         return INVARIANT_VIOLATIONS.get();
     }
 
+    /** The number of faults since the process started. */
     public static long faultCount() {
         return FAULTS.get();
     }
@@ -203,6 +210,7 @@
         this.trafficListener = listener;
     }
 
+    /** Starts the loop's thread, which drives these steppers. */
     public void start(Core... steppers) {
         this.steppers = List.of(steppers);
         Thread loopThread = new Thread(this, "loop");
@@ -214,9 +222,10 @@
      * Listens on an address and returns the bound address, which has the port if none was given. Calls must not
      * overlap.
      */
-    public InetSocketAddress listen(InetSocketAddress address, int backlog, int maxConnections, Supplier<Peer> handlerFactory)
-            throws IOException {
-        return listen(address, backlog, (executor, pool) -> new Acceptor(this, executor, pool, maxConnections), handlerFactory);
+    public InetSocketAddress listen(InetSocketAddress address, int backlog, int maxConnections,
+                                    Supplier<Peer> handlerFactory) throws IOException {
+        return listen(address, backlog, (executor, pool) -> new Acceptor(this, executor, pool, maxConnections),
+                handlerFactory);
     }
 
     /** Creates an acceptor that runs on the executor and hands its connections to the processor pool. */
@@ -225,8 +234,8 @@
         Acceptor create(Executor executor, SimpleIoProcessorPool<NioSession> pool);
     }
 
-    InetSocketAddress listen(InetSocketAddress address, int backlog, AcceptorFactory acceptorFactory, Supplier<Peer> handlerFactory)
-            throws IOException {
+    InetSocketAddress listen(InetSocketAddress address, int backlog, AcceptorFactory acceptorFactory,
+                             Supplier<Peer> handlerFactory) throws IOException {
         Acceptor acceptor = acceptorFactory.create(this::runOnHelperThread, processorPool);
         acceptor.setHandler(new IoEventDispatcher(this, handlerFactory));
         acceptor.setReuseAddress(true);
@@ -356,6 +365,7 @@
         deferredTasks.add(task);
     }
 
+    /** Schedules a task for a time on this loop's clock; on the loop's thread only. */
     public Timer at(long time, Runnable task) {
         // Each RPC cancels several timers long before they are due: they are purged here so that they don't pile up.
         if (cancelledTimers > MIN_CANCELLED_TO_PURGE && cancelledTimers > timers.size() / 2) {
--- a/src/main/java/honeygap/net/Peer.java
+++ b/src/main/java/honeygap/net/Peer.java
@@ -6,6 +6,7 @@
 /** Handles the events of one connection. All methods are called on the loop's thread. */
 public interface Peer {
 
+    /** The connection was established. */
     void opened(IoSession session);
 
     /** The connection could not be established. */
@@ -25,5 +26,6 @@
     /** The oldest unfinished write has been passed to the system completely. */
     void written();
 
+    /** The connection was closed by either side; no event follows. */
     void closed();
 }
--- a/src/main/java/honeygap/net/Queries.java
+++ b/src/main/java/honeygap/net/Queries.java
@@ -30,7 +30,7 @@
     /** File descriptors reserved for discovery, the desk and the Java runtime. */
     private static final int RESERVED_DESCRIPTORS = 64;
     /**
-     * Clients with RPCs hold at most one in this many of the descriptors; half of that is kept free for new clients.
+     * Clients get at most one in this many of the descriptors; half of that is kept free for new clients.
      */
     private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
     /** How long the code is warmed up before the agent listens, in milliseconds. */
@@ -74,7 +74,8 @@
             methodsByName.put(method.text("Name"), methods.get(index++));
         }
         engine = new Core(loop, rules, methods.size(), "");
-        clients = new Clients(loop, rules, methodsByName, settings, maxConnections, sockets / CLIENT_DESCRIPTOR_DIVISOR / 2);
+        clients = new Clients(loop, rules, methodsByName, settings, maxConnections,
+                sockets / CLIENT_DESCRIPTOR_DIVISOR / 2);
         Fields ceilings = settings.part("Ceilings");
         connections = new ConnectionPool(loop, rules, PostgresConnection::new, settings.tenths("TickNs"),
                 ceilings.tenths("ConnectTimeoutNs", 2500), ceilings.tenths("IdleCloseNs", 100_000), maxConnections);
@@ -133,8 +134,8 @@
         InetSocketAddress deskAddress = config.object("rollouts").address("address");
         // The supervisor may derive its stop timeout from the old or the new file: the shorter deadline is within
         // both.
-        long deadline = config.has("settings") ? Math.min(longestDeadline, longestDeadlineOf(Deployment.methods(config.object("settings"))))
-                : longestDeadline;
+        long deadline = config.has("settings") ? Math.min(longestDeadline,
+                longestDeadlineOf(Deployment.methods(config.object("settings")))) : longestDeadline;
         return () -> {
             longestDeadline = deadline;
             discovery.move(discoveryAddress);
--- a/src/main/java/honeygap/net/Tap.java
+++ b/src/main/java/honeygap/net/Tap.java
@@ -12,10 +12,12 @@
     /** A connection was opened; inbound if the remote side opened it. */
     void opened(long connection, SocketAddress local, SocketAddress remote, boolean isInbound);
 
+    /** Bytes were received. */
     void received(long connection, ByteBuffer bytes);
 
     /** Bytes that were passed to the system, as slices; only the first ones, up to the count, are used. */
     void sent(long connection, ByteBuffer[] slices, int count);
 
+    /** The connection was closed. */
     void closed(long connection);
 }
--- a/src/main/java/honeygap/net/links/ConnectionPool.java
+++ b/src/main/java/honeygap/net/links/ConnectionPool.java
@@ -39,8 +39,9 @@
      * Times are tenths of a millisecond: the agent's tick, the connect timeout and the idle timeout of the
      * appliances. The factory creates connections of the protocol.
      */
-    public ConnectionPool(Loop loop, Rules rules, BiFunction<ConnectionPool, Remote, UpstreamConnection> connectionFactory, long tick, long connectTimeout,
-                 long applianceIdleTimeout, int maxConnections) {
+    public ConnectionPool(Loop loop, Rules rules,
+                          BiFunction<ConnectionPool, Remote, UpstreamConnection> connectionFactory, long tick,
+                          long connectTimeout, long applianceIdleTimeout, int maxConnections) {
         this.loop = loop;
         this.rules = rules;
         this.connectionFactory = connectionFactory;
--- a/src/main/java/honeygap/net/links/UpstreamConnection.java
+++ b/src/main/java/honeygap/net/links/UpstreamConnection.java
@@ -84,7 +84,8 @@
 
     /** Whether it is connected to the process that the list has now, and that process accepts RPCs. */
     final boolean isCurrent() {
-        return appliance.state == Appliance.UP && appliance.startedAt == processStartedAt && address.equals(appliance.address);
+        return appliance.state == Appliance.UP && appliance.startedAt == processStartedAt
+                && address.equals(appliance.address);
     }
 
     /** Runs a probe instead of a pick. */
--- a/src/main/java/honeygap/net/shutdown/ShutdownLog.java
+++ b/src/main/java/honeygap/net/shutdown/ShutdownLog.java
@@ -32,8 +32,9 @@
     /** A shutdown was requested; the argument has the open connections by stage. */
     public void signalled(ShutdownSchedule newSchedule, Map<String, Long> connections) {
         schedule = newSchedule;
-        Logger.info("shutdown: signal heard, connections by stage {}; closing after {} ms, answers by {} ms, end by {} ms", connections,
-                millisSinceSignal(newSchedule.closesAt()), millisSinceSignal(newSchedule.answersBy()), millisSinceSignal(newSchedule.endsBy()));
+        Logger.info("shutdown: signal heard, connections by stage {}; closing after {} ms, answers by {} ms, end by {} ms",
+                connections, millisSinceSignal(newSchedule.closesAt()), millisSinceSignal(newSchedule.answersBy()),
+                millisSinceSignal(newSchedule.endsBy()));
     }
 
     private boolean isSignalled() {
@@ -50,8 +51,9 @@
         ThreadContext.put("method", method);
         ThreadContext.put("left_ms", Long.toString(timeLeft / TENTHS_PER_MS));
         try {
-            Logger.info("shutdown: RPC {} ({}) {} {} ms after the signal, {} ms left, on a connection {} ms old", id, method,
-                    event.label, millisSinceSignal(loop.clock()), timeLeft / TENTHS_PER_MS, connectionAge / TENTHS_PER_MS);
+            Logger.info("shutdown: RPC {} ({}) {} {} ms after the signal, {} ms left, on a connection {} ms old",
+                    id, method, event.label, millisSinceSignal(loop.clock()), timeLeft / TENTHS_PER_MS,
+                    connectionAge / TENTHS_PER_MS);
         } finally {
             ThreadContext.remove("event");
             ThreadContext.remove("rpc");
@@ -63,7 +65,8 @@
     /** Records an event of a connection; ignored before the shutdown begins. */
     public void connection(ShutdownEvent event, long age) {
         if (isSignalled() && countAndCheckLimit(event)) {
-            Logger.info("shutdown: connection {} {} ms after the signal, {} ms old", event.label, millisSinceSignal(loop.clock()), age / TENTHS_PER_MS);
+            Logger.info("shutdown: connection {} {} ms after the signal, {} ms old", event.label,
+                    millisSinceSignal(loop.clock()), age / TENTHS_PER_MS);
         }
     }
 
