--- a/src/test/java/honeygap/net/AcceptorTest.java
+++ b/src/test/java/honeygap/net/AcceptorTest.java
@@ -24,7 +24,7 @@
     private static final String[] FAILURES = {"Too many open files in system", "Software caused connection abort",
         "No buffer space available", "Protocol error"};
 
-    private static final class Welcome implements Peer {
+    private static final class Greeter implements Peer {
 
         @Override
         public void opened(IoSession session) {
@@ -50,45 +50,45 @@
 
     /** Ten failures in a row keep a client waiting for a fraction of the second that one of them did. */
     @Test
-    void failsForAMoment() throws Exception {
+    void acceptCallFailsTemporarily() throws Exception {
         Loop loop = new Loop();
         AtomicInteger calls = new AtomicInteger();
-        int failing = 10;
+        int failures = 10;
         loop.start();
-        InetSocketAddress at = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10,
+        InetSocketAddress address = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10,
                 (executor, pool) -> new Acceptor(loop, executor, pool, 10) {
                     @Override
                     NioSession acceptFromSystem(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
                         int call = calls.getAndIncrement();
-                        if (call < failing) {
+                        if (call < failures) {
                             throw new SocketException(FAILURES[call % FAILURES.length]);
                         }
                         return super.acceptFromSystem(processor, handle);
                     }
-                }, Welcome::new);
-        long from = System.nanoTime();
-        assertEquals('x', hear(at));
-        long tookMs = (System.nanoTime() - from) / 1_000_000;
-        assertEquals(failing, loop.acceptFailures());
+                }, Greeter::new);
+        long start = System.nanoTime();
+        assertEquals('x', readByte(address));
+        long tookMs = (System.nanoTime() - start) / 1_000_000;
+        assertEquals(failures, loop.acceptFailures());
         assertTrue(tookMs < 1000, "served after " + tookMs + " ms");
         loop.end();
     }
 
     /** Places come back when connections have gone: more clients than places, one after another, are all served. */
     @Test
-    void placesComeBack() throws Exception {
+    void slotsAreReleased() throws Exception {
         Loop loop = new Loop();
         loop.start();
-        InetSocketAddress at = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, 2,
-                Welcome::new);
+        InetSocketAddress address = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, 2,
+                Greeter::new);
         for (int i = 0; i < 20; i++) {
-            assertEquals('x', hear(at), "client " + i);
+            assertEquals('x', readByte(address), "client " + i);
         }
         loop.end();
     }
 
-    private static int hear(InetSocketAddress at) throws IOException {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+    private static int readByte(InetSocketAddress address) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(20_000);
             return socket.getInputStream().read();
         }
--- a/src/test/java/honeygap/net/AgentTest.java
+++ b/src/test/java/honeygap/net/AgentTest.java
@@ -33,17 +33,17 @@
         "assign,done ok,58000,1", "assign,fields ok,58000,1", "read,tworows ok,ok:v1,2",
         "assign,silent ok,58000,1", "read,silent,58000,1"})
     void outcomes(String method, String scripts, String answer, int statements) throws Exception {
-        Fleet fleet = new Fleet(scripts);
-        start(fleet);
-        Caller caller = new Caller().hello();
-        long asked = System.nanoTime();
-        assertEquals(answer, caller.ask(method, 600));
-        assertTrue(System.nanoTime() - asked < 650_000_000, "answered in time, with the protocol's slack");
-        assertEquals(statements, fleet.heard.size());
-        for (String heard : fleet.heard) {
-            int time = Integer.parseInt(heard.replaceAll(".*,d=(\\d+),.*", "$1"));
+        Fleet appliance = new Fleet(scripts);
+        start(appliance);
+        Caller client = new Caller().hello();
+        long start = System.nanoTime();
+        assertEquals(answer, client.ask(method, 600));
+        assertTrue(System.nanoTime() - start < 650_000_000, "answered in time, with the protocol's slack");
+        assertEquals(statements, appliance.heard.size());
+        for (String statement : appliance.heard) {
+            int time = Integer.parseInt(statement.replaceAll(".*,d=(\\d+),.*", "$1"));
             assertTrue(time > 0 && time <= 600, "time to wait " + time);
-            assertEquals(statement(method, 600).replace(",d=600", ""), heard.replaceAll(",d=\\d+", ""));
+            assertEquals(statement(method, 600).replace(",d=600", ""), statement.replaceAll(",d=\\d+", ""));
         }
     }
 
@@ -57,20 +57,20 @@
         "S P,50,08P01end", "S L,50,08P01end", "G,50,08P01end", "C,50,end", "H,50,08P01end", "N,50,08P01end",
         "S W:SELECT content FROM kv WHERE name = 'k' /* id=1;c=read;d=x */ Q:read,50,42601|ok:v1",
         "S W:SELECT content FROM kv WHERE name = 'k' /* c=read;d=9 */ Q:read,50,42601|ok:v1"})
-    void clientForms(String sends, int size, String hears) throws Exception {
-        Fleet fleet = new Fleet("ok");
-        start(fleet);
-        Caller caller = new Caller();
+    void clientMessages(String sent, int size, String answers) throws Exception {
+        Fleet appliance = new Fleet("ok");
+        start(appliance);
+        Caller client = new Caller();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (String send : sends.split(" (?=[STEXPLGCHN]\\b|[QW]:)")) {
-            String words = send.substring(Math.min(2, send.length())).replace(';', ',');
-            switch (send.charAt(0)) {
+        for (String part : sent.split(" (?=[STEXPLGCHN]\\b|[QW]:)")) {
+            String text = part.substring(Math.min(2, part.length())).replace(';', ',');
+            switch (part.charAt(0)) {
                 case 'S' -> all.writeBytes(STARTUP);
                 case 'T' -> all.writeBytes(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
                 case 'C' -> all.writeBytes(ByteBuffer.allocate(16).putInt(16).putInt(80877102).array());
                 case 'E' -> all.writeBytes(query(""));
-                case 'Q' -> all.writeBytes(query(statement(words, 900)));
-                case 'W' -> all.writeBytes(query(words));
+                case 'Q' -> all.writeBytes(query(statement(text, 900)));
+                case 'W' -> all.writeBytes(query(text));
                 case 'X' -> all.writeBytes(message('X', ""));
                 case 'P' -> all.writeBytes(message('P', "parse"));
                 case 'L' -> all.writeBytes(ByteBuffer.allocate(5).put((byte) 'Q').putInt(1 << 30).array());
@@ -81,18 +81,18 @@
         }
         byte[] bytes = all.toByteArray();
         for (int i = 0; i < bytes.length; i += size) {
-            caller.out.write(bytes, i, Math.min(size, bytes.length - i));
+            client.out.write(bytes, i, Math.min(size, bytes.length - i));
         }
-        if (sends.startsWith("T")) {
-            assertEquals('N', caller.in.read());
+        if (sent.startsWith("T")) {
+            assertEquals('N', client.in.read());
         }
-        if (sends.contains("S ")) {
-            caller.hear();
+        if (sent.contains("S ")) {
+            client.readAnswer();
         }
-        for (String wanted : hears.split("\\|", -1)) {
-            assertEquals(wanted, caller.hear());
+        for (String answer : answers.split("\\|", -1)) {
+            assertEquals(answer, client.readAnswer());
         }
-        assertEquals(sends.contains("X") ? 0 : sends.split("Q:read", -1).length - 1, fleet.heard.size());
+        assertEquals(sent.contains("X") ? 0 : sent.split("Q:read", -1).length - 1, appliance.heard.size());
     }
 
     /**
@@ -101,17 +101,17 @@
      */
     @ParameterizedTest
     @CsvSource({"more ok,2", "later ok,2", "noise ok,2", "notice ok,1", "ok,1"})
-    void behindAnAnswer(String scripts, int connections) throws Exception {
-        Fleet fleet = new Fleet(scripts);
-        start(fleet);
-        Caller caller = new Caller().hello();
-        assertEquals("ok:v1", caller.ask("assign", 900));
-        fleet.value = "v2";
+    void inputAfterAnswer(String scripts, int connections) throws Exception {
+        Fleet appliance = new Fleet(scripts);
+        start(appliance);
+        Caller client = new Caller().hello();
+        assertEquals("ok:v1", client.ask("assign", 900));
+        appliance.value = "v2";
         if (scripts.startsWith("later")) {
-            fleet.go.await();
+            appliance.released.await();
         }
-        assertEquals("ok:v2", caller.ask("assign", 900));
-        assertEquals(connections, fleet.connections.get());
+        assertEquals("ok:v2", client.ask("assign", 900));
+        assertEquals(connections, appliance.connections.get());
     }
 
     /**
@@ -120,87 +120,87 @@
      */
     @ParameterizedTest
     @CsvSource({"0,0,0,3000", "5,0,0,3000", "1000,10,0,3000", "1000,200,0,3100", "1000,0,1,2100"})
-    void stages(int startup, int query, int asks, int within) throws Exception {
-        Fleet fleet = new Fleet("ok");
-        start(fleet);
-        Caller caller = new Caller();
-        long came = System.nanoTime();
-        caller.out.write(STARTUP, 0, Math.min(startup, STARTUP.length));
-        if (startup > STARTUP.length) {
-            caller.hear();
+    void idleClientTimeouts(int startupBytes, int queryBytes, int calls, int withinMs) throws Exception {
+        Fleet appliance = new Fleet("ok");
+        start(appliance);
+        Caller client = new Caller();
+        long since = System.nanoTime();
+        client.out.write(STARTUP, 0, Math.min(startupBytes, STARTUP.length));
+        if (startupBytes > STARTUP.length) {
+            client.readAnswer();
         }
-        for (int i = 0; i < asks; i++) {
-            assertEquals("ok:v1", caller.ask("read", 900));
+        for (int i = 0; i < calls; i++) {
+            assertEquals("ok:v1", client.ask("read", 900));
             // It rests from its answer on: how long that took is not of the stage.
-            came = System.nanoTime();
+            since = System.nanoTime();
         }
-        byte[] half = query(statement("read", 900));
-        caller.out.write(half, 0, Math.min(query, half.length - 1));
-        String heard = caller.hear();
-        assertTrue(heard.endsWith("end"), heard);
-        long took = (System.nanoTime() - came) / 1_000_000;
-        assertTrue(took <= within && took >= 1900, "after " + took);
-        assertEquals(asks, fleet.heard.size());
+        byte[] request = query(statement("read", 900));
+        client.out.write(request, 0, Math.min(queryBytes, request.length - 1));
+        String answer = client.readAnswer();
+        assertTrue(answer.endsWith("end"), answer);
+        long tookMs = (System.nanoTime() - since) / 1_000_000;
+        assertTrue(tookMs <= withinMs && tookMs >= 1900, "after " + tookMs);
+        assertEquals(calls, appliance.heard.size());
     }
 
     /** A client may not have the id of an RPC that is open elsewhere; once that is answered, it may. */
     @Test
-    void openId() throws Exception {
-        Fleet fleet = new Fleet("silent ok");
-        start(fleet);
+    void duplicateRpcId() throws Exception {
+        Fleet appliance = new Fleet("silent ok");
+        start(appliance);
         Caller first = new Caller().hello();
         first.out.write(query(statement("assign", 700)));
-        while (fleet.heard.isEmpty()) {
+        while (appliance.heard.isEmpty()) {
             Thread.onSpinWait();
         }
         Caller second = new Caller().hello();
         assertEquals("42601", second.ask("read", 700));
-        assertEquals("58000", first.hear());
+        assertEquals("58000", first.readAnswer());
         assertEquals("ok:v1", second.ask("read", 700));
-        assertEquals(2, fleet.heard.size());
+        assertEquals(2, appliance.heard.size());
     }
 
     /** Hundreds of commands at once are turned down, whatever they are; so is the open one among them. */
     @ParameterizedTest
     @CsvSource({"E", "Q"})
     void tooManyCommands(String kind) throws Exception {
-        Fleet fleet = new Fleet("silent");
-        start(fleet);
-        Caller caller = new Caller().hello();
+        Fleet appliance = new Fleet("silent");
+        start(appliance);
+        Caller client = new Caller().hello();
         byte[] one = kind.equals("E") ? query("") : query(statement("assign", 2000));
         byte[][] all = new byte[500][];
         Arrays.fill(all, one);
-        caller.out.write(join(all));
-        String heard = caller.hear();
-        while (heard.equals("empty")) {
-            heard = caller.hear();
+        client.out.write(join(all));
+        String answer = client.readAnswer();
+        while (answer.equals("empty")) {
+            answer = client.readAnswer();
         }
-        assertEquals("08P01end", heard);
-        assertTrue(fleet.heard.size() <= 1);
+        assertEquals("08P01end", answer);
+        assertTrue(appliance.heard.size() <= 1);
     }
 
     /** Clients that ask once and stay go, longest idle first, before they hold all that clients may hold. */
     @Test
-    void crowdOfIdleOnes() throws Exception {
-        Fleet fleet = new Fleet("ok");
-        StandIn nobody = new StandIn("refused");
-        start(entry("s-1", fleet, "SERVING", 1), "", nobody, nobody, 96);
+    void idleClientsAreClosed() throws Exception {
+        Fleet appliance = new Fleet("ok");
+        StandIn refusing = new StandIn("refused");
+        start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 96);
         Caller first = new Caller().hello();
         assertEquals("ok:v1", first.ask("read", 900));
-        long asked = System.nanoTime();
+        long start = System.nanoTime();
         for (int i = 0; i < 16; i++) {
             assertEquals("ok:v1", new Caller().hello().ask("read", 900));
         }
-        assertEquals("end", first.hear());
-        assertTrue(System.nanoTime() - asked < 1_500_000_000, "sooner than those that are merely idle");
+        assertEquals("end", first.readAnswer());
+        assertTrue(System.nanoTime() - start < 1_500_000_000, "sooner than those that are merely idle");
     }
 
     /** Where all places are taken by clients that say nothing, each new one gets a place and is served. */
     @Test
-    void silentOnesMakeRoom() throws Exception {
-        Fleet fleet = new Fleet("ok");
-        StandIn nobody = new StandIn("refused");
-        start(entry("s-1", fleet, "SERVING", 1), "", nobody, nobody, 64 + 8);
+    void silentClientsAreClosed() throws Exception {
+        Fleet appliance = new Fleet("ok");
+        StandIn refusing = new StandIn("refused");
+        start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 64 + 8);
         for (int i = 0; i < 20; i++) {
             new Caller().out.write(STARTUP, 0, i % 5);
         }
@@ -209,38 +209,38 @@
 
     /** Nothing is sent for an RPC whose client left while the connection for its pick came up. */
     @Test
-    void leftWhileConnecting() throws Exception {
-        Fleet fleet = new Fleet("startupwaits ok");
-        start(fleet);
-        Caller gone = new Caller().hello();
-        gone.out.write(query(statement("read", 900)));
-        while (fleet.connections.get() == 0) {
+    void clientLeavesWhileConnecting() throws Exception {
+        Fleet appliance = new Fleet("startupwaits ok");
+        start(appliance);
+        Caller leaving = new Caller().hello();
+        leaving.out.write(query(statement("read", 900)));
+        while (appliance.connections.get() == 0) {
             Thread.onSpinWait();
         }
-        gone.close();
+        leaving.close();
         Caller next = new Caller().hello();
-        fleet.go.countDown();
-        fleet.scripts[0] = "ok";
+        appliance.released.countDown();
+        appliance.scripts[0] = "ok";
         assertEquals("ok:v1", next.ask("assign", 900));
-        assertEquals(1, fleet.heard.size());
-        assertTrue(fleet.heard.peek().contains(",c=assign,"));
+        assertEquals(1, appliance.heard.size());
+        assertTrue(appliance.heard.peek().contains(",c=assign,"));
     }
 
     /** Values of 64 KiB to a client that reads only after it has asked for all of them. */
     @ParameterizedTest
     @CsvSource({"1", "60"})
-    void slowReader(int many) throws Exception {
-        Fleet fleet = new Fleet("ok");
-        fleet.value = "x".repeat(65536);
-        start(fleet);
-        Caller caller = new Caller().hello();
-        for (int i = 0; i < many; i++) {
-            caller.out.write(query(statement("read", 20_000)));
+    void slowReader(int count) throws Exception {
+        Fleet appliance = new Fleet("ok");
+        appliance.value = "x".repeat(65536);
+        start(appliance);
+        Caller client = new Caller().hello();
+        for (int i = 0; i < count; i++) {
+            client.out.write(query(statement("read", 20_000)));
         }
-        for (int i = 0; i < many; i++) {
-            assertEquals(65536 + 3, caller.hear().length());
+        for (int i = 0; i < count; i++) {
+            assertEquals(65536 + 3, client.readAnswer().length());
         }
-        assertTrue(fleet.connections.get() <= 2, "connections are used again");
+        assertTrue(appliance.connections.get() <= 2, "connections are used again");
     }
 
     /**
@@ -249,23 +249,23 @@
      */
     @Test
     void tooManyClients() throws Exception {
-        Fleet fleet = new Fleet("silent silent ok");
-        StandIn nobody = new StandIn("refused");
-        start(entry("s-1", fleet, "SERVING", 1), "", nobody, nobody, 64 + 4);
+        Fleet appliance = new Fleet("silent silent ok");
+        StandIn refusing = new StandIn("refused");
+        start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 64 + 4);
         Caller idle = new Caller().hello();
         Caller first = new Caller().hello();
         first.out.write(query(statement("assign", 2000)));
-        Caller second = new Caller().as("9b20").hello();
-        assertEquals("end", idle.hear());
+        Caller second = new Caller().withId("9b20").hello();
+        assertEquals("end", idle.readAnswer());
         second.out.write(query(statement(second.id, "assign", 2000)));
-        while (fleet.heard.size() < 2) {
+        while (appliance.heard.size() < 2) {
             Thread.onSpinWait();
         }
         Caller third = new Caller();
         third.out.write(STARTUP);
-        assertEquals("53300end", third.hear());
-        assertEquals("58000", first.hear());
-        assertEquals("58000", second.hear());
+        assertEquals("53300end", third.readAnswer());
+        assertEquals("58000", first.readAnswer());
+        assertEquals("58000", second.readAnswer());
         assertEquals("ok:v1", second.ask("assign", 2000));
     }
 
@@ -275,20 +275,20 @@
         "WHOLE,ok:v1", "503 WHOLE,ok:v1", "reset WHOLE,ok:v1", "silent WHOLE,ok:v1", "GARBAGE WHOLE,ok:v1",
         "BEAT-CHANGE,ok:v1", "HALF WHOLE,ok:v1", "DRAIN,53300+", "GONE,53300+", "BARE,ok:v1"})
     void list(String scripts, String answer) throws Exception {
-        Fleet fleet = new Fleet("ok");
-        Fleet before = new Fleet("ok");
+        Fleet appliance = new Fleet("ok");
+        Fleet previous = new Fleet("ok");
         StandIn dead = new StandIn("refused");
-        String moved = entry("s-1", fleet, "SERVING", 1);
-        String whole = "{'index':42,'snapshot':true,'endpoints':[" + moved + "]}\n";
+        String entry = entry("s-1", appliance, "SERVING", 1);
+        String snapshot = "{'index':42,'snapshot':true,'endpoints':[" + entry + "]}\n";
         String change = "{'index':43,'snapshot':false,'endpoints':[%s]}\n";
         StandIn list = new StandIn(scripts) {
             @Override
             byte[] answer(String script) {
                 String body = switch (script) {
-                    case "WHOLE", "BARE" -> whole;
-                    case "HALF" -> whole.substring(0, 40);
-                    case "BEAT-CHANGE" -> "\n\n" + String.format(change, moved);
-                    case "DRAIN" -> String.format(change, entry("s-1", before, "DRAINING", 1));
+                    case "WHOLE", "BARE" -> snapshot;
+                    case "HALF" -> snapshot.substring(0, 40);
+                    case "BEAT-CHANGE" -> "\n\n" + String.format(change, entry);
+                    case "DRAIN" -> String.format(change, entry("s-1", previous, "DRAINING", 1));
                     case "GONE" -> String.format(change, "{'name':'s-1','status':'DELETED'}");
                     default -> "{'what':\n";
                 };
@@ -305,8 +305,8 @@
                         + (script.equals("HALF") ? "0\r\n\r\n" : "")).getBytes(StandardCharsets.UTF_8);
             }
         };
-        boolean ends = answer.startsWith("53300");
-        start(entry("s-1", ends ? before : dead, "SERVING", 1), "'RegistryMode':'ask',", list, dead, 1024);
+        boolean isRemoved = answer.startsWith("53300");
+        start(entry("s-1", isRemoved ? previous : dead, "SERVING", 1), "'RegistryMode':'ask',", list, dead, 1024);
         assertEquals(answer, askUntil(answer));
         assertTrue(list.heard.size() >= scripts.split(" ").length);
     }
@@ -314,28 +314,28 @@
     /** A configuration read again moves the list and the desk; one that can't be read whole moves nothing. */
     @ParameterizedTest
     @CsvSource({"moved,ok:v1", "half,53300+", "nodesk,53300+", "half moved,ok:v1", "moved moved,ok:v1"})
-    void reread(String files, String answer) throws Exception {
-        Fleet fleet = new Fleet("ok");
-        StandIn nobody = new StandIn("refused");
+    void reload(String files, String answer) throws Exception {
+        Fleet appliance = new Fleet("ok");
+        StandIn refusing = new StandIn("refused");
         StandIn desk = new StandIn("silent");
         StandIn list = new StandIn("WHOLE") {
             @Override
             byte[] answer(String script) {
                 return ("HTTP/1.1 200 OK\r\n\r\n{'index':42,'snapshot':true,'endpoints':["
-                        + entry("s-1", fleet, "SERVING", 1) + "]}\n").replace('\'', '"')
+                        + entry("s-1", appliance, "SERVING", 1) + "]}\n").replace('\'', '"')
                         .getBytes(StandardCharsets.UTF_8);
             }
         };
-        start(entry("s-1", nobody, "SERVING", 1), "'RegistryMode':'ask',", nobody, nobody, 1024);
+        start(entry("s-1", refusing, "SERVING", 1), "'RegistryMode':'ask',", refusing, refusing, 1024);
         for (String file : files.split(" ")) {
-            String moved = "{'discovery':'" + list.address() + "'";
-            agent.reread(List.of(() -> queries.reread(fields(moved + (file.equals("half") ? ""
+            String config = "{'discovery':'" + list.address() + "'";
+            agent.reread(List.of(() -> queries.reread(fields(config + (file.equals("half") ? ""
                     : file.equals("nodesk") ? "}" : ",'rollouts':{'address':'" + desk.address() + "'}}")))));
         }
         assertEquals(answer, askUntil(answer));
-        boolean moves = files.endsWith("moved");
-        assertEquals(moves, list.connections.get() > 0);
-        if (moves) {
+        boolean isMoved = files.endsWith("moved");
+        assertEquals(isMoved, list.connections.get() > 0);
+        if (isMoved) {
             while (desk.heard.isEmpty()) {
                 Thread.onSpinWait();
             }
@@ -348,12 +348,12 @@
         "200 200,1", "200:too_many_calls:400 200,2", "200:unavailable:500 200,2", "200:out_of_date:400 200,1",
         "200:bad_request:400 200,2", "reset 200,2", "silent 200,2", "UNREADABLE 200,2", "PART 200,2"})
     void votes(String scripts, int times) throws Exception {
-        Fleet fleet = new Fleet("ok");
-        StandIn nobody = new StandIn("refused");
+        Fleet appliance = new Fleet("ok");
+        StandIn refusing = new StandIn("refused");
         StandIn desk = new StandIn(scripts) {
             @Override
-            String head(DataInputStream in) throws IOException {
-                String head = super.head(in);
+            String readRequest(DataInputStream in) throws IOException {
+                String head = super.readRequest(in);
                 if (head.startsWith("GET")) {
                     throw new IOException("no bulletin here");
                 }
@@ -375,7 +375,7 @@
                         + "\r\n\r\n" + body).getBytes(StandardCharsets.UTF_8);
             }
         };
-        start(entry("s-1", fleet, "SERVING", 1) + "," + entry("s-2", fleet, "SERVING", 2), "", nobody, desk,
+        start(entry("s-1", appliance, "SERVING", 1) + "," + entry("s-2", appliance, "SERVING", 2), "", refusing, desk,
                 1024);
         for (int i = 0; i < times; i++) {
             assertEquals("Action=RecordOpinion&Revision=2&Wave=0&Decision=on", desk.heard.poll(5,
@@ -387,9 +387,9 @@
     /** News of a build going back stops picks to it, whether the stream came at once or after a failure. */
     @ParameterizedTest
     @CsvSource({"NEWS", "reset NEWS", "HTTP/1.1_500_x~Content-Length:_0~~ NEWS", "silent NEWS"})
-    void news(String scripts) throws Exception {
-        Fleet fleet = new Fleet("ok");
-        StandIn nobody = new StandIn("refused");
+    void rolloutStatus(String scripts) throws Exception {
+        Fleet appliance = new Fleet("ok");
+        StandIn refusing = new StandIn("refused");
         StandIn desk = new StandIn(scripts) {
             @Override
             byte[] answer(String script) {
@@ -399,33 +399,33 @@
                         + "&AgeMs=9\n\n:\nevent:_metrics\nda~5~ta:_x~4~x\n\n\n~" : script);
             }
         };
-        start(entry("s-2", fleet, "SERVING", 2), "", nobody, desk, 1024);
+        start(entry("s-2", appliance, "SERVING", 2), "", refusing, desk, 1024);
         assertEquals("53300+", askUntil("53300+"));
     }
 
     /** Told to end, it answers what it has taken and what still comes, and ends when nothing is open. */
     @Test
-    void leaving() throws Exception {
-        Fleet fleet = new Fleet("silent ok");
-        start(fleet);
-        Caller caller = new Caller().hello();
-        caller.out.write(query(statement("assign", 1200)));
-        CompletableFuture<Void> left = CompletableFuture.runAsync(() -> {
+    void gracefulShutdown() throws Exception {
+        Fleet appliance = new Fleet("silent ok");
+        start(appliance);
+        Caller client = new Caller().hello();
+        client.out.write(query(statement("assign", 1200)));
+        CompletableFuture<Void> shutdown = CompletableFuture.runAsync(() -> {
             try {
                 agent.leave();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
-        Caller late = new Caller().as("9b20").hello();
-        while (fleet.heard.isEmpty()) {
+        Caller late = new Caller().withId("9b20").hello();
+        while (appliance.heard.isEmpty()) {
             Thread.onSpinWait();
         }
         assertEquals("ok:v1", late.ask("read", 1000));
-        assertEquals("58000", caller.hear());
-        assertEquals("end", caller.hear());
-        assertEquals("end", late.hear());
-        left.get(10, TimeUnit.SECONDS);
+        assertEquals("58000", client.readAnswer());
+        assertEquals("end", client.readAnswer());
+        assertEquals("end", late.readAnswer());
+        shutdown.get(10, TimeUnit.SECONDS);
     }
 }
 
--- a/src/test/java/honeygap/net/LoopTest.java
+++ b/src/test/java/honeygap/net/LoopTest.java
@@ -24,7 +24,7 @@
     void faults(Class<? extends Throwable> kind) throws Exception {
         long faults = Loop.faultCount();
         Loop loop = new Loop();
-        AtomicInteger comers = new AtomicInteger();
+        AtomicInteger connections = new AtomicInteger();
         loop.start(new Loop.Core() {
             @Override
             public void now(long now) {
@@ -35,24 +35,24 @@
                 return false;
             }
         });
-        assertTrue(fires(loop), "a timer before any connection");
-        InetSocketAddress at = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, 10,
-                () -> new Echo(comers.getAndIncrement() == 0 ? kind : null));
-        assertEquals(-1, echo(at));
-        assertTrue(fires(loop), "a timer after the only connection");
-        assertEquals('x', echo(at));
+        assertTrue(timerFires(loop), "a timer before any connection");
+        InetSocketAddress address = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, 10,
+                () -> new Echo(connections.getAndIncrement() == 0 ? kind : null));
+        assertEquals(-1, echo(address));
+        assertTrue(timerFires(loop), "a timer after the only connection");
+        assertEquals('x', echo(address));
         assertEquals(faults + 1, Loop.faultCount());
         loop.end();
     }
 
-    private static boolean fires(Loop loop) throws InterruptedException {
+    private static boolean timerFires(Loop loop) throws InterruptedException {
         CountDownLatch fired = new CountDownLatch(1);
         loop.post(() -> loop.at(loop.now() + 10, fired::countDown));
         return fired.await(10, TimeUnit.SECONDS);
     }
 
-    private static int echo(InetSocketAddress at) throws Exception {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+    private static int echo(InetSocketAddress address) throws Exception {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream().write('x');
             return socket.getInputStream().read();
         }
--- a/src/test/java/honeygap/net/Loopback.java
+++ b/src/test/java/honeygap/net/Loopback.java
@@ -35,7 +35,7 @@
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class Loopback {
 
-    final List<AutoCloseable> open = new ArrayList<>();
+    final List<AutoCloseable> resources = new ArrayList<>();
     Agent agent;
     Loop loop;
     Queries queries;
@@ -46,7 +46,7 @@
         if (agent != null) {
             agent.end();
         }
-        for (AutoCloseable peer : open) {
+        for (AutoCloseable peer : resources) {
             peer.close();
         }
     }
@@ -55,7 +55,7 @@
     class StandIn implements AutoCloseable {
 
         final String[] scripts;
-        final AtomicInteger played = new AtomicInteger();
+        final AtomicInteger scriptsPlayed = new AtomicInteger();
         final AtomicInteger connections = new AtomicInteger();
         final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         final ServerSocket server;
@@ -64,17 +64,17 @@
         StandIn(String scripts) throws IOException {
             this.scripts = scripts.split(" ");
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            open.add(this);
+            resources.add(this);
             if (scripts.equals("refused")) {
                 server.close();
             } else {
-                thread(() -> {
+                startThread(() -> {
                     while (true) {
                         Socket socket = server.accept();
                         sockets.add(socket);
                         socket.setTcpNoDelay(true);
                         connections.incrementAndGet();
-                        thread(() -> play(socket, new DataInputStream(socket.getInputStream()),
+                        startThread(() -> play(socket, new DataInputStream(socket.getInputStream()),
                                 socket.getOutputStream()));
                     }
                 });
@@ -82,8 +82,8 @@
         }
 
         void play(Socket socket, DataInputStream in, OutputStream out) throws IOException {
-            String head = head(in);
-            String script = next();
+            String head = readRequest(in);
+            String script = nextScript();
             heard.add(head.substring(head.lastIndexOf('\n') + 1));
             switch (script) {
                 case "silent":
@@ -105,12 +105,12 @@
             return script.replace("~", "\r\n").replace('_', ' ').getBytes(StandardCharsets.UTF_8);
         }
 
-        String next() {
-            return scripts[Math.min(played.getAndIncrement(), scripts.length - 1)];
+        String nextScript() {
+            return scripts[Math.min(scriptsPlayed.getAndIncrement(), scripts.length - 1)];
         }
 
         /** A head and, where its length is given, a body. */
-        String head(DataInputStream in) throws IOException {
+        String readRequest(DataInputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 head.append((char) in.readUnsignedByte());
@@ -121,7 +121,7 @@
         }
 
         /** Closes all connections that it has. */
-        void hangUp() {
+        void closeConnections() {
             try {
                 for (Socket socket : new ArrayList<>(sockets)) {
                     socket.close();
@@ -144,12 +144,12 @@
         }
     }
 
-    interface Task {
+    interface IoTask {
 
         void run() throws IOException;
     }
 
-    static void thread(Task task) {
+    static void startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -168,8 +168,8 @@
 
         volatile String value = "v1";
         /** Sends the last answer once more. */
-        volatile Task copy;
-        final CountDownLatch go = new CountDownLatch(1);
+        volatile IoTask sendDuplicate;
+        final CountDownLatch released = new CountDownLatch(1);
 
         Fleet(String scripts) throws IOException {
             super(scripts);
@@ -183,7 +183,7 @@
             }
             if (scripts[0].equals("startupwaits")) {
                 try {
-                    go.await();
+                    released.await();
                 } catch (InterruptedException e) {
                     return;
                 }
@@ -200,7 +200,7 @@
                 heard.add(new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8).replace("\0",
                         ""));
                 byte[] row = row(value);
-                switch (next()) {
+                switch (nextScript()) {
                     case "ok":
                         out.write(row);
                         break;
@@ -248,7 +248,7 @@
                         break;
                     case "later":
                         out.write(row);
-                        go.countDown();
+                        released.countDown();
                         out.write(row("v0"));
                         break;
                     case "noise":
@@ -262,7 +262,7 @@
                         break;
                     case "held":
                         try {
-                            go.await();
+                            released.await();
                         } catch (InterruptedException e) {
                             return;
                         }
@@ -270,7 +270,7 @@
                         break;
                     case "copies":
                         // Before the answer: whoever hears that may ask for the copy at once.
-                        copy = () -> out.write(row("v0"));
+                        sendDuplicate = () -> out.write(row("v0"));
                         out.write(row);
                         break;
                     case "reset":
@@ -322,49 +322,49 @@
             socket = new Socket(agent.address(0).getAddress(), agent.address(0).getPort());
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(10_000);
-            open.add(this);
+            resources.add(this);
             in = new DataInputStream(socket.getInputStream());
             out = socket.getOutputStream();
         }
 
         /** Until ready for the next query, or the end. */
-        String hear() throws IOException {
-            StringBuilder words = new StringBuilder();
+        String readAnswer() throws IOException {
+            StringBuilder answer = new StringBuilder();
             try {
                 while (true) {
                     char type = (char) in.readUnsignedByte();
                     String body = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.ISO_8859_1);
                     if (type == 'Z') {
-                        return words.toString();
+                        return answer.toString();
                     }
                     if (type == 'D') {
-                        words.append("ok:").append(body.substring(6));
+                        answer.append("ok:").append(body.substring(6));
                     } else if (type == 'E') {
-                        words.append(body, body.indexOf("\0C") + 2, body.indexOf("\0M"));
-                        words.append(body.contains("\0D") ? "+" : "");
+                        answer.append(body, body.indexOf("\0C") + 2, body.indexOf("\0M"));
+                        answer.append(body.contains("\0D") ? "+" : "");
                     } else if (type == 'I') {
-                        words.append("empty");
+                        answer.append("empty");
                     }
                 }
             } catch (IOException e) {
-                return words + "end";
+                return answer + "end";
             }
         }
 
-        Caller as(String id) {
+        Caller withId(String id) {
             this.id = id;
             return this;
         }
 
         Caller hello() throws IOException {
             out.write(STARTUP);
-            hear();
+            readAnswer();
             return this;
         }
 
-        String ask(String method, int ms) throws IOException {
-            out.write(query(statement(id, method, ms)));
-            return hear();
+        String ask(String method, int deadlineMs) throws IOException {
+            out.write(query(statement(id, method, deadlineMs)));
+            return readAnswer();
         }
 
         @Override
@@ -381,70 +381,70 @@
                 + pairs.length).putInt(version).put(pairs).array();
     }
 
-    static byte[] query(String words) {
-        return message('Q', words + '\0');
+    static byte[] query(String text) {
+        return message('Q', text + '\0');
     }
 
-    static String statement(String method, int ms) {
-        return statement("9b1f", method, ms);
+    static String statement(String method, int deadlineMs) {
+        return statement("9b1f", method, deadlineMs);
     }
 
-    static String statement(String id, String method, int ms) {
-        return "SELECT content FROM kv WHERE name = '7f3a' /* id=" + id + ",c=" + method + ",t=acme,d=" + ms
+    static String statement(String id, String method, int deadlineMs) {
+        return "SELECT content FROM kv WHERE name = '7f3a' /* id=" + id + ",c=" + method + ",t=acme,d=" + deadlineMs
                 + ",k=5c0f */";
     }
 
-    static String entry(String name, StandIn at, String status, int release) {
-        return "{'name':'" + name + "','address':'" + at.address() + "','zone':'a','group':3,'status':'"
+    static String entry(String name, StandIn server, String status, int build) {
+        return "{'name':'" + name + "','address':'" + server.address() + "','zone':'a','group':3,'status':'"
                 + status
-                + "','since_ms':0,'release':" + release + "}";
+                + "','since_ms':0,'release':" + build + "}";
     }
 
     /** Of the agent itself, told by its own counters, on its loop. */
     long counter(String group, String name) throws Exception {
-        CompletableFuture<Long> told = new CompletableFuture<>();
-        agent.onLoop(() -> told.complete(agent.counters().groups().getOrDefault(group, Map.of())
+        CompletableFuture<Long> value = new CompletableFuture<>();
+        agent.onLoop(() -> value.complete(agent.counters().groups().getOrDefault(group, Map.of())
                 .getOrDefault(name, 0L)));
-        return told.get(10, TimeUnit.SECONDS);
+        return value.get(10, TimeUnit.SECONDS);
     }
 
     /** What the agent's own counters say has come to pass; a test's own time limit ends a wait in vain. */
-    void await(String group, String name, long least) throws Exception {
-        while (counter(group, name) < least) {
+    void await(String group, String name, long atLeast) throws Exception {
+        while (counter(group, name) < atLeast) {
             Thread.onSpinWait();
         }
     }
 
     /** The loop stands still between these two: what happens meanwhile it finds all at once. */
-    final class Hold {
+    final class LoopPause {
 
-        private final CountDownLatch stands = new CountDownLatch(1);
-        private final CountDownLatch goesOn = new CountDownLatch(1);
-        private final CountDownLatch told = new CountDownLatch(1);
+        private final CountDownLatch paused = new CountDownLatch(1);
+        private final CountDownLatch resume = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
 
         /** As its last act before it goes on, the loop does this. */
-        Hold(Runnable last) throws InterruptedException {
+        LoopPause(Runnable beforeResume) throws InterruptedException {
             agent.onLoop(() -> {
-                stands.countDown();
+                paused.countDown();
                 try {
-                    goesOn.await();
+                    resume.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                last.run();
-                told.countDown();
+                beforeResume.run();
+                resumed.countDown();
             });
-            stands.await();
+            paused.await();
         }
 
         void close() throws InterruptedException {
-            goesOn.countDown();
-            told.await();
+            resume.countDown();
+            resumed.await();
         }
     }
 
     /** Hears, on the loop, what the agent reads of whom, as it reads it; before the start. */
-    void onRead(Consumer<String> hears) {
+    void onRead(Consumer<String> listener) {
         loop.tap(new Tap() {
             @Override
             public void opened(long connection, SocketAddress here, SocketAddress there, boolean isComer) {
@@ -453,7 +453,7 @@
 
             @Override
             public void received(long connection, ByteBuffer bytes) {
-                hears.accept(StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString());
+                listener.accept(StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString());
             }
 
             @Override
@@ -471,10 +471,10 @@
     /** The list as a stand-in: what is told goes to the watch that was opened last. */
     final class Lister extends StandIn {
 
-        final LinkedBlockingDeque<String> lines = new LinkedBlockingDeque<>();
+        final LinkedBlockingDeque<String> messages = new LinkedBlockingDeque<>();
         private final AtomicInteger watches = new AtomicInteger();
         /** Signs of life sent. */
-        final AtomicInteger signs = new AtomicInteger();
+        final AtomicInteger heartbeats = new AtomicInteger();
 
         Lister() throws IOException {
             super("open");
@@ -482,48 +482,48 @@
 
         @Override
         void play(Socket socket, DataInputStream in, OutputStream out) throws IOException {
-            String head = head(in);
-            int mine = watches.incrementAndGet();
+            String head = readRequest(in);
+            int watch = watches.incrementAndGet();
             heard.add(head.substring(0, head.indexOf("\r")));
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            while (mine == watches.get()) {
-                String line;
+            while (watch == watches.get()) {
+                String message;
                 try {
-                    line = lines.pollFirst(500, TimeUnit.MILLISECONDS);
+                    message = messages.pollFirst(500, TimeUnit.MILLISECONDS);
                 } catch (InterruptedException e) {
                     return;
                 }
-                if (mine != watches.get()) {
-                    if (line != null) {
-                        lines.addFirst(line);
+                if (watch != watches.get()) {
+                    if (message != null) {
+                        messages.addFirst(message);
                     }
                     return;
                 }
-                signs.addAndGet(line == null ? 1 : 0);
-                byte[] bytes = (line == null ? "\n" : line).replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+                heartbeats.addAndGet(message == null ? 1 : 0);
+                byte[] bytes = (message == null ? "\n" : message).replace('\'', '"').getBytes(StandardCharsets.UTF_8);
                 out.write(join((Integer.toHexString(bytes.length) + "\r\n").getBytes(StandardCharsets.US_ASCII), bytes,
                         "\r\n".getBytes(StandardCharsets.US_ASCII)));
             }
         }
 
         /** One document in a line. */
-        void tell(int index, boolean whole, String... entries) {
-            lines.add("{'index':" + index + ",'snapshot':" + whole + ",'endpoints':[" + String.join(",", entries) + "]}\n");
+        void tell(int index, boolean isSnapshot, String... entries) {
+            messages.add("{'index':" + index + ",'snapshot':" + isSnapshot + ",'endpoints':[" + String.join(",", entries) + "]}\n");
         }
     }
 
-    void start(String known, String settings, StandIn list, StandIn desk, int sockets)
+    void start(String known, String settings, StandIn list, StandIn desk, int descriptors)
             throws IOException, Malformed {
-        configure(known, settings, list, desk, sockets);
+        configure(known, settings, list, desk, descriptors);
         agent.start();
     }
 
     /** All but the start. */
-    void configure(String known, String settings, StandIn list, StandIn desk, int sockets)
+    void configure(String known, String settings, StandIn list, StandIn desk, int descriptors)
             throws IOException, Malformed {
         String config = "{'listen':'127.0.0.1:0','discovery':'" + list.address()
                 + "','seed':'8c1f30d27a5be964',"
-                + "'limits':{'sockets':" + sockets + "},'rollouts':{'address':'" + desk.address()
+                + "'limits':{'sockets':" + descriptors + "},'rollouts':{'address':'" + desk.address()
                 + "','news':"
                 + "{'Revision':2,'Wave':0,'State':'Progressing','MaxShare':1,'AgeMs':100000}},"
                 + "'known':{'index':41,'snapshot':true,'endpoints':[" + known
@@ -541,25 +541,25 @@
         agent = new Agent(loop, List.of(queries));
     }
 
-    static Fields fields(String words) throws IOException, Malformed {
-        try (JsonParser parser = new JsonFactory().createParser(words.replace('\'', '"'))) {
+    static Fields fields(String json) throws IOException, Malformed {
+        try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
             return Fields.document(parser);
         }
     }
 
-    void start(StandIn fleet) throws IOException, Malformed {
-        StandIn nobody = new StandIn("refused");
-        start(entry("s-1", fleet, "SERVING", 1), "", nobody, nobody, 1024);
+    void start(StandIn appliance) throws IOException, Malformed {
+        StandIn refusing = new StandIn("refused");
+        start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 1024);
     }
 
     /** One RPC after another, for seconds at most, until one is answered so. */
     String askUntil(String answer) throws IOException {
-        Caller caller = new Caller().hello();
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        String heard = "";
-        while (!heard.equals(answer) && System.nanoTime() < until) {
-            heard = caller.ask("assign", 1000);
+        Caller client = new Caller().hello();
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        String received = "";
+        while (!received.equals(answer) && System.nanoTime() < deadline) {
+            received = client.ask("assign", 1000);
         }
-        return heard;
+        return received;
     }
 }
