--- a/src/test/java/honeygap/net/AcceptorTest.java
+++ b/src/test/java/honeygap/net/AcceptorTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The system's call for a new connection fails for a moment, in the ways that Linux documents. */
+/** The accept system call fails temporarily, with the errors that Linux documents. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class AcceptorTest {
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Ten failures in a row keep a client waiting for a fraction of the second that one of them did. */
+    /** Ten failures in a row delay a client by less than the second that MINA pauses after a single one. */
     @Test
     void acceptCallFailsTemporarily() throws Exception {
         Loop loop = new Loop();
@@ -58,7 +58,8 @@
         InetSocketAddress address = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10,
                 (executor, pool) -> new Acceptor(loop, executor, pool, 10) {
                     @Override
-                    NioSession acceptFromSystem(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+                    NioSession acceptFromSystem(IoProcessor<NioSession> processor, ServerSocketChannel handle)
+                            throws Exception {
                         int call = calls.getAndIncrement();
                         if (call < failures) {
                             throw new SocketException(FAILURES[call % FAILURES.length]);
@@ -74,7 +75,7 @@
         loop.end();
     }
 
-    /** Places come back when connections have gone: more clients than places, one after another, are all served. */
+    /** Slots are released when connections close: more clients than slots, one after another, are all served. */
     @Test
     void slotsAreReleased() throws Exception {
         Loop loop = new Loop();
--- a/src/test/java/honeygap/net/AgentTest.java
+++ b/src/test/java/honeygap/net/AgentTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The agent among stand-ins: outcomes, client forms, limits, list, desk, leaving. */
+/** Tests the agent against fake peers: outcomes, client messages, limits, discovery, the release desk and shutdown. */
 class AgentTest extends Loopback {
 
-    /** Every row of the protocol's table: what the client hears, and how many statements came through. */
+    /** Each outcome of a pick: the client's answer and the number of statements that reached the appliance. */
     @ParameterizedTest
     @CsvSource({
         "assign,ok,ok:v1,1", "assign,bytes,ok:v1,1", "assign,okclose,ok:v1,1",
@@ -28,9 +28,9 @@
         "assign,refused,53300+,0", "assign,startupfull,53300+,0", "assign,startupsilent,53300+,0",
         "assign,reset ok,58000,1", "read,reset ok,ok:v1,2", "book,reset,58000,2",
         "assign,half ok,58000,1", "assign,garbage ok,58000,1", "assign,norow ok,58000,1",
-        "assign,cell ok,58000,1", "read,cell ok,ok:v1,2", "assign,huge ok,58000,1",
-        "assign,column ok,58000,1",
-        "assign,done ok,58000,1", "assign,fields ok,58000,1", "read,tworows ok,ok:v1,2",
+        "assign,badcell ok,58000,1", "read,badcell ok,ok:v1,2", "assign,huge ok,58000,1",
+        "assign,badcolumn ok,58000,1",
+        "assign,nocomplete ok,58000,1", "assign,badfields ok,58000,1", "read,tworows ok,ok:v1,2",
         "assign,silent ok,58000,1", "read,silent,58000,1"})
     void outcomes(String method, String scripts, String answer, int statements) throws Exception {
         Fleet appliance = new Fleet(scripts);
@@ -38,16 +38,16 @@
         Caller client = new Caller().hello();
         long start = System.nanoTime();
         assertEquals(answer, client.ask(method, 600));
-        assertTrue(System.nanoTime() - start < 650_000_000, "answered in time, with the protocol's slack");
+        assertTrue(System.nanoTime() - start < 650_000_000, "answered within the deadline and its tolerance");
         assertEquals(statements, appliance.heard.size());
         for (String statement : appliance.heard) {
             int time = Integer.parseInt(statement.replaceAll(".*,d=(\\d+),.*", "$1"));
-            assertTrue(time > 0 && time <= 600, "time to wait " + time);
+            assertTrue(time > 0 && time <= 600, "time sent to the appliance: " + time);
             assertEquals(statement(method, 600).replace(",d=600", ""), statement.replaceAll(",d=\\d+", ""));
         }
     }
 
-    /** What clients may send, cut into pieces of a size: what they hear, answer by answer. */
+    /** Client input, valid and malformed, split into chunks of a given size: each answer is as expected. */
     @ParameterizedTest
     @CsvSource({
         "S Q:read Q:read,1,ok:v1|ok:v1", "S Q:read,10000,ok:v1", "T S E Q:read E,3,empty|ok:v1|empty",
@@ -96,18 +96,18 @@
     }
 
     /**
-     * What comes behind a good answer: the next RPC gets its own value, never what followed, and the
-     * connection is used again only where that was a notice.
+     * Input after a good answer: the next RPC gets its own value, never the extra input, and the connection is reused
+     * only if the input was a notice.
      */
     @ParameterizedTest
-    @CsvSource({"more ok,2", "later ok,2", "noise ok,2", "notice ok,1", "ok,1"})
+    @CsvSource({"more ok,2", "morelater ok,2", "noise ok,2", "notice ok,1", "ok,1"})
     void inputAfterAnswer(String scripts, int connections) throws Exception {
         Fleet appliance = new Fleet(scripts);
         start(appliance);
         Caller client = new Caller().hello();
         assertEquals("ok:v1", client.ask("assign", 900));
         appliance.value = "v2";
-        if (scripts.startsWith("later")) {
+        if (scripts.startsWith("morelater")) {
             appliance.released.await();
         }
         assertEquals("ok:v2", client.ask("assign", 900));
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Clients that say nothing, or half of something, after their start or before it, hear an error or the
-     * end within 3 s of coming; one that has asked before has longer; one that rests is closed after 2 s.
+     * Silent clients, and clients that stop within a message, get an error or are closed within 3 s; one that has
+     * sent an RPC before has longer; an idle one is closed after 2 s.
      */
     @ParameterizedTest
     @CsvSource({"0,0,0,3000", "5,0,0,3000", "1000,10,0,3000", "1000,200,0,3100", "1000,0,1,2100"})
@@ -131,7 +131,7 @@
         }
         for (int i = 0; i < calls; i++) {
             assertEquals("ok:v1", client.ask("read", 900));
-            // It rests from its answer on: how long that took is not of the stage.
+            // The idle time begins with the answer, however long that took.
             since = System.nanoTime();
         }
         byte[] request = query(statement("read", 900));
@@ -139,11 +139,11 @@
         String answer = client.readAnswer();
         assertTrue(answer.endsWith("end"), answer);
         long tookMs = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(tookMs <= withinMs && tookMs >= 1900, "after " + tookMs);
+        assertTrue(tookMs <= withinMs && tookMs >= 1900, "closed after ms: " + tookMs);
         assertEquals(calls, appliance.heard.size());
     }
 
-    /** A client may not have the id of an RPC that is open elsewhere; once that is answered, it may. */
+    /** A client may not use the id of an RPC that is open elsewhere, but may once that one is answered. */
     @Test
     void duplicateRpcId() throws Exception {
         Fleet appliance = new Fleet("silent ok");
@@ -160,7 +160,7 @@
         assertEquals(2, appliance.heard.size());
     }
 
-    /** Hundreds of commands at once are turned down, whatever they are; so is the open one among them. */
+    /** Hundreds of pipelined commands of any kind are rejected, including the one being processed. */
     @ParameterizedTest
     @CsvSource({"E", "Q"})
     void tooManyCommands(String kind) throws Exception {
@@ -179,7 +179,7 @@
         assertTrue(appliance.heard.size() <= 1);
     }
 
-    /** Clients that ask once and stay go, longest idle first, before they hold all that clients may hold. */
+    /** Idle clients are closed, the longest idle first, before all client descriptors are in use. */
     @Test
     void idleClientsAreClosed() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -192,10 +192,10 @@
             assertEquals("ok:v1", new Caller().hello().ask("read", 900));
         }
         assertEquals("end", first.readAnswer());
-        assertTrue(System.nanoTime() - start < 1_500_000_000, "sooner than those that are merely idle");
+        assertTrue(System.nanoTime() - start < 1_500_000_000, "closed before the idle timeout");
     }
 
-    /** Where all places are taken by clients that say nothing, each new one gets a place and is served. */
+    /** With all connections taken by silent clients, each new client still gets a connection and is served. */
     @Test
     void silentClientsAreClosed() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -207,7 +207,7 @@
         assertEquals("ok:v1", new Caller().hello().ask("read", 900));
     }
 
-    /** Nothing is sent for an RPC whose client left while the connection for its pick came up. */
+    /** No statement is sent for an RPC whose client left while the connection for its pick was being established. */
     @Test
     void clientLeavesWhileConnecting() throws Exception {
         Fleet appliance = new Fleet("startupwaits ok");
@@ -226,7 +226,7 @@
         assertTrue(appliance.heard.peek().contains(",c=assign,"));
     }
 
-    /** Values of 64 KiB to a client that reads only after it has asked for all of them. */
+    /** Values of 64 KiB for a client that reads only after it has sent all requests. */
     @ParameterizedTest
     @CsvSource({"1", "60"})
     void slowReader(int count) throws Exception {
@@ -240,13 +240,10 @@
         for (int i = 0; i < count; i++) {
             assertEquals(65536 + 3, client.readAnswer().length());
         }
-        assertTrue(appliance.connections.get() <= 2, "connections are used again");
+        assertTrue(appliance.connections.get() <= 2, "connections are reused");
     }
 
-    /**
-     * More clients than descriptors: the one idle longest makes room, busy ones are answered, others pushed
-     * back.
-     */
+    /** More clients than descriptors: the longest idle one is closed, busy ones are answered, others pushed back. */
     @Test
     void tooManyClients() throws Exception {
         Fleet appliance = new Fleet("silent silent ok");
@@ -269,11 +266,11 @@
         assertEquals("ok:v1", second.ask("assign", 2000));
     }
 
-    /** The list in all its states, cut anywhere: the agent comes to know where to send, or not to. */
+    /** The list in all its states, split at any point: the agent learns where to send RPCs and where not to. */
     @ParameterizedTest
     @CsvSource({
-        "WHOLE,ok:v1", "503 WHOLE,ok:v1", "reset WHOLE,ok:v1", "silent WHOLE,ok:v1", "GARBAGE WHOLE,ok:v1",
-        "BEAT-CHANGE,ok:v1", "HALF WHOLE,ok:v1", "DRAIN,53300+", "GONE,53300+", "BARE,ok:v1"})
+        "SNAPSHOT,ok:v1", "503 SNAPSHOT,ok:v1", "reset SNAPSHOT,ok:v1", "silent SNAPSHOT,ok:v1", "GARBAGE SNAPSHOT,ok:v1",
+        "HEARTBEAT-CHANGE,ok:v1", "HALF SNAPSHOT,ok:v1", "DRAIN,53300+", "DELETED,53300+", "UNCHUNKED,ok:v1"})
     void list(String scripts, String answer) throws Exception {
         Fleet appliance = new Fleet("ok");
         Fleet previous = new Fleet("ok");
@@ -285,11 +282,11 @@
             @Override
             byte[] answer(String script) {
                 String body = switch (script) {
-                    case "WHOLE", "BARE" -> snapshot;
+                    case "SNAPSHOT", "UNCHUNKED" -> snapshot;
                     case "HALF" -> snapshot.substring(0, 40);
-                    case "BEAT-CHANGE" -> "\n\n" + String.format(change, entry);
+                    case "HEARTBEAT-CHANGE" -> "\n\n" + String.format(change, entry);
                     case "DRAIN" -> String.format(change, entry("s-1", previous, "DRAINING", 1));
-                    case "GONE" -> String.format(change, "{'name':'s-1','status':'DELETED'}");
+                    case "DELETED" -> String.format(change, "{'name':'s-1','status':'DELETED'}");
                     default -> "{'what':\n";
                 };
                 body = body.replace('\'', '"');
@@ -299,7 +296,7 @@
                 int cut = body.length() / 2;
                 String chunks = Integer.toHexString(cut) + "\r\n" + body.substring(0, cut) + "\r\n"
                         + Integer.toHexString(body.length() - cut) + "\r\n" + body.substring(cut) + "\r\n";
-                return script.equals("BARE") ? ("HTTP/1.1 200 OK\r\n\r\n"
+                return script.equals("UNCHUNKED") ? ("HTTP/1.1 200 OK\r\n\r\n"
                         + body).getBytes(StandardCharsets.UTF_8)
                         : ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
                         + (script.equals("HALF") ? "0\r\n\r\n" : "")).getBytes(StandardCharsets.UTF_8);
@@ -311,14 +308,14 @@
         assertTrue(list.heard.size() >= scripts.split(" ").length);
     }
 
-    /** A configuration read again moves the list and the desk; one that can't be read whole moves nothing. */
+    /** A reload changes the addresses of discovery and the desk; a malformed configuration changes nothing. */
     @ParameterizedTest
     @CsvSource({"moved,ok:v1", "half,53300+", "nodesk,53300+", "half moved,ok:v1", "moved moved,ok:v1"})
     void reload(String files, String answer) throws Exception {
         Fleet appliance = new Fleet("ok");
         StandIn refusing = new StandIn("refused");
         StandIn desk = new StandIn("silent");
-        StandIn list = new StandIn("WHOLE") {
+        StandIn list = new StandIn("SNAPSHOT") {
             @Override
             byte[] answer(String script) {
                 return ("HTTP/1.1 200 OK\r\n\r\n{'index':42,'snapshot':true,'endpoints':["
@@ -342,7 +339,7 @@
         }
     }
 
-    /** Each status of the desk's table: whether the vote is cast again, and that it says what it should. */
+    /** Each response status of the desk: whether the vote is sent again, and what the vote contains. */
     @ParameterizedTest
     @CsvSource({
         "200 200,1", "200:too_many_calls:400 200,2", "200:unavailable:500 200,2", "200:out_of_date:400 200,1",
@@ -355,7 +352,7 @@
             String readRequest(DataInputStream in) throws IOException {
                 String head = super.readRequest(in);
                 if (head.startsWith("GET")) {
-                    throw new IOException("no bulletin here");
+                    throw new IOException("no status stream in this test");
                 }
                 return head;
             }
@@ -384,16 +381,16 @@
         assertNull(desk.heard.poll(500, TimeUnit.MILLISECONDS));
     }
 
-    /** News of a build going back stops picks to it, whether the stream came at once or after a failure. */
+    /** A rolled-back build gets no picks, whether the status stream connects at once or after a failure. */
     @ParameterizedTest
-    @CsvSource({"NEWS", "reset NEWS", "HTTP/1.1_500_x~Content-Length:_0~~ NEWS", "silent NEWS"})
+    @CsvSource({"STATUS", "reset STATUS", "HTTP/1.1_500_x~Content-Length:_0~~ STATUS", "silent STATUS"})
     void rolloutStatus(String scripts) throws Exception {
         Fleet appliance = new Fleet("ok");
         StandIn refusing = new StandIn("refused");
         StandIn desk = new StandIn(scripts) {
             @Override
             byte[] answer(String script) {
-                return super.answer(script.equals("NEWS") ? "HTTP/1.1_200_OK~Transfer-Encoding:_chunked~~"
+                return super.answer(script.equals("STATUS") ? "HTTP/1.1_200_OK~Transfer-Encoding:_chunked~~"
                         + "3~:\n\n~"
                         + "12~event:_progress\nda~4A~ta:_Revision=2&Wave=0&State=Aborting&MaxShare=0"
                         + "&AgeMs=9\n\n:\nevent:_metrics\nda~5~ta:_x~4~x\n\n\n~" : script);
@@ -403,7 +400,7 @@
         assertEquals("53300+", askUntil("53300+"));
     }
 
-    /** Told to end, it answers what it has taken and what still comes, and ends when nothing is open. */
+    /** During a shutdown the agent answers open and new RPCs and ends when no connection is open. */
     @Test
     void gracefulShutdown() throws Exception {
         Fleet appliance = new Fleet("silent ok");
--- a/src/test/java/honeygap/net/Http.java
+++ b/src/test/java/honeygap/net/Http.java
@@ -4,13 +4,16 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** HTTP/1.1 as the tests' own peers speak it: plain, and apart from the parsers that are tested. */
+/** A minimal HTTP/1.1 implementation for the tests' peers, independent of the parsers under test. */
 final class Http {
 
     private Http() {
     }
 
-    /** First line, head, body; of a request or an answer with a length, or one without a body. */
+    /**
+     * Reads a request or response with a content length, or without a body; returns the first line, the head and the
+     * body.
+     */
     static String[] read(DataInputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.length() < 4 || head.lastIndexOf("\r\n\r\n") != head.length() - 4) {
--- a/src/test/java/honeygap/net/LoopTest.java
+++ b/src/test/java/honeygap/net/LoopTest.java
@@ -18,7 +18,10 @@
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LoopTest {
 
-    /** What a peer throws ends its connection, counted; the next is served, timers go on throughout. */
+    /**
+     * An exception or error in a handler is counted and closes its connection; the next connection is served and
+     * timers keep running.
+     */
     @ParameterizedTest
     @ValueSource(classes = {IllegalStateException.class, StackOverflowError.class, OutOfMemoryError.class})
     void faults(Class<? extends Throwable> kind) throws Exception {
--- a/src/test/java/honeygap/net/Loopback.java
+++ b/src/test/java/honeygap/net/Loopback.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Timeout;
 
-/** An agent among stand-ins on loopback ports that the system gives out: what the tests on sockets share. */
+/** Base of the socket tests: an agent and fake peers on loopback ports assigned by the system. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class Loopback {
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /** A peer that plays one script a connection, or one a statement or call; the last one over again. */
+    /** A server that plays one script per connection, or per statement or call; the last script is repeated. */
     class StandIn implements AutoCloseable {
 
         final String[] scripts;
@@ -109,7 +109,7 @@
             return scripts[Math.min(scriptsPlayed.getAndIncrement(), scripts.length - 1)];
         }
 
-        /** A head and, where its length is given, a body. */
+        /** Reads a request head and, if it gives a content length, the body. */
         String readRequest(DataInputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
@@ -120,7 +120,7 @@
             return head + new String(in.readNBytes(length), StandardCharsets.US_ASCII);
         }
 
-        /** Closes all connections that it has. */
+        /** Closes all open connections. */
         void closeConnections() {
             try {
                 for (Socket socket : new ArrayList<>(sockets)) {
@@ -154,20 +154,18 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // The other side has closed.
+                // The other side has closed the connection.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /**
-     * An appliance: one script a statement, or for the whole of a connection where it is about the startup.
-     */
+    /** A fake appliance that plays one script per statement; the startup scripts apply to the whole connection. */
     final class Fleet extends StandIn {
 
         volatile String value = "v1";
-        /** Sends the last answer once more. */
+        /** Sends a duplicate of the last answer. */
         volatile IoTask sendDuplicate;
         final CountDownLatch released = new CountDownLatch(1);
 
@@ -222,19 +220,19 @@
                     case "garbage":
                         out.write(message('?', "what"));
                         break;
-                    case "cell":
+                    case "badcell":
                         out.write(join(message('T', "\0\1content\0" + "\0".repeat(18)),
                                 message('D', "\0\1\0\0\0\7v1"), message('C', "SELECT 1\0"),
                                 message('Z', "I")));
                         break;
-                    case "column":
+                    case "badcolumn":
                         out.write(join(message('T', "\0\1content"), row));
                         break;
-                    case "done":
+                    case "nocomplete":
                         out.write(Arrays.copyOf(row, row.length - 7));
                         out.write(message('Z', "I"));
                         break;
-                    case "fields":
+                    case "badfields":
                         out.write(join(message('E', "SERROR\0C53300"), message('Z', "I")));
                         break;
                     case "huge":
@@ -246,7 +244,7 @@
                     case "more":
                         out.write(join(row, row("v0")));
                         break;
-                    case "later":
+                    case "morelater":
                         out.write(row);
                         released.countDown();
                         out.write(row("v0"));
@@ -260,7 +258,7 @@
                     case "norow":
                         out.write(join(message('C', "SELECT 0\0"), message('Z', "I")));
                         break;
-                    case "held":
+                    case "delayed":
                         try {
                             released.await();
                         } catch (InterruptedException e) {
@@ -268,8 +266,8 @@
                         }
                         out.write(row);
                         break;
-                    case "copies":
-                        // Before the answer: whoever hears that may ask for the copy at once.
+                    case "duplicate":
+                        // Set before the answer is sent: the test may use it as soon as it has the answer.
                         sendDuplicate = () -> out.write(row("v0"));
                         out.write(row);
                         break;
@@ -287,7 +285,9 @@
         }
     }
 
-    /** A row of one column as an appliance sends it, with a load report before and ready behind it. */
+    /**
+     * An answer of one row and one column as an appliance sends it, with a load report first and ReadyForQuery last.
+     */
     static byte[] row(String value) {
         return join(message('S', "health\0inflight=7,util=0.61\0"),
                 message('T', "\0\1content\0" + "\0".repeat(18)),
@@ -310,7 +310,7 @@
         return all.toByteArray();
     }
 
-    /** A client; what it hears back as words. */
+    /** A client that renders answers as text. */
     final class Caller implements AutoCloseable {
 
         final Socket socket;
@@ -327,7 +327,7 @@
             out = socket.getOutputStream();
         }
 
-        /** Until ready for the next query, or the end. */
+        /** Reads up to ReadyForQuery or the end of the connection. */
         String readAnswer() throws IOException {
             StringBuilder answer = new StringBuilder();
             try {
@@ -400,7 +400,7 @@
                 + "','since_ms':0,'release':" + build + "}";
     }
 
-    /** Of the agent itself, told by its own counters, on its loop. */
+    /** Reads a counter of the agent, on its loop. */
     long counter(String group, String name) throws Exception {
         CompletableFuture<Long> value = new CompletableFuture<>();
         agent.onLoop(() -> value.complete(agent.counters().groups().getOrDefault(group, Map.of())
@@ -408,21 +408,21 @@
         return value.get(10, TimeUnit.SECONDS);
     }
 
-    /** What the agent's own counters say has come to pass; a test's own time limit ends a wait in vain. */
+    /** Waits until a counter has reached a value; the test's timeout bounds the wait. */
     void await(String group, String name, long atLeast) throws Exception {
         while (counter(group, name) < atLeast) {
             Thread.onSpinWait();
         }
     }
 
-    /** The loop stands still between these two: what happens meanwhile it finds all at once. */
+    /** Blocks the loop until it is resumed: input that arrives meanwhile is processed in one iteration. */
     final class LoopPause {
 
         private final CountDownLatch paused = new CountDownLatch(1);
         private final CountDownLatch resume = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
 
-        /** As its last act before it goes on, the loop does this. */
+        /** The task is run on the loop just before it resumes. */
         LoopPause(Runnable beforeResume) throws InterruptedException {
             agent.onLoop(() -> {
                 paused.countDown();
@@ -443,12 +443,12 @@
         }
     }
 
-    /** Hears, on the loop, what the agent reads of whom, as it reads it; before the start. */
+    /** Passes all received bytes to the listener, on the loop; call it before the start. */
     void onRead(Consumer<String> listener) {
         loop.tap(new Tap() {
             @Override
             public void opened(long connection, SocketAddress here, SocketAddress there, boolean isComer) {
-                // All are listened to.
+                // All connections are observed.
             }
 
             @Override
@@ -458,22 +458,22 @@
 
             @Override
             public void sent(long connection, ByteBuffer[] slices, int count) {
-                // What the agent says is heard at the other end.
+                // Sent bytes are checked by the receiver.
             }
 
             @Override
             public void closed(long connection) {
-                // The other end sees it.
+                // Closing is checked by the other side.
             }
         });
     }
 
-    /** The list as a stand-in: what is told goes to the watch that was opened last. */
+    /** A fake discovery service: messages go to the latest watch. */
     final class Lister extends StandIn {
 
         final LinkedBlockingDeque<String> messages = new LinkedBlockingDeque<>();
         private final AtomicInteger watches = new AtomicInteger();
-        /** Signs of life sent. */
+        /** Heartbeats sent. */
         final AtomicInteger heartbeats = new AtomicInteger();
 
         Lister() throws IOException {
@@ -506,9 +506,10 @@
             }
         }
 
-        /** One document in a line. */
+        /** Publishes a document as one line. */
         void tell(int index, boolean isSnapshot, String... entries) {
-            messages.add("{'index':" + index + ",'snapshot':" + isSnapshot + ",'endpoints':[" + String.join(",", entries) + "]}\n");
+            messages.add("{'index':" + index + ",'snapshot':" + isSnapshot + ",'endpoints':["
+                    + String.join(",", entries) + "]}\n");
         }
     }
 
@@ -518,7 +519,7 @@
         agent.start();
     }
 
-    /** All but the start. */
+    /** Creates the agent without starting it. */
     void configure(String known, String settings, StandIn list, StandIn desk, int descriptors)
             throws IOException, Malformed {
         String config = "{'listen':'127.0.0.1:0','discovery':'" + list.address()
@@ -552,7 +553,7 @@
         start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 1024);
     }
 
-    /** One RPC after another, for seconds at most, until one is answered so. */
+    /** Calls repeatedly until the answer is as expected, for at most 10 s; returns the last answer. */
     String askUntil(String answer) throws IOException {
         Caller client = new Caller().hello();
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
--- a/src/test/java/honeygap/net/RaceConditionTest.java
+++ b/src/test/java/honeygap/net/RaceConditionTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What comes between two steps on the way to an appliance, or of the list: docs/crossings.md has the table. */
+/**
+ * Events that occur between two steps of a connection to an appliance or of the list; docs/crossings.md lists them.
+ */
 class RaceConditionTest extends Loopback {
 
     private static final String ASK_MODE = "'RegistryMode':'ask',", PUSH_MODE = "'RegistryMode':'push','Rules':{},";
@@ -26,7 +28,10 @@
         return list.split(",");
     }
 
-    /** While a connection comes up the list changes: the RPC goes to whom it names then, or is pushed back. */
+    /**
+     * The list changes while a connection is being established: the RPC goes to the address now listed or is pushed
+     * back.
+     */
     @ParameterizedTest
     @CsvSource({"DRAINING,53300,0", "DELETED,53300,0", "moved,ok:v2,1", "SERVING,ok:v1,0"})
     void listChangesWhileConnecting(String change, String answer, int atOther) throws Exception {
@@ -52,10 +57,10 @@
         assertEquals(change.equals("SERVING") ? 1 : 0, appliance.heard.size());
     }
 
-    /** An appliance comes back elsewhere with another build while an RPC is with the process before. */
+    /** An appliance moves to another address with another build while an RPC is open at the previous process. */
     @Test
     void poolOfPreviousProcess() throws Exception {
-        Fleet before = new Fleet("held ok");
+        Fleet before = new Fleet("delayed ok");
         Fleet after = new Fleet("ok");
         after.value = "v2";
         Lister list = new Lister();
@@ -74,12 +79,12 @@
         assertEquals(1, before.heard.size());
     }
 
-    /** A second answer some milliseconds late, with the next RPC already taken, is never the next one's answer. */
+    /** A duplicate answer some milliseconds late, after the next RPC was read, is not taken for the next answer. */
     @Test
     void duplicateAnswer() throws Exception {
-        Fleet appliance = new Fleet("copies held");
+        Fleet appliance = new Fleet("duplicate delayed");
         StandIn refusing = new StandIn("refused");
-        // The pause behind an answer is two steps of the agent: long here, so that the order is the test's.
+        // The pause after an answer is two ticks of the agent; long ticks make the order of events deterministic.
         start(entry("s-1", appliance, "SERVING", 1), "'TickNs':400000000,", refusing, refusing, 1024);
         Caller client = new Caller().hello();
         assertEquals("ok:v1", client.ask("assign", 2900));
@@ -91,7 +96,7 @@
         assertEquals("ok:v2", client.readAnswer());
     }
 
-    /** A connection at rest is closed by the appliance while the next RPC is read: that goes by another one. */
+    /** The appliance closes an idle connection while the next RPC is being read: the RPC uses another connection. */
     @Test
     void idleConnectionClosed() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -105,7 +110,7 @@
         agent.start();
         Caller client = new Caller().hello();
         assertEquals("ok:v1", client.ask("assign", 900));
-        // Until the pause behind the answer is over the connection is not used again in any case.
+        // Until the pause after the answer is over the connection would not be reused anyway.
         long pauseEnd = System.nanoTime() + 20_000_000;
         while (System.nanoTime() < pauseEnd) {
             Thread.onSpinWait();
@@ -114,30 +119,34 @@
         assertEquals(2, appliance.connections.get());
     }
 
-    /** A dial that never ends, while its RPC runs out or its client leaves: answered in time, others served. */
+    /**
+     * A connect that never completes, while its RPC times out or its client leaves: the RPC is answered in time, and
+     * others are served.
+     */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void connectNeverCompletes(boolean clientStays) throws Exception {
         Fleet healthy = new Fleet("ok");
         ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         resources.add(unresponsive);
-        // The queue of one, and what the system adds to it: a further connection is not answered.
+        // Fills the accept queue of one entry, to which the system adds another: further connects get no response.
         for (int i = 0; i < 2; i++) {
             resources.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
         }
         StandIn refusing = new StandIn("refused");
         Lister list = new Lister();
-        String unresponsiveEntry = entry("s-1", healthy, "SERVING", 1).replace(healthy.address(), "127.0.0.1:" + unresponsive.getLocalPort());
-        start(unresponsiveEntry, ASK_MODE + "'Ceilings':{'MaxAttempts':2,'RetryAfter':true,'ConnectTimeoutNs':5000000000},", list,
-                refusing, 1024);
+        String unresponsiveEntry = entry("s-1", healthy, "SERVING", 1).replace(healthy.address(),
+                "127.0.0.1:" + unresponsive.getLocalPort());
+        start(unresponsiveEntry, ASK_MODE + "'Ceilings':{'MaxAttempts':2,'RetryAfter':true,'ConnectTimeoutNs':5000000000},",
+                list, refusing, 1024);
         Caller client = new Caller().hello();
         long start = System.nanoTime();
         client.out.write(query(statement("assign", 600)));
         await("links", "opened", 1);
         if (clientStays) {
-            // At its deadline, never sent on: no time is left to ask it to come again.
+            // At its deadline and never sent: no time is left to ask the client to retry.
             assertEquals("58000", client.readAnswer());
-            assertTrue(System.nanoTime() - start < 650_000_000, "answered in time");
+            assertTrue(System.nanoTime() - start < 650_000_000, "answered within the deadline");
         } else {
             client.close();
         }
@@ -147,9 +156,9 @@
         assertEquals(0, counter("clients", "open RPCs"));
     }
 
-    /** The list in forms that a customer's may have, pushed or asked for, by what the agent does then. */
+    /** Formats of the list that discovery services may send, in push and in ask mode. */
     @ParameterizedTest
-    @CsvSource({"ask,INDENTED", "push,INDENTED", "push,LINE", "ask,CUT INDENTED", "ask,CUT-BEATS INDENTED",
+    @CsvSource({"ask,INDENTED", "push,INDENTED", "push,LINE", "ask,CUT INDENTED", "ask,CUT-HEARTBEATS INDENTED",
         "push,MIDDLE LINE", "ask,EMPTY LINE", "push,THOUSANDS", "ask,THOUSANDS-INDENTED", "push,reset LINE",
         "push,503 LINE", "ask,CUT reset LINE"})
     void listFormats(String mode, String scripts) throws Exception {
@@ -177,7 +186,7 @@
                 String body = switch (script) {
                     case "INDENTED" -> indented;
                     case "CUT" -> indented.substring(0, indented.length() / 2);
-                    case "CUT-BEATS" -> indented.substring(0, indented.indexOf("\n  ") + 1) + "\n\n";
+                    case "CUT-HEARTBEATS" -> indented.substring(0, indented.indexOf("\n  ") + 1) + "\n\n";
                     case "MIDDLE" -> document.substring(0, document.length() / 2);
                     case "EMPTY" -> "{'index':41,'snapshot':true,'endpoints':[]";
                     case "THOUSANDS" -> thousands + "\n";
@@ -201,7 +210,9 @@
         return document.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}") + "\n";
     }
 
-    /** A watch on which nothing is told but signs of life, slower than the list may go unasked, stays the one watch. */
+    /**
+     * A watch that delivers only heartbeats, at intervals longer than the list may remain unconfirmed, is kept open.
+     */
     @ParameterizedTest
     @CsvSource({"ask", "push"})
     void heartbeatsOnly(String mode) throws Exception {
@@ -218,7 +229,7 @@
         assertEquals(0, counter("list", "failures"));
     }
 
-    /** A whole list older than the changes does not bring a drained appliance back; a second such one is believed. */
+    /** A snapshot older than the changes does not restore a drained appliance; a second such snapshot is accepted. */
     @Test
     void outdatedSnapshot() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -230,7 +241,7 @@
         list.tell(42, true, entry("s-1", appliance, "SERVING", 1));
         await("list", "older", 1);
         assertEquals(43, counter("list", "version"));
-        // It has asked anew.
+        // The agent has requested the list again.
         while (list.heard.size() < 2) {
             Thread.onSpinWait();
         }
@@ -240,7 +251,7 @@
         assertEquals(42, counter("list", "version"));
     }
 
-    /** A drain in a whole list that is older than the changes counts, though nothing else in it does. */
+    /** A drain in an outdated snapshot is applied, though nothing else in it is. */
     @Test
     void drainInOutdatedSnapshot() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -255,7 +266,10 @@
         assertEquals(43, counter("list", "version"));
     }
 
-    /** An entry that can't be read costs itself alone: its neighbour's drain counts, and what it names stays. */
+    /**
+     * A malformed entry affects only itself: a drain in the same document is applied, and the appliance it names
+     * stays.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"'status':'RESTING'", "'status':7", "'status':'SERVING','address':'nowhere'",
         "'status':'SERVING','group':'x'", "'since_ms':'soon','status':'SERVING'", "'release':[],'status':'SERVING'"})
@@ -266,13 +280,14 @@
             serving.value = "v2";
             StandIn refusing = new StandIn("refused");
             Lister list = new Lister();
-            start(entry("s-1", draining, "SERVING", 1) + "," + entry("s-2", serving, "SERVING", 1), ASK_MODE, list, refusing, 1024);
+            start(entry("s-1", draining, "SERVING", 1) + "," + entry("s-2", serving, "SERVING", 1), ASK_MODE,
+                list, refusing, 1024);
             list.tell(43, isSnapshot, "{'name':'s-2','address':'" + serving.address() + "'," + fields + "}",
                     entry("s-1", draining, "DRAINING", 1));
             await("list", "version", 43);
             Caller client = new Caller().hello();
             for (int i = 0; i < 10; i++) {
-                assertEquals("ok:v2", client.ask("assign", 900), fields + ", whole " + isSnapshot);
+                assertEquals("ok:v2", client.ask("assign", 900), fields + ", snapshot: " + isSnapshot);
             }
             assertEquals(1, counter("list", "unreadable entries"));
             assertEquals(0, counter("list", "failures"));
@@ -280,7 +295,10 @@
         }
     }
 
-    /** One without a name might be any: a whole list with such a one removes nothing, and its drains count. */
+    /**
+     * An entry without a name might be any appliance: a snapshot with one removes nothing, but its drains are
+     * applied.
+     */
     @Test
     void entryWithoutName() throws Exception {
         Fleet draining = new Fleet("ok");
@@ -288,7 +306,8 @@
         serving.value = "v2";
         StandIn refusing = new StandIn("refused");
         Lister list = new Lister();
-        start(entry("s-1", draining, "SERVING", 1) + "," + entry("s-2", serving, "SERVING", 1), ASK_MODE, list, refusing, 1024);
+        start(entry("s-1", draining, "SERVING", 1) + "," + entry("s-2", serving, "SERVING", 1), ASK_MODE,
+                list, refusing, 1024);
         list.tell(43, true, "7", entry("s-1", draining, "DRAINING", 1));
         await("list", "version", 43);
         Caller client = new Caller().hello();
@@ -297,9 +316,10 @@
         }
     }
 
-    /** Each failed call is counted by what ended it. */
+    /** Each failed request is counted by its cause. */
     @ParameterizedTest
-    @CsvSource({"refused,failed: unreachable", "reset,failed: closed", "503,failed: status 503", "garbage,failed: unreadable"})
+    @CsvSource({"refused,failed: unreachable", "reset,failed: closed", "503,failed: status 503",
+        "garbage,failed: unreadable"})
     void failedCallsByKind(String script, String counter) throws Exception {
         Fleet appliance = new Fleet("ok");
         StandIn list = new StandIn(script) {
@@ -321,7 +341,10 @@
         assertTrue(counter("list", "failures") >= counter("list", counter));
     }
 
-    /** Changes told while SIGHUP moves the list: those of the place before count no more, those of the new one do. */
+    /**
+     * Changes during a reload that moves discovery: those from the old address are ignored, those from the new one
+     * are applied.
+     */
     @Test
     void changesDuringReload() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -341,6 +364,6 @@
         pause.close();
         assertEquals("ok:v2", askUntil("ok:v2"));
         assertEquals(7, counter("list", "version"));
-        assertTrue(newList.heard.peek().contains("index="), "it asks for what has changed");
+        assertTrue(newList.heard.peek().contains("index="), "requests the changes");
     }
 }
--- a/src/test/java/honeygap/net/ShutdownTest.java
+++ b/src/test/java/honeygap/net/ShutdownTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What comes between two steps of an agent that has been told to end: docs/crossings.md has the table. */
+/** Events that occur between two steps of an agent that is shutting down; docs/crossings.md lists them. */
 class ShutdownTest extends Loopback {
 
     private CompletableFuture<Integer> shutdown;
 
-    /** The agent leaves; comes back when it closes connections between RPCs, seen on one that rests. */
+    /** Begins a shutdown; returns once the agent closes idle connections. */
     private void shutDownUntilClosing(Fleet appliance) throws Exception {
         Caller idle = new Caller().withId("resting").hello();
         assertEquals("ok:v1", idle.ask("read", 900));
@@ -29,7 +29,9 @@
         assertEquals("end", idle.readAnswer());
     }
 
-    /** What the appliance had heard when the agent had nothing more to do. */
+    /**
+     * Begins a shutdown; its result is the number of statements that the appliance had received when the agent ended.
+     */
     private void beginShutdown(Fleet appliance) {
         shutdown = CompletableFuture.supplyAsync(() -> {
             try {
@@ -41,11 +43,11 @@
         });
     }
 
-    /** RPCs in line on one connection, or half of one, when the agent closes connections: each gets its answer. */
+    /** Pipelined RPCs, or part of one, on a connection when the agent closes connections: each is answered. */
     @ParameterizedTest
     @CsvSource({"1,0", "3,0", "3,30", "0,5", "0,90"})
     void pipelinedRpcs(int complete, int partialBytes) throws Exception {
-        Fleet appliance = new Fleet("ok held ok");
+        Fleet appliance = new Fleet("ok delayed ok");
         start(appliance);
         Caller client = new Caller().hello();
         byte[] next = query(statement("next", "assign", 2900));
@@ -77,7 +79,7 @@
         assertEquals(1 + complete + (partialBytes > 0 ? 1 : 0), shutdown.get(10, TimeUnit.SECONDS));
     }
 
-    /** An RPC that has come, unread, when its connection is to be closed is answered first. */
+    /** An RPC that has arrived but is unread when its connection is to be closed is answered first. */
     @Test
     void rpcArrivesBeforeClose() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -91,7 +93,7 @@
         assertEquals("end", client.readAnswer());
     }
 
-    /** One that comes when the close is decided is left unread: read and dropped, it would be lost. */
+    /** An RPC that arrives after the decision to close stays unread: once read, it would have to be answered. */
     @Test
     void rpcArrivesAfterCloseDecision() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -115,7 +117,7 @@
         assertEquals(1, appliance.heard.size());
     }
 
-    /** A connection that came just before is owed the answer to its first RPC. */
+    /** A connection accepted just before the close gets an answer to its first RPC. */
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void newConnection(boolean isStarted) throws Exception {
@@ -135,12 +137,14 @@
         assertEquals("end", client.readAnswer());
     }
 
-    /** The same where the loop had stood still just before it came: its turn counts from when it was seen. */
+    /**
+     * The same after the loop was blocked when the connection arrived: its grace period begins when the loop sees it.
+     */
     @Test
     void newConnectionAfterLoopPause() throws Exception {
         Fleet appliance = new Fleet("ok");
         start(appliance);
-        // With a connection open the loop waits at the sockets.
+        // With an open connection the loop waits in the selector.
         new Caller().hello();
         LoopPause pause = new LoopPause(() -> { });
         Caller client = new Caller();
@@ -155,7 +159,10 @@
         assertEquals("end", client.readAnswer());
     }
 
-    /** An answer that was written is read, though the close behind it leaves a request unread and resets the connection. */
+    /**
+     * An answer that was written reaches the client although the close leaves a request unread and so resets the
+     * connection.
+     */
     @Test
     void answerBeforeReset() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -178,7 +185,7 @@
         assertEquals(1, appliance.heard.size());
     }
 
-    /** A client that reads nothing of an answer larger than the sockets' buffers holds up no end. */
+    /** A client that does not read an answer larger than the socket buffers does not delay the end. */
     @Test
     void unreadAnswer() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -196,10 +203,10 @@
         beginShutdown(appliance);
         shutdown.get(10, TimeUnit.SECONDS);
         long tookMs = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(tookMs < 3700, "over after " + tookMs + " ms");
+        assertTrue(tookMs < 3700, "ended after " + tookMs + " ms");
     }
 
-    /** Drained, told to end and undrained: it ends all the same, and takes nobody. */
+    /** Drained, told to shut down and undrained: the agent still closes each connection after its RPCs and ends. */
     @Test
     void drainedAndUndrained() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -217,7 +224,10 @@
         shutdown.get(10, TimeUnit.SECONDS);
     }
 
-    /** One that has been accepted and not seen when the agent finds nobody here is served before the end. */
+    /**
+     * A connection that was accepted, and that the loop has not seen when it checks for open ones, is served before
+     * the end.
+     */
     @Test
     void acceptedAtEnd() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -227,7 +237,7 @@
         LoopPause pause = new LoopPause(() -> { });
         Caller client = new Caller();
         client.out.write(join(STARTUP, query(statement("assign", 900))));
-        // The agent's own timers are what it crosses: they are due when the loop goes on.
+        // Waits past the agent's own timers, so that they are due when the loop resumes.
         while (System.nanoTime() < due) {
             Thread.onSpinWait();
         }
@@ -237,7 +247,7 @@
         assertEquals(1, shutdown.get(10, TimeUnit.SECONDS));
     }
 
-    /** Clients that send on every connection that stays open: an RPC is answered, or was never sent on. */
+    /** Clients send on every connection that stays open: each RPC is answered or was never sent to an appliance. */
     @Test
     void clientsKeepSending() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -254,7 +264,7 @@
                         number++;
                     }
                 } catch (IOException e) {
-                    // Closed before it was written.
+                    // Closed before the request was written.
                 }
                 return client.id;
             }, runnable -> new Thread(runnable).start()));
@@ -262,25 +272,26 @@
         beginShutdown(appliance);
         for (CompletableFuture<String> lastId : lastIds) {
             String id = lastId.get(10, TimeUnit.SECONDS);
-            assertTrue(appliance.heard.stream().noneMatch(statement -> statement.contains("id=" + id + ",")), id + " was sent on");
+            assertTrue(appliance.heard.stream().noneMatch(statement -> statement.contains("id=" + id + ",")),
+                    id + " was sent to the appliance");
         }
         shutdown.get(10, TimeUnit.SECONDS);
     }
 
-    /** Told to end before it has started it is ready to end at once, and takes nobody. */
+    /** A shutdown before the start returns at once, and the agent does not listen. */
     @Test
     void shutdownBeforeStart() throws Exception {
         Fleet appliance = new Fleet("ok");
         configure(entry("s-1", appliance, "SERVING", 1), "", new StandIn("refused"), new StandIn("refused"), 1024);
         Agent early = agent;
-        // Its loop does not run: there is nothing to end.
+        // The loop does not run: there is nothing to close.
         agent = null;
         early.leave();
         early.start();
         assertThrows(IndexOutOfBoundsException.class, () -> early.address(0));
     }
 
-    /** Told to read its files again before it has started, it asks at the addresses that it read last. */
+    /** After a reload before the start the agent uses the addresses read last. */
     @Test
     void reloadBeforeStart() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -295,7 +306,7 @@
         assertEquals(1, counter("agent", "rereads"));
     }
 
-    /** Of two signals the one that read its files first is not the one that tells last. */
+    /** Concurrent reloads: the one that read its files first is not applied last. */
     @Test
     void concurrentReloads() throws Exception {
         Fleet appliance = new Fleet("ok");
@@ -316,7 +327,7 @@
         isReading.await();
         Thread second = new Thread(() -> agent.reread(List.of(() -> () -> applied.add("second"))));
         second.start();
-        // It waits for the first, or has told already.
+        // It waits for the first, or has been applied already.
         while (second.getState() != Thread.State.BLOCKED && second.isAlive()) {
             Thread.onSpinWait();
         }
