--- a/src/test/java/honeygap/net/AgentTest.java
+++ b/src/test/java/honeygap/net/AgentTest.java
@@ -52,7 +52,7 @@
     @CsvSource({
         "S Q:read Q:read,1,ok:v1|ok:v1", "S Q:read,10000,ok:v1", "T S E Q:read E,3,empty|ok:v1|empty",
         "S E,1,empty", "S W:SET x = 1 W:DISCARD ALL;,5,|",
-        "S W:SELECT 1 Q:read,9,42601|ok:v1", "S Q:unheard Q:read,9,42601|ok:v1",
+        "S W:SELECT 1 Q:read,9,42601|ok:v1", "S Q:unknown Q:read,9,42601|ok:v1",
         "S W:DROP TABLE kv /* id=1;c=read;d=9 */,50,42601", "S X Q:read,50,end",
         "S P,50,08P01end", "S L,50,08P01end", "G,50,08P01end", "C,50,end", "H,50,08P01end", "N,50,08P01end",
         "S W:SELECT content FROM kv WHERE name = 'k' /* id=1;c=read;d=x */ Q:read,50,42601|ok:v1",
--- a/src/test/java/honeygap/net/Loopback.java
+++ b/src/test/java/honeygap/net/Loopback.java
@@ -447,7 +447,7 @@
     void onRead(Consumer<String> listener) {
         loop.tap(new Tap() {
             @Override
-            public void opened(long connection, SocketAddress here, SocketAddress there, boolean isComer) {
+            public void opened(long connection, SocketAddress local, SocketAddress remote, boolean isInbound) {
                 // All connections are observed.
             }
 
