--- a/src/main/java/honeygap/net/Acceptor.java
+++ b/src/main/java/honeygap/net/Acceptor.java
@@ -15,102 +15,109 @@
 import org.tinylog.Logger;
 
 /**
- * Accepts connections up to a number of places. Guards against a flood of connections that takes all descriptors before
- * the loop has seen the first of them: beyond its places they wait with the system until others have gone. A call that fails for a
- * moment is made again soon; left to MINA, each such failure would stop all accepting for a second.
+ * Accepts at most a fixed number of open connections. The limit keeps a flood of connections from using up all file
+ * descriptors before the loop has processed the first of them: connections over the limit wait in the system's accept
+ * queue until others have closed. A failed accept call is retried after a short pause; MINA's own handling would
+ * suspend all accepting for a second per failure.
  */
 class Acceptor extends NioSocketAcceptor {
 
-    private static final long PLACE_WAIT_MS = 1000;
-    /** The pause after a call that failed; the pauses of a process that has no descriptors left are not to fill its core. */
+    private static final long SLOT_WAIT_MS = 1000;
+    /**
+     * The pause after a failed accept call, so that a process without free file descriptors does not use a whole CPU
+     * core on retries.
+     */
     private static final long FAILURE_PAUSE_MS = 10;
-    private static final long FAILURES_A_LOG_LINE = 100;
+    private static final long FAILURES_PER_LOG_LINE = 100;
 
     private final Loop loop;
-    private final Semaphore places;
+    private final Semaphore slots;
     private final AtomicLong failures = new AtomicLong();
     private final SimpleIoProcessorPool<NioSession> pool;
-    /** Connections that were accepted and that the loop has not seen yet. */
-    private final AtomicInteger unseen = new AtomicInteger();
-    /** When accepting what the system has accepted ends at the latest, by the runtime's monotonic clock. */
-    private volatile long drainsUntil;
-    private volatile boolean drains;
+    /** Connections that were accepted and whose handlers the loop has not opened yet. */
+    private final AtomicInteger notYetOpened = new AtomicInteger();
+    /** The latest time to accept connections from the system's queue during shutdown, by {@link System#nanoTime}. */
+    private volatile long drainUntilNanos;
+    private volatile boolean isDraining;
 
-    Acceptor(Loop loop, Executor executor, SimpleIoProcessorPool<NioSession> pool, int places) {
+    Acceptor(Loop loop, Executor executor, SimpleIoProcessorPool<NioSession> pool, int maxConnections) {
         super(executor, pool);
         this.loop = loop;
         this.pool = pool;
-        this.places = new Semaphore(places);
-        // Whoever has been taken is served, also when no more are.
+        this.slots = new Semaphore(maxConnections);
+        // Connections that were already accepted are served after the acceptor is unbound.
         setCloseOnDeactivation(false);
     }
 
     @Override
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
-        return places.tryAcquire(PLACE_WAIT_MS, TimeUnit.MILLISECONDS) ? acceptInPlace(processor, handle) : null;
+        return slots.tryAcquire(SLOT_WAIT_MS, TimeUnit.MILLISECONDS) ? acceptWithSlot(processor, handle) : null;
     }
 
-    /** Accepts a connection for a place that has been taken; gives the place back where there is none. */
-    private NioSession acceptInPlace(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+    /** Accepts a connection for a slot that has been acquired; releases the slot if there is no connection. */
+    private NioSession acceptWithSlot(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
         NioSession session = null;
         try {
-            session = call(processor, handle);
+            session = acceptFromSystem(processor, handle);
         } catch (IOException e) {
-            failed(e);
+            handleAcceptFailure(e);
         } finally {
             if (session == null) {
-                places.release();
+                slots.release();
             }
         }
         if (session != null) {
-            unseen.incrementAndGet();
-            // Closed is not gone: the system's descriptor is let go of when the loop selects the next time.
-            session.getCloseFuture().addListener(closed -> loop.post(() -> loop.at(loop.now() + 1, places::release)));
+            notYetOpened.incrementAndGet();
+            // The system's file descriptor is released only at the next select after the session has been closed.
+            session.getCloseFuture().addListener(closed -> loop.post(() -> loop.at(loop.now() + 1, slots::release)));
         }
         return session;
     }
 
     /**
-     * Closes the listening sockets; what the system has accepted before is accepted here first. Guards against a reset of connections
-     * in its queue whose clients have been told that somebody is there, and may have sent.
+     * Closes the listening sockets, after accepting the connections in the system's queue. Closing at once would
+     * reset them, although their clients see an established connection and may have sent requests.
      */
     void stop(long untilNanos) {
-        drainsUntil = untilNanos;
-        drains = true;
+        drainUntilNanos = untilNanos;
+        isDraining = true;
         unbind();
     }
 
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
-        if (drains) {
-            while (isAwaited(handle) && acceptNext(handle)) {
+        if (isDraining) {
+            while (hasPendingConnection(handle) && acceptNext(handle)) {
                 continue;
             }
         }
         super.close(handle);
     }
 
-    /** Whether a connection waits to be accepted. */
-    private boolean isAwaited(ServerSocketChannel handle) throws Exception {
-        // Woken beforehand, it comes back at once, with the sockets on which somebody waits marked.
+    /** Whether a connection waits in the accept queue. */
+    private boolean hasPendingConnection(ServerSocketChannel handle) throws Exception {
+        // After wakeup(), select() returns at once with the listening sockets that have pending connections.
         wakeup();
         select();
-        boolean isAwaited = false;
-        Iterator<ServerSocketChannel> marked = selectedHandles();
-        while (marked.hasNext()) {
-            isAwaited |= marked.next() == handle;
-            marked.remove();
+        boolean isPending = false;
+        Iterator<ServerSocketChannel> selected = selectedHandles();
+        while (selected.hasNext()) {
+            isPending |= selected.next() == handle;
+            selected.remove();
         }
-        return isAwaited;
+        return isPending;
     }
 
-    /** Whether there was time and a place for one more connection; a call that failed is made again. */
+    /**
+     * Accepts one more connection; a failed accept call is retried by the caller. Returns false if no slot was free
+     * before the deadline.
+     */
     private boolean acceptNext(ServerSocketChannel handle) throws Exception {
-        long left = drainsUntil - System.nanoTime();
-        if (left <= 0 || !places.tryAcquire(left, TimeUnit.NANOSECONDS)) {
+        long nanosLeft = drainUntilNanos - System.nanoTime();
+        if (nanosLeft <= 0 || !slots.tryAcquire(nanosLeft, TimeUnit.NANOSECONDS)) {
             return false;
         }
-        NioSession session = acceptInPlace(pool, handle);
+        NioSession session = acceptWithSlot(pool, handle);
         if (session != null) {
             initSession(session, null, null);
             session.getProcessor().add(session);
@@ -118,23 +125,23 @@
         return true;
     }
 
-    /** The loop has seen one of its connections. */
-    void seen() {
-        unseen.decrementAndGet();
+    /** Called when the loop has opened the handler of an accepted connection. */
+    void onSessionOpened() {
+        notYetOpened.decrementAndGet();
     }
 
-    int unseen() {
-        return unseen.get();
+    int notYetOpened() {
+        return notYetOpened.get();
     }
 
-    /** The system's call. */
-    NioSession call(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+    /** The system call; overridden in tests. */
+    NioSession acceptFromSystem(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
         return super.accept(processor, handle);
     }
 
-    private void failed(IOException why) throws InterruptedException {
-        if (failures.getAndIncrement() % FAILURES_A_LOG_LINE == 0) {
-            Logger.warn("a connection could not be accepted, tried again: {}; {} such so far", why.getMessage(),
+    private void handleAcceptFailure(IOException cause) throws InterruptedException {
+        if (failures.getAndIncrement() % FAILURES_PER_LOG_LINE == 0) {
+            Logger.warn("accept failed, retrying: {}; {} failures so far", cause.getMessage(),
                     failures.get());
         }
         Thread.sleep(FAILURE_PAUSE_MS);
--- a/src/main/java/honeygap/net/Agent.java
+++ b/src/main/java/honeygap/net/Agent.java
@@ -12,252 +12,265 @@
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
 
-/** One agent on sockets: a loop, and the protocols that it speaks on it. */
+/** An agent: an event loop and the protocols that it serves on it. */
 public final class Agent {
 
-    /** How often the counters go to the log. */
-    private static final long REPORT = 100_000;
-    private static final long LOOK_EVERY = 100;
-    private static final long MICROSECONDS_A_TENTH = 100;
-    private static final long CLOSING_MOST_MS = 50;
-    private static final int LISTEN_TRIES = 20;
-    private static final long LISTEN_PAUSE_MS = 50;
+    /** The interval at which counters are logged, in tenths of a millisecond. */
+    private static final long COUNTER_LOG_INTERVAL = 100_000;
+    private static final long POLL_INTERVAL = 100;
+    private static final long MICROS_PER_TENTH = 100;
+    private static final long MAX_CLOSING_MS = 50;
+    private static final int LISTEN_ATTEMPTS = 20;
+    private static final long LISTEN_RETRY_PAUSE_MS = 50;
 
     private final Loop loop;
     private final List<Protocol> protocols;
-    private final List<InetSocketAddress> bound = new ArrayList<>();
-    private final CountDownLatch opens = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final Map<String, Counters.Group> others = new LinkedHashMap<>();
-    /** Takes clients; and has been told to end. Guarded by this. */
-    private boolean isOpen;
-    private boolean isLeaving;
-    private final Object rereading = new Object();
+    private final List<InetSocketAddress> boundAddresses = new ArrayList<>();
+    private final CountDownLatch readyToListen = new CountDownLatch(1);
+    private final CountDownLatch shutdownDone = new CountDownLatch(1);
+    private final Map<String, Counters.Group> otherCounters = new LinkedHashMap<>();
+    /** Whether the protocols listen, and whether a shutdown was requested. Both are guarded by this. */
+    private boolean isListening;
+    private boolean isShuttingDown;
+    private final Object reloadLock = new Object();
     private boolean isDrained;
-    private long rereads;
-    private long unread;
+    private long reloads;
+    private long failedReloads;
 
     public Agent(Loop loop, List<Protocol> protocols) {
         this.loop = loop;
         this.protocols = List.copyOf(protocols);
     }
 
-    /** Warms up, waits for what it must know, then takes clients; not where it has been told to end meanwhile. */
+    /**
+     * Warms up, waits until the protocols are ready, then listens; returns early if a shutdown is requested
+     * meanwhile.
+     */
     public void start() throws IOException {
-        protocols.forEach(Protocol::prepare);
+        protocols.forEach(Protocol::warmUp);
         synchronized (this) {
-            if (isLeaving) {
+            if (isShuttingDown) {
                 return;
             }
-            loop.post(() -> protocols.forEach(Protocol::begin));
-            loop.post(this::report);
-            loop.post(this::openWhenReady);
-            loop.start(protocols.stream().flatMap(protocol -> protocol.cores().stream()).toArray(Loop.Core[]::new));
+            loop.post(() -> protocols.forEach(Protocol::start));
+            loop.post(this::logCounters);
+            loop.post(this::listenWhenReady);
+            loop.start(protocols.stream().flatMap(protocol -> protocol.steppers().stream()).toArray(Loop.Core[]::new));
         }
-        unlessInterrupted(opens::await);
+        awaitUninterrupted(readyToListen::await);
         synchronized (this) {
-            if (isLeaving) {
+            if (isShuttingDown) {
                 return;
             }
             for (Protocol protocol : protocols) {
-                bound.add(listen(protocol));
+                boundAddresses.add(listen(protocol));
             }
-            isOpen = true;
+            isListening = true;
         }
-        Logger.info("ready after {} ms", loop.sinceStart());
+        Logger.info("ready after {} ms", loop.millisSinceStart());
     }
 
-    /** A socket may be had a moment later, and an address may still be held by the process before. */
+    /**
+     * Retries a failed bind: file descriptors may run short for a moment, and the previous process may still hold the
+     * address.
+     */
     private InetSocketAddress listen(Protocol protocol) throws IOException {
-        for (int i = 1; ; i++) {
+        for (int attempt = 1; ; attempt++) {
             try {
                 return protocol.listen();
             } catch (IOException e) {
-                if (i == LISTEN_TRIES) {
+                if (attempt == LISTEN_ATTEMPTS) {
                     throw e;
                 }
-                Logger.warn("can't listen yet, tried again: {}", e.getMessage());
-                unlessInterrupted(() -> Thread.sleep(LISTEN_PAUSE_MS));
+                Logger.warn("bind failed, retrying: {}", e.getMessage());
+                awaitUninterrupted(() -> Thread.sleep(LISTEN_RETRY_PAUSE_MS));
             }
         }
     }
 
-    private interface Wait {
+    private interface InterruptibleWait {
 
         void await() throws InterruptedException;
     }
 
-    private static void unlessInterrupted(Wait wait) throws IOException {
+    private static void awaitUninterrupted(InterruptibleWait wait) throws IOException {
         try {
             wait.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted before the start", e);
+            throw new IOException("interrupted during startup", e);
         }
     }
 
-    private void openWhenReady() {
-        if (protocols.stream().allMatch(Protocol::mayOpen)) {
-            opens.countDown();
+    private void listenWhenReady() {
+        if (protocols.stream().allMatch(Protocol::isReady)) {
+            readyToListen.countDown();
         } else {
-            loop.at(loop.now() + LOOK_EVERY, this::openWhenReady);
+            loop.at(loop.now() + POLL_INTERVAL, this::listenWhenReady);
         }
     }
 
-    /** Where the protocol of this number takes clients. */
+    /** The address on which the protocol with this index listens. */
     public InetSocketAddress address(int protocol) {
-        return bound.get(protocol);
+        return boundAddresses.get(protocol);
     }
 
-    /** Stops at once, whatever is open. */
+    /** Stops at once and closes everything that is open. */
     public void end() {
         loop.end();
     }
 
-    /** Load is told to others, and theirs is heard; after the start. */
-    public void share(Shared shared) {
-        loop.post(() -> protocols.forEach(protocol -> protocol.share(shared)));
+    /** Publishes this agent's load to other agents and uses theirs; call it after the start. */
+    public void share(Shared sharing) {
+        loop.post(() -> protocols.forEach(protocol -> protocol.shareLoad(sharing)));
     }
 
-    /** From any thread: to be done on the loop, in the next turn. */
+    /** Runs a task on the loop, in its next iteration; callable from any thread. */
     public void onLoop(Runnable task) {
         loop.post(task);
     }
 
-    /** Counters of something beside the protocols, told with theirs; before the start. */
+    /** Adds a group of counters that does not belong to a protocol; call it before the start. */
     public void count(String group, Counters.Group counts) {
-        others.put(group, counts);
+        otherCounters.put(group, counts);
     }
 
     /** All counters by group; on the loop. */
     public Counters counters() {
-        Counters counters = new Counters().group("agent", all -> {
-            all.count("faults", Loop.faults());
-            all.count("broken", Loop.broken());
-            all.count("rereads", rereads);
-            all.count("not read", unread);
-            all.count("accept failures", loop.acceptFailures());
-            all.count("own dial failures", loop.ownDialFailures());
-            all.count("first RPC ms", loop.firstRpcAfter());
+        Counters counters = new Counters().group("agent", group -> {
+            group.count("faults", Loop.faultCount());
+            group.count("broken", Loop.broken());
+            group.count("rereads", reloads);
+            group.count("not read", failedReloads);
+            group.count("accept failures", loop.acceptFailures());
+            group.count("own dial failures", loop.localConnectFailures());
+            group.count("first RPC ms", loop.firstRpcMs());
         });
         protocols.forEach(protocol -> protocol.report(counters));
-        others.forEach(counters::group);
+        otherCounters.forEach(counters::group);
         return counters;
     }
 
-    private void report() {
-        Events.counters(counters());
-        loop.at(loop.now() + REPORT, this::report);
+    private void logCounters() {
+        Events.logCounters(counters());
+        loop.at(loop.now() + COUNTER_LOG_INTERVAL, this::logCounters);
     }
 
-    /** Something that can be read once more: what is to be done for it, on the loop. */
+    /** A part of the configuration that can be reloaded. Reading it returns the change to apply on the loop. */
     public interface Source {
 
         Runnable read() throws IOException, Malformed;
     }
 
     /**
-     * Reads all anew, on this thread, and goes by it; where one can't be read whole, all stays as it was. One at a
-     * time: each signal has a thread of its own, and one that read the older file must not be the last to tell.
+     * Reads all sources on this thread and applies them together; if one of them is malformed, nothing changes.
+     * Reloads run one at a time: each signal has a thread of its own, and a reload that read an older file must not
+     * be applied last.
      */
     public void reread(List<Source> sources) {
-        // Not this agent's own lock: files that are slow to read must not hold up the order to end.
-        synchronized (rereading) {
-            tell(sources);
+        // A lock of its own rather than this object's: slow reads must not delay a shutdown.
+        synchronized (reloadLock) {
+            readAndApply(sources);
         }
     }
 
-    private void tell(List<Source> sources) {
+    private void readAndApply(List<Source> sources) {
         List<Runnable> changes = new ArrayList<>();
         try {
             for (Source source : sources) {
                 changes.add(source.read());
             }
         } catch (IOException | Malformed e) {
-            Logger.warn("configuration not read, all stays as it was: {}",
+            Logger.warn("configuration not read, keeping the current one: {}",
                     String.valueOf(e.getMessage()).replace('\n', ';'));
-            loop.post(() -> unread++);
+            loop.post(() -> failedReloads++);
             return;
         }
         loop.post(() -> {
             changes.forEach(Runnable::run);
-            rereads++;
+            reloads++;
         });
     }
 
-    /** Takes no clients and closes connections between RPCs, or takes them again; on the loop. */
+    /** Refuses clients and closes connections between RPCs, or accepts clients again; on the loop. */
     public void drain(boolean isDrained) {
         this.isDrained = isDrained;
-        protocols.forEach(protocol -> protocol.drain(isDrained));
+        protocols.forEach(protocol -> protocol.setDrained(isDrained));
     }
 
     public boolean isDrained() {
         return isDrained;
     }
 
-    /** Connections of clients, of all protocols. */
+    /** The number of client connections of all protocols. */
     public int clients() {
-        return protocols.stream().mapToInt(Protocol::count).sum();
+        return protocols.stream().mapToInt(Protocol::connectionCount).sum();
     }
 
     /**
-     * Ends by the schedule of a shutdown: comes back when nothing that was taken is open, at the shutdown's end at the latest; at once
-     * before the start.
+     * Shuts down by schedule: returns when no accepted connection is open any more, at the latest at the end of the
+     * schedule. Returns at once if the agent has not started.
      */
     public void leave() throws InterruptedException {
         long signalledAt = loop.clock();
         synchronized (this) {
-            isLeaving = true;
-            if (!isOpen) {
+            isShuttingDown = true;
+            if (!isListening) {
                 return;
             }
         }
-        long longest = protocols.stream().mapToLong(Protocol::longestDeadline).max().orElse(0);
-        ShutdownSchedule schedule = ShutdownSchedule.of(signalledAt, longest);
+        long longestDeadline = protocols.stream().mapToLong(Protocol::longestDeadline).max().orElse(0);
+        ShutdownSchedule schedule = ShutdownSchedule.of(signalledAt, longestDeadline);
         loop.post(() -> shutDown(schedule));
-        // The loop ends it, after its last answers. A loop that is held up for longer than it must bear does not hold up the end.
-        long left = schedule.lastMoment() - loop.clock();
-        if (!ended.await(left * MICROSECONDS_A_TENTH, TimeUnit.MICROSECONDS)) {
-            Logger.warn("shutdown: ends while the loop is held up");
+        // The loop ends the wait after the last answers are written. A blocked loop must not delay the end of the
+        // process, so the wait is bounded.
+        long timeLeft = schedule.lastMoment() - loop.clock();
+        if (!shutdownDone.await(timeLeft * MICROS_PER_TENTH, TimeUnit.MICROSECONDS)) {
+            Logger.warn("shutdown: ends while the event loop is blocked");
         }
-        endThreads();
+        closeLoop();
     }
 
     /**
-     * Guards against a slow end: the runtime waits 0.3 s for threads that are in a system call, as those at sockets always are. Not
-     * for ever, where one of them is held up.
+     * Closes the loop's sockets before the process exits, as the Java runtime otherwise waits 0.3 s for threads that
+     * are in a system call, which threads on sockets always are. The wait is bounded in case one of those threads is
+     * blocked.
      */
-    private void endThreads() throws InterruptedException {
-        Thread closing = new Thread(loop::end, "closing");
-        closing.setDaemon(true);
-        closing.start();
-        closing.join(CLOSING_MOST_MS);
+    private void closeLoop() throws InterruptedException {
+        Thread closingThread = new Thread(loop::end, "closing");
+        closingThread.setDaemon(true);
+        closingThread.start();
+        closingThread.join(MAX_CLOSING_MS);
     }
 
     private void shutDown(ShutdownSchedule schedule) {
         protocols.forEach(protocol -> protocol.shutDown(schedule));
         loop.at(schedule.closesAt(), () -> {
             Logger.info("shutdown: closing, {} connections open", clients());
-            protocols.forEach(Protocol::leave);
-            // Not before the next turn: what was accepted last is here by then.
-            loop.shut(schedule.answersBy(), () -> loop.at(loop.now() + LOOK_EVERY, this::endWhenDone));
+            protocols.forEach(Protocol::closeBetweenRpcs);
+            // Wait for the next iteration: by then the connections accepted last have been opened.
+            loop.stopAccepting(schedule.answersBy(), () -> loop.at(loop.now() + POLL_INTERVAL, this::finishWhenIdle));
         });
-        // Not in the turn in which it is due: where the loop was held up its last answers are written only after that one.
-        loop.at(schedule.endsBy(), () -> loop.at(loop.now() + LOOK_EVERY, () -> {
-            if (ended.getCount() > 0) {
+        // Not in the iteration in which the timer is due: if the loop was delayed, the last answers are written only
+        // after that iteration.
+        loop.at(schedule.endsBy(), () -> loop.at(loop.now() + POLL_INTERVAL, () -> {
+            if (shutdownDone.getCount() > 0) {
                 Logger.warn("shutdown: ends with {} connections open", clients());
-                ended.countDown();
+                shutdownDone.countDown();
             }
         }));
     }
 
-    /** Guards against ending with a connection that this machine has accepted and the loop has not seen. */
-    private void endWhenDone() {
-        if (clients() == 0 && loop.acceptedUnseen() == 0) {
+    /**
+     * Finishes the shutdown when no connection is open, including connections that were accepted and that the loop
+     * has not opened yet.
+     */
+    private void finishWhenIdle() {
+        if (clients() == 0 && loop.acceptedNotOpened() == 0) {
             Logger.info("shutdown: ends, nothing open");
-            ended.countDown();
+            shutdownDone.countDown();
         } else {
-            loop.at(loop.now() + LOOK_EVERY, this::endWhenDone);
+            loop.at(loop.now() + POLL_INTERVAL, this::finishWhenIdle);
         }
     }
 }
--- a/src/main/java/honeygap/net/Core.java
+++ b/src/main/java/honeygap/net/Core.java
@@ -10,20 +10,23 @@
 import org.tinylog.Logger;
 
 /**
- * A decision module on the loop, between the front whose RPCs it decides and the back that serves them, with
- * the list and the desk that it hears. Each protocol that an agent speaks has one of its own.
+ * Runs the rules of one protocol on the event loop and passes their decisions on: to the downstream side whose RPCs
+ * they concern, the upstream side that serves these, service discovery and the release desk. Each protocol of an
+ * agent has an engine of its own.
  */
 public final class Core implements Ctl, Loop.Core {
 
-    /** Where the appliances are listed. */
+    /** Client of the service discovery that lists the appliances. */
     public interface Directory {
 
+        /** Opens a stream of changes to the list, replacing an open one. */
         void watch();
 
+        /** Requests the complete list once. */
         void fetch();
     }
 
-    /** Where votes are cast. */
+    /** Receives the votes on trial builds. */
     public interface Poll {
 
         void vote(Build build, int stage, int verdict);
@@ -32,45 +35,45 @@
     private final Loop loop;
     private final Rules rules;
     private final int methods;
-    private final String name;
+    private final String notePrefix;
     private final Map<Integer, Build> builds = new HashMap<>();
-    private Back back;
-    private Directory directory;
-    private Poll poll;
-    private long turns;
+    private Back upstream;
+    private Directory discovery;
+    private Poll voteSink;
+    private long iterations;
 
-    /** The name stands before the module's notes, where it has one. */
+    /** The name, if not empty, prefixes log messages of the rules. */
     public Core(Loop loop, Rules rules, int methods, String name) {
         this.loop = loop;
         this.rules = rules;
         this.methods = methods;
-        this.name = name.isEmpty() ? "" : name + ": ";
+        this.notePrefix = name.isEmpty() ? "" : name + ": ";
     }
 
-    /** Before the loop starts. */
-    public void join(Back back, Directory directory, Poll poll) {
-        this.back = back;
-        this.directory = directory;
-        this.poll = poll;
+    /** Connects the engine to its collaborators; call it before the loop starts. */
+    public void attach(Back upstream, Directory discovery, Poll voteSink) {
+        this.upstream = upstream;
+        this.discovery = discovery;
+        this.voteSink = voteSink;
     }
 
-    /** The one record of a build; one that the module has let go of begins anew. */
+    /** The one record of a build; a build that the rules have removed gets a new record. */
     public Build build(int number) {
         builds.values().removeIf(build -> build.left);
         return builds.computeIfAbsent(number, n -> new Build(n, methods));
     }
 
-    public int builds() {
+    public int buildCount() {
         return builds.size();
     }
 
-    public long turns() {
-        return turns;
+    public long iterationCount() {
+        return iterations;
     }
 
     @Override
     public void now(long now) {
-        turns++;
+        iterations++;
         rules.now(now);
     }
 
@@ -80,14 +83,14 @@
     }
 
     @Override
-    public void pick(Rpc rpc, Appliance appliance, long within) {
+    public void pick(Rpc rpc, Appliance appliance, long timeout) {
         ((Call) rpc).picked(appliance);
-        back.pick((Call) rpc, appliance, within);
+        upstream.pick((Call) rpc, appliance, timeout);
     }
 
     @Override
-    public void pushBack(Rpc rpc, long stayAway) {
-        ((Call) rpc).pushBack(stayAway);
+    public void pushBack(Rpc rpc, long retryAfter) {
+        ((Call) rpc).pushBack(retryAfter);
     }
 
     @Override
@@ -97,27 +100,27 @@
 
     @Override
     public void cancel(Rpc rpc, int pick) {
-        back.cancel((Call) rpc, pick);
+        upstream.cancel((Call) rpc, pick);
     }
 
     @Override
     public void probe(Appliance appliance) {
-        back.probe(appliance);
+        upstream.probe(appliance);
     }
 
     @Override
     public void vote(Build build, int stage, int verdict) {
-        poll.vote(build, stage, verdict);
+        voteSink.vote(build, stage, verdict);
     }
 
     @Override
     public void watch() {
-        directory.watch();
+        discovery.watch();
     }
 
     @Override
     public void fetch() {
-        directory.fetch();
+        discovery.fetch();
     }
 
     @Override
@@ -126,7 +129,7 @@
     }
 
     @Override
-    public void note(String line) {
-        Logger.info("{}{}", name, line);
+    public void note(String message) {
+        Logger.info("{}{}", notePrefix, message);
     }
 }
--- a/src/main/java/honeygap/net/Counters.java
+++ b/src/main/java/honeygap/net/Counters.java
@@ -3,48 +3,50 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Counters in groups with names: the same for a line that people read and for one that programs do. */
+/** Named counters in groups, for readable log lines as well as for JSON. */
 public final class Counters {
 
-    /** Something that counts. */
+    /** A component that reports counters. */
     public interface Group {
 
+        /** Adds the current values to the counters. */
         void report(Counters counters);
     }
 
     private final Map<String, Map<String, Long>> groups = new LinkedHashMap<>();
-    private Map<String, Long> group = Map.of();
+    private Map<String, Long> currentGroup = Map.of();
 
-    /** Names are in small letters; a group named twice goes on. */
-    public Counters group(String name, Group counts) {
-        group = groups.computeIfAbsent(name, n -> new LinkedHashMap<>());
-        counts.report(this);
+    /** Begins or continues the group with this name and adds the counters of the source. Names are in lower case. */
+    public Counters group(String name, Group source) {
+        currentGroup = groups.computeIfAbsent(name, n -> new LinkedHashMap<>());
+        source.report(this);
         return this;
     }
 
+    /** Sets a counter of the current group. */
     public void count(String name, long value) {
-        group.put(name, value);
+        currentGroup.put(name, value);
     }
 
-    /** Values by group and name, in the order of their coming. */
+    /** Values by group and name, in insertion order. */
     public Map<String, Map<String, Long>> groups() {
         return groups;
     }
 
-    /** A group in square brackets; counters that stand at zero are left out. */
+    /** Each group as name[counter value, ...]; counters that are zero are left out. */
     @Override
     public String toString() {
-        StringBuilder words = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         groups.forEach((name, counters) -> {
-            words.append(words.length() > 0 ? " " : "").append(name).append('[');
-            int before = words.length();
+            text.append(text.length() > 0 ? " " : "").append(name).append('[');
+            int groupStart = text.length();
             counters.forEach((counter, value) -> {
                 if (value != 0) {
-                    words.append(words.length() > before ? ", " : "").append(counter).append(' ').append(value);
+                    text.append(text.length() > groupStart ? ", " : "").append(counter).append(' ').append(value);
                 }
             });
-            words.append(']');
+            text.append(']');
         });
-        return words.toString();
+        return text.toString();
     }
 }
--- a/src/main/java/honeygap/net/Turns.java
+++ b/src/main/java/honeygap/net/LoopProcessor.java
@@ -9,29 +9,29 @@
 import org.apache.mina.transport.socket.nio.NioProcessor;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** The one processor of all sessions: before it waits for sockets, it lets the loop take its turn. */
-public final class Turns extends NioProcessor {
+/** The I/O processor of all sessions. It runs an iteration of the loop before each wait for I/O. */
+public final class LoopProcessor extends NioProcessor {
 
-    static final AttributeKey CHANNEL = new AttributeKey(Turns.class, "channel");
+    static final AttributeKey CHANNEL = new AttributeKey(LoopProcessor.class, "channel");
 
     private final Loop loop;
 
-    /** The executor is the loop itself, by way of the pool that makes processors. */
-    public Turns(Executor loop) {
+    /** MINA's processor pool passes its executor, which is the loop. */
+    public LoopProcessor(Executor loop) {
         super(loop);
         this.loop = (Loop) loop;
-        this.loop.turns = this;
+        this.loop.processor = this;
     }
 
     /**
-     * Comes back only with work: MINA takes short waits that bring nothing for a fault of the selector and
-     * would register all sockets anew.
+     * Returns only when there is work: MINA takes short waits without events for a broken selector and would replace
+     * it, registering all sockets anew.
      */
     @Override
     protected int select(long timeout) throws Exception {
         while (true) {
-            loop.turn();
-            long wait = loop.untilDue();
+            loop.runIteration();
+            long wait = loop.millisUntilNextTimer();
             int ready = wakeupCalled.get() || wait <= 0 ? selector.selectNow() : selector.select(wait);
             if (ready > 0 || wakeupCalled.get()) {
                 return ready;
@@ -39,10 +39,10 @@
         }
     }
 
-    /** On the loop's own thread a mark is enough. */
+    /** On the loop's own thread setting the flag is sufficient. */
     @Override
     protected void wakeup() {
-        if (loop.isCurrent()) {
+        if (loop.isLoopThread()) {
             wakeupCalled.set(true);
         } else {
             super.wakeup();
@@ -56,7 +56,7 @@
     @Override
     protected void init(NioSession session) throws Exception {
         super.init(session);
-        // MINA keeps the channel to itself, and gathered writes need it.
+        // MINA does not expose the channel, which gathering writes need.
         for (SelectionKey key : selector.keys()) {
             if (key.attachment() == session) {
                 session.setAttribute(CHANNEL, key.channel());
@@ -67,7 +67,7 @@
     @Override
     protected int write(NioSession session, IoBuffer bytes, int length) throws IOException {
         return bytes instanceof Gathered gathered
-                ? gathered.writeTo((GatheringByteChannel) session.getAttribute(CHANNEL), loop.tap, session)
+                ? gathered.writeTo((GatheringByteChannel) session.getAttribute(CHANNEL), loop.trafficListener, session)
                 : super.write(session, bytes, length);
     }
 }
--- /dev/null
+++ b/src/main/java/honeygap/net/links/UpstreamConnection.java
@@ -0,0 +1,290 @@
+package honeygap.net.links;
+
+import honeygap.fleet.Appliance;
+import honeygap.fleet.Pick;
+import honeygap.net.Call;
+import honeygap.net.Loop;
+import honeygap.net.Peer;
+import honeygap.read.Malformed;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import org.apache.mina.core.future.ConnectFuture;
+import org.apache.mina.core.session.IoSession;
+
+/**
+ * A connection to an appliance that carries at most one pick at a time. Once the last byte of a pick has been written
+ * to the system, the pick may have run, whatever happens later; before that it has certainly not run. Subclasses
+ * implement the protocol.
+ */
+public abstract class UpstreamConnection implements Peer {
+
+    /**
+     * The pause after an answer, in tenths of a millisecond: a duplicate of the answer may arrive some milliseconds
+     * late.
+     */
+    private static final long LATE_DUPLICATE = 200;
+
+    protected final ConnectionPool pool;
+    protected final Remote appliance;
+    protected IoSession session;
+    /** The connection is established and the protocol's startup is complete. */
+    protected boolean isReady;
+    protected boolean isClosed;
+    protected Call call;
+    protected int pickIndex;
+    /** When the current pick times out. */
+    protected long timeoutAt;
+    protected boolean isFullyWritten;
+    protected boolean isProbing;
+    private ConnectFuture connectFuture;
+    /** The address that was connected to, which the appliance's record may no longer have. */
+    private InetSocketAddress address;
+    private long processStartedAt;
+    private long connectStartedAt;
+    private Loop.Timer timer;
+    private long idleSince;
+
+    protected UpstreamConnection(ConnectionPool pool, Remote appliance) {
+        this.pool = pool;
+        this.appliance = appliance;
+    }
+
+    /** The connection is established: begins the protocol's startup, or calls {@link #becomeIdle} if there is none. */
+    protected abstract void startProtocol();
+
+    /** Writes the request of the current pick. */
+    protected abstract void sendRequest();
+
+    protected abstract void sendProbe();
+
+    /** Parses received bytes; stops when the connection is closed. */
+    protected abstract void handleInput(ByteBuffer bytes) throws Malformed;
+
+    /** Whether part of an incomplete message is buffered. */
+    protected abstract boolean hasPartialMessage();
+
+    /** Called when the connection becomes idle. */
+    protected void onIdle() {
+    }
+
+    final Remote appliance() {
+        return appliance;
+    }
+
+    /** Opens the connection unless that has been done. */
+    final void connect(long timeout) {
+        if (connectFuture == null) {
+            setTimeout(pool.loop.now() + timeout, this::onTimeout);
+            address = appliance.address;
+            processStartedAt = appliance.startedAt;
+            connectStartedAt = pool.loop.now();
+            connectFuture = pool.loop.connect(address, this);
+        }
+    }
+
+    /** Whether it is connected to the process that the list has now, and that process accepts RPCs. */
+    final boolean isCurrent() {
+        return appliance.state == Appliance.UP && appliance.startedAt == processStartedAt
+                && address.equals(appliance.address);
+    }
+
+    /** Runs a probe instead of a pick. */
+    final void probe() {
+        isProbing = true;
+        if (isReady) {
+            sendProbeWithTimeout();
+        }
+    }
+
+    private void sendProbeWithTimeout() {
+        setTimeout(pool.loop.now() + pool.connectTimeout, this::onTimeout);
+        sendProbe();
+    }
+
+    /** Accepts a pick, to be sent as soon as the connection is ready. */
+    final void execute(Call call, int pickIndex, long timeout) {
+        // One pick at a time, never on a closed connection, nor for an RPC that has been answered.
+        Loop.holds(!isClosed && this.call == null && !isProbing && !call.isAnswered());
+        this.call = call;
+        this.pickIndex = pickIndex;
+        timeoutAt = pool.loop.now() + timeout;
+        isFullyWritten = false;
+        if (!isReady) {
+            return;
+        }
+        if (lacksAnswerIds() && !isPauseOver()) {
+            setTimeout(Math.min(timeoutAt, pauseEndsAt()), this::sendAfterPause);
+        } else {
+            sendWithTimeout();
+        }
+    }
+
+    /**
+     * Whether answers of this protocol do not identify their request. A duplicate answer some milliseconds late would
+     * then be taken for the answer to the next pick, so the next pick is delayed until the pause is over.
+     */
+    protected boolean lacksAnswerIds() {
+        return false;
+    }
+
+    private void sendAfterPause() {
+        if (pool.loop.now() >= timeoutAt) {
+            onTimeout();
+        } else if (call.closed || !isCurrent()) {
+            detachCall(Pick.MOOT);
+            becomeIdle();
+        } else if (!hasNoPendingInput()) {
+            close(Pick.MOOT);
+        } else {
+            sendWithTimeout();
+        }
+    }
+
+    private void sendWithTimeout() {
+        setTimeout(timeoutAt, this::onTimeout);
+        sendRequest();
+    }
+
+    @Override
+    public final void opened(IoSession session) {
+        this.session = session;
+        if (isClosed) {
+            session.closeNow();
+        } else {
+            startProtocol();
+        }
+    }
+
+    @Override
+    public final void unreachable() {
+        close(Pick.CONNECT_FAILED);
+    }
+
+    @Override
+    public final void connectFailedLocally() {
+        close(Pick.MOOT);
+    }
+
+    @Override
+    public final void written() {
+        isFullyWritten |= isReady && call != null;
+    }
+
+    @Override
+    public void closed() {
+        close(isFullyWritten ? Pick.RESET : Pick.CONNECT_FAILED);
+    }
+
+    private void onTimeout() {
+        close(isFullyWritten ? Pick.TIMEOUT : Pick.CONNECT_FAILED);
+    }
+
+    /** Stops waiting for a pick; a pick that was not fully written never ran. */
+    final void cancel(Call call, int pickIndex) {
+        if (this.call == call && this.pickIndex == pickIndex) {
+            close(isFullyWritten ? Pick.CANCELLED : Pick.MOOT);
+        }
+    }
+
+    @Override
+    public final void received(ByteBuffer bytes) {
+        if (isClosed) {
+            return;
+        }
+        try {
+            handleInput(bytes);
+        } catch (Malformed e) {
+            reportMalformed(e);
+            close(isFullyWritten ? Pick.RESET : Pick.CONNECT_FAILED);
+        }
+    }
+
+    /** Reports that an answer could not be parsed. */
+    protected final void reportMalformed(Malformed cause) {
+        pool.reportMalformed(call, pickIndex, appliance, cause.getMessage());
+    }
+
+    /**
+     * Whether the idle connection has no unexpected input, parsed or not. A duplicate or garbage after an answer
+     * would be taken for the answer to the next pick.
+     */
+    final boolean hasNoPendingInput() {
+        return !hasPartialMessage() && pool.loop.hasNoPendingInput(session);
+    }
+
+    final boolean isPauseOver() {
+        return pool.loop.now() >= pauseEndsAt();
+    }
+
+    private long pauseEndsAt() {
+        return idleSince + Math.max(2 * pool.tick, LATE_DUPLICATE);
+    }
+
+    /** The connection is ready for its first or next pick. */
+    protected final void becomeIdle() {
+        if (call != null && isReady) {
+            // The appliance is ready again without having answered the request.
+            close(isFullyWritten ? Pick.ERROR : Pick.CONNECT_FAILED);
+            return;
+        }
+        isProbing &= !isReady;
+        isReady = true;
+        if (call != null && (call.closed || !isCurrent())) {
+            // While the connection was being established, the RPC was answered or abandoned by its client, or the
+            // appliance began to drain or its address passed to another process: don't send the pick.
+            detachCall(Pick.MOOT);
+        }
+        if (call != null) {
+            sendWithTimeout();
+        } else if (isProbing) {
+            sendProbeWithTimeout();
+        } else {
+            setTimeout(pool.loop.now() + pool.idleTimeout, () -> close(Pick.CANCELLED));
+            onIdle();
+            // The exact time: this iteration may have begun long before the input was read.
+            idleSince = pool.loop.clock();
+            pool.release(this);
+        }
+    }
+
+    /** Ends the current pick. The appliance must become ready soon after, or the connection is closed. */
+    protected final Call finishPick(int outcome) {
+        setTimeout(pool.loop.now() + pool.connectTimeout, () -> close(Pick.CANCELLED));
+        return detachCall(outcome);
+    }
+
+    private Call detachCall(int outcome) {
+        Call done = call;
+        call = null;
+        isFullyWritten = false;
+        done.picks.get(pickIndex).connectedAt = connectStartedAt;
+        pool.reportEnded(done, pickIndex, outcome);
+        return done;
+    }
+
+    /** Sets what happens at a time unless another event replaces it first. */
+    private void setTimeout(long time, Runnable action) {
+        if (timer != null) {
+            timer.callOff();
+        }
+        timer = pool.loop.at(time, action);
+    }
+
+    /** Closes the connection at once; a current pick ends with this outcome. */
+    protected final void close(int outcome) {
+        if (isClosed) {
+            return;
+        }
+        isClosed = true;
+        timer.callOff();
+        if (session != null) {
+            pool.loop.cut(session);
+        } else if (connectFuture != null) {
+            connectFuture.cancel();
+        }
+        pool.remove(this);
+        if (call != null) {
+            detachCall(outcome);
+        }
+    }
+}
--- a/src/main/java/honeygap/net/shutdown/ShutdownLog.java
+++ b/src/main/java/honeygap/net/shutdown/ShutdownLog.java
@@ -11,47 +11,49 @@
 import org.tinylog.ThreadContext;
 
 /**
- * What happens to the RPCs and connections of one front between the signal to end and the end of the process: a structured
- * line each, bounded a second, and counters. On the loop.
+ * Logs and counts what happens to the client connections and RPCs of one protocol during a shutdown. The number of
+ * log lines per second is limited. On the loop.
  */
 public final class ShutdownLog implements Counters.Group {
 
     private static final int LINES_PER_SECOND = 50;
-    private static final long TENTHS_A_MS = 10;
+    private static final long TENTHS_PER_MS = 10;
 
     private final Loop loop;
-    private final LogBudget budget;
+    private final LogBudget logLimiter;
     private final Map<String, Long> counts = new LinkedHashMap<>();
     private ShutdownSchedule schedule;
 
     public ShutdownLog(Loop loop) {
         this.loop = loop;
-        budget = new LogBudget(loop, LINES_PER_SECOND);
+        logLimiter = new LogBudget(loop, LINES_PER_SECOND);
     }
 
-    /** The process was told to end; connections by stage are open. */
-    public void signalled(ShutdownSchedule told, Map<String, Long> connections) {
-        schedule = told;
-        Logger.info("shutdown: signal heard, connections by stage {}; closing after {} ms, answers by {} ms, end by {} ms", connections,
-                sinceSignal(told.closesAt()), sinceSignal(told.answersBy()), sinceSignal(told.endsBy()));
+    /** A shutdown was requested; the argument has the open connections by stage. */
+    public void signalled(ShutdownSchedule newSchedule, Map<String, Long> connections) {
+        schedule = newSchedule;
+        Logger.info("shutdown: signal heard, connections by stage {}; closing after {} ms, answers by {} ms, end by {} ms",
+                connections, millisSinceSignal(newSchedule.closesAt()), millisSinceSignal(newSchedule.answersBy()),
+                millisSinceSignal(newSchedule.endsBy()));
     }
 
     private boolean isSignalled() {
         return schedule != null;
     }
 
-    /** Something happened to an RPC; nothing is noted before the signal. Times are tenths of a millisecond. */
+    /** Records an event of an RPC; ignored before the shutdown begins. Times are tenths of a millisecond. */
     public void rpc(ShutdownEvent event, String id, String method, long connectionAge, long timeLeft) {
-        if (!isSignalled() || !counted(event)) {
+        if (!isSignalled() || !countAndCheckLimit(event)) {
             return;
         }
-        ThreadContext.put("event", event.word);
+        ThreadContext.put("event", event.label);
         ThreadContext.put("rpc", id);
         ThreadContext.put("method", method);
-        ThreadContext.put("left_ms", Long.toString(timeLeft / TENTHS_A_MS));
+        ThreadContext.put("left_ms", Long.toString(timeLeft / TENTHS_PER_MS));
         try {
-            Logger.info("shutdown: RPC {} ({}) {} {} ms after the signal, {} ms left, on a connection {} ms old", id, method,
-                    event.word, sinceSignal(loop.clock()), timeLeft / TENTHS_A_MS, connectionAge / TENTHS_A_MS);
+            Logger.info("shutdown: RPC {} ({}) {} {} ms after the signal, {} ms left, on a connection {} ms old",
+                    id, method, event.label, millisSinceSignal(loop.clock()), timeLeft / TENTHS_PER_MS,
+                    connectionAge / TENTHS_PER_MS);
         } finally {
             ThreadContext.remove("event");
             ThreadContext.remove("rpc");
@@ -60,28 +62,29 @@
         }
     }
 
-    /** Something happened to a connection; nothing is noted before the signal. */
+    /** Records an event of a connection; ignored before the shutdown begins. */
     public void connection(ShutdownEvent event, long age) {
-        if (isSignalled() && counted(event)) {
-            Logger.info("shutdown: connection {} {} ms after the signal, {} ms old", event.word, sinceSignal(loop.clock()), age / TENTHS_A_MS);
+        if (isSignalled() && countAndCheckLimit(event)) {
+            Logger.info("shutdown: connection {} {} ms after the signal, {} ms old", event.label,
+                    millisSinceSignal(loop.clock()), age / TENTHS_PER_MS);
         }
     }
 
-    /** Counts it; whether it may be logged as well. */
-    private boolean counted(ShutdownEvent event) {
+    /** Counts the event; returns whether it may be logged as well. */
+    private boolean countAndCheckLimit(ShutdownEvent event) {
         String phase = schedule.phase(loop.clock()).name().toLowerCase(Locale.ROOT);
-        counts.merge(event.word + " while " + phase, 1L, Long::sum);
-        return budget.allows();
+        counts.merge(event.label + " while " + phase, 1L, Long::sum);
+        return logLimiter.allows();
     }
 
-    private long sinceSignal(long time) {
-        return (time - schedule.signalledAt()) / TENTHS_A_MS;
+    private long millisSinceSignal(long time) {
+        return (time - schedule.signalledAt()) / TENTHS_PER_MS;
     }
 
     @Override
     public void report(Counters counters) {
         counters.count("signalled", isSignalled() ? 1 : 0);
         counts.forEach(counters::count);
-        counters.count("lines left out", budget.leftOut());
+        counters.count("lines left out", logLimiter.leftOut());
     }
 }
