--- a/src/main/java/honeygap/manage/Ledger.java
+++ b/src/main/java/honeygap/manage/Ledger.java
@@ -27,16 +27,16 @@
     /** A command that was carried out, or called off before it came. */
     public record Entry(String id, long number, String action, String outcome) { }
 
-    private final int most;
+    private final int capacity;
     private final long generation;
     private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
     /** The newest number that was carried out, and the newest that has been forgotten. */
-    private long newest;
-    private long forgotten;
+    private long newestApplied;
+    private long newestEvicted;
 
     /** Remembers so many commands; the generation is this process's. */
-    public Ledger(int most, long generation) {
-        this.most = Math.max(1, most);
+    public Ledger(int capacity, long generation) {
+        this.capacity = Math.max(1, capacity);
         this.generation = generation;
     }
 
@@ -44,13 +44,13 @@
         return generation;
     }
 
-    public long newest() {
-        return newest;
+    public long newestApplied() {
+        return newestApplied;
     }
 
     /** An entry from before the process started, in the order in which they were made. */
     public void restored(Entry entry) {
-        remember(entry);
+        add(entry);
     }
 
     /** Whether a command is to be carried out; a generation of 0 means any. */
@@ -62,7 +62,7 @@
         if (forGeneration != 0 && forGeneration != generation) {
             return Answer.OTHER_GENERATION;
         }
-        return number <= newest || number <= forgotten ? Answer.TOO_LATE : Answer.APPLY;
+        return number <= newestApplied || number <= newestEvicted ? Answer.TOO_LATE : Answer.APPLY;
     }
 
     /** The outcome of one that was called off. */
@@ -71,7 +71,7 @@
     /** A command has been carried out. */
     public Entry applied(String id, long number, String action, String outcome) {
         Entry entry = new Entry(id, number, action, outcome);
-        remember(entry);
+        add(entry);
         return entry;
     }
 
@@ -81,14 +81,14 @@
         return entry != null ? entry : applied(id, number, "", CALLED_OFF);
     }
 
-    private void remember(Entry entry) {
+    private void add(Entry entry) {
         entries.put(entry.id, entry);
         if (!entry.outcome.equals(CALLED_OFF)) {
-            newest = Math.max(newest, entry.number);
+            newestApplied = Math.max(newestApplied, entry.number);
         }
-        while (entries.size() > most) {
+        while (entries.size() > capacity) {
             Map.Entry<String, Entry> eldest = entries.entrySet().iterator().next();
-            forgotten = Math.max(forgotten, eldest.getValue().number);
+            newestEvicted = Math.max(newestEvicted, eldest.getValue().number);
             entries.remove(eldest.getKey());
         }
     }
--- a/src/main/java/honeygap/manage/Membership.java
+++ b/src/main/java/honeygap/manage/Membership.java
@@ -15,17 +15,17 @@
     public enum Standing { UNHEARD, ALIVE, SUSPECT }
 
     /** Suspicion beyond which an instance counts as silent. */
-    private static final double SUSPECT = 8;
+    private static final double SUSPICION_THRESHOLD = 8;
     /** Part of those heard of whose silence, begun together, tells of the manager rather than of them. */
-    private static final double CUT_OFF = 0.5;
-    private static final int CUT_OFF_LEAST = 3;
+    private static final double CUT_OFF_SHARE = 0.5;
+    private static final int CUT_OFF_MIN_MEMBERS = 3;
 
     /** One instance. */
     public static final class Member {
 
         public final String name;
         public long generation;
-        Suspicion suspicion;
+        PhiAccrualDetector heartbeats;
         private Standing standing = Standing.UNHEARD;
         /** Times that another process came under the name. */
         public int restarts;
@@ -39,64 +39,64 @@
         }
     }
 
-    private final long every;
+    private final long heartbeatInterval;
     private final Map<String, Member> members = new LinkedHashMap<>();
     private boolean isCutOff;
     private long now;
 
     /** Signs are asked for so often. */
-    public Membership(long every) {
-        this.every = every;
+    public Membership(long heartbeatInterval) {
+        this.heartbeatInterval = heartbeatInterval;
     }
 
-    public void now(long now) {
+    public void advanceTo(long now) {
         this.now = now;
-        judge();
+        evaluate();
     }
 
-    public Member joined(String name) {
+    public Member join(String name) {
         return members.computeIfAbsent(name, Member::new);
     }
 
-    public void left(String name) {
+    public void leave(String name) {
         members.remove(name);
     }
 
     /** An instance has given a sign. Whether it is another process than before. */
-    public boolean sign(String name, long generation) {
-        Member member = joined(name);
-        boolean isAnother = member.generation != 0 && member.generation != generation;
-        if (isAnother || member.suspicion == null) {
-            member.suspicion = new Suspicion(now, every);
-            member.restarts += isAnother ? 1 : 0;
+    public boolean recordHeartbeat(String name, long generation) {
+        Member member = join(name);
+        boolean isNewProcess = member.generation != 0 && member.generation != generation;
+        if (isNewProcess || member.heartbeats == null) {
+            member.heartbeats = new PhiAccrualDetector(now, heartbeatInterval);
+            member.restarts += isNewProcess ? 1 : 0;
         } else if (isCutOff) {
             // The time in which nobody could be heard says nothing of this one.
-            member.suspicion = new Suspicion(now, every);
+            member.heartbeats = new PhiAccrualDetector(now, heartbeatInterval);
         } else {
-            member.suspicion.sign(now);
+            member.heartbeats.recordHeartbeat(now);
         }
         member.generation = generation;
         member.standing = Standing.ALIVE;
-        return isAnother;
+        return isNewProcess;
     }
 
-    private void judge() {
-        int heard = 0;
+    private void evaluate() {
+        int known = 0;
         int silent = 0;
         for (Member member : members.values()) {
-            if (member.suspicion != null) {
-                heard++;
-                silent += member.suspicion.level(now) > SUSPECT ? 1 : 0;
+            if (member.heartbeats != null) {
+                known++;
+                silent += member.heartbeats.suspicionLevel(now) > SUSPICION_THRESHOLD ? 1 : 0;
             }
         }
-        long before = members.values().stream().filter(member -> member.standing == Standing.SUSPECT).count();
+        long alreadySuspect = members.values().stream().filter(member -> member.standing == Standing.SUSPECT).count();
         // Those suspected before do not count: only what falls silent together tells of this end.
-        isCutOff = heard - before >= CUT_OFF_LEAST && silent - before > CUT_OFF * (heard - before);
+        isCutOff = known - alreadySuspect >= CUT_OFF_MIN_MEMBERS && silent - alreadySuspect > CUT_OFF_SHARE * (known - alreadySuspect);
         if (isCutOff) {
             return;
         }
         for (Member member : members.values()) {
-            if (member.suspicion != null && member.suspicion.level(now) > SUSPECT) {
+            if (member.heartbeats != null && member.heartbeats.suspicionLevel(now) > SUSPICION_THRESHOLD) {
                 member.standing = Standing.SUSPECT;
             }
         }
--- a/src/main/java/honeygap/manage/Operation.java
+++ b/src/main/java/honeygap/manage/Operation.java
@@ -22,23 +22,23 @@
     public final String action;
     public final String argument;
     /** How many may be on their way or out of service at once, all operations together. */
-    public final int atOnce;
+    public final int maxConcurrent;
     /** After so many steps that were surely not applied it stops; 0 is never. */
     public final int failuresToPause;
-    public final long askedAt;
+    public final long requestedAt;
     public final long deadline;
     final List<Step> steps = new ArrayList<>();
     State state = State.RUNNING;
 
-    public Operation(String id, long number, String action, String argument, List<String> instances, int atOnce,
-                     int failuresToPause, long askedAt, long deadline) {
+    public Operation(String id, long number, String action, String argument, List<String> instances, int maxConcurrent,
+                     int failuresToPause, long requestedAt, long deadline) {
         this.id = id;
         this.number = number;
         this.action = action;
         this.argument = argument;
-        this.atOnce = atOnce;
+        this.maxConcurrent = maxConcurrent;
         this.failuresToPause = failuresToPause;
-        this.askedAt = askedAt;
+        this.requestedAt = requestedAt;
         this.deadline = deadline;
         instances.forEach(instance -> steps.add(new Step(instance)));
     }
@@ -56,41 +56,41 @@
     }
 
     /** Whether it is the same command, whoever gave it another id. */
-    boolean isSame(String action, String argument, List<String> instances) {
+    boolean isSameCommand(String action, String argument, List<String> instances) {
         return this.action.equals(action) && this.argument.equals(argument)
                 && steps.stream().map(step -> step.instance).toList().equals(instances);
     }
 
     /** One of its steps, as it is written down. */
-    public record WrittenStep(String instance, Step.State state, long generation, int tries, String word) { }
+    public record StepSnapshot(String instance, Step.State state, long generation, int attempts, String detail) { }
 
     /** All of it, as it is written down. */
-    public record Written(String id, long number, String action, String argument, int atOnce, int failuresToPause,
-                          long askedAt, long deadline, State state, List<WrittenStep> steps) { }
+    public record Snapshot(String id, long number, String action, String argument, int maxConcurrent, int failuresToPause,
+                          long requestedAt, long deadline, State state, List<StepSnapshot> steps) { }
 
-    public Written written() {
-        return new Written(id, number, action, argument, atOnce, failuresToPause, askedAt, deadline, state,
-                steps.stream().map(step -> new WrittenStep(step.instance, step.state, step.generation, step.tries,
-                        step.word)).toList());
+    public Snapshot snapshot() {
+        return new Snapshot(id, number, action, argument, maxConcurrent, failuresToPause, requestedAt, deadline, state,
+                steps.stream().map(step -> new StepSnapshot(step.instance, step.state, step.generation, step.attempts,
+                        step.detail)).toList());
     }
 
-    public static Operation of(Written written) {
-        return restored(written, written.askedAt);
+    public static Operation of(Snapshot snapshot) {
+        return restored(snapshot, snapshot.requestedAt);
     }
 
     /** The same with its whole time from then on. */
-    static Operation restored(Written written, long askedAt) {
-        Operation operation = new Operation(written.id, written.number, written.action, written.argument,
-                written.steps.stream().map(step -> step.instance).toList(), written.atOnce, written.failuresToPause,
-                askedAt, askedAt + written.deadline - written.askedAt);
-        operation.state = written.state;
-        for (int i = 0; i < written.steps.size(); i++) {
-            WrittenStep from = written.steps.get(i);
+    static Operation restored(Snapshot snapshot, long requestedAt) {
+        Operation operation = new Operation(snapshot.id, snapshot.number, snapshot.action, snapshot.argument,
+                snapshot.steps.stream().map(step -> step.instance).toList(), snapshot.maxConcurrent, snapshot.failuresToPause,
+                requestedAt, requestedAt + snapshot.deadline - snapshot.requestedAt);
+        operation.state = snapshot.state;
+        for (int i = 0; i < snapshot.steps.size(); i++) {
+            StepSnapshot source = snapshot.steps.get(i);
             Step step = operation.steps.get(i);
-            step.state = from.state;
-            step.generation = from.generation;
-            step.tries = from.tries;
-            step.word = from.word;
+            step.state = source.state;
+            step.generation = source.generation;
+            step.attempts = source.attempts;
+            step.detail = source.detail;
         }
         return operation;
     }
--- /dev/null
+++ b/src/main/java/honeygap/manage/PhiAccrualDetector.java
@@ -0,0 +1,58 @@
+package honeygap.manage;
+
+/**
+ * How much an instance is to be suspected, by how long it has given no sign against how long signs usually take: the
+ * accrual detector of Hayashibara and others (2004), with a normal distribution of the times between signs. The level
+ * is minus the common logarithm of the chance that a sign still comes: 1 is wrong once in ten, 8 once in 10^8.
+ */
+public final class PhiAccrualDetector {
+
+    private static final int WINDOW = 64;
+    /** Of the mean: no distribution is taken for narrower, or one late sign would convict. */
+    private static final double MIN_RELATIVE_DEVIATION = 0.25;
+    private static final double MAX_LEVEL = 100;
+
+    private final long[] intervals = new long[WINDOW];
+    private int count;
+    private double sum;
+    private double sumOfSquares;
+    private long lastHeartbeatAt;
+
+    /** The first signs are expected so many tenths of a millisecond apart. */
+    public PhiAccrualDetector(long now, long expectedInterval) {
+        lastHeartbeatAt = now;
+        addInterval(expectedInterval);
+    }
+
+    private void addInterval(long interval) {
+        int index = count % WINDOW;
+        if (count >= WINDOW) {
+            sum -= intervals[index];
+            sumOfSquares -= (double) intervals[index] * intervals[index];
+        }
+        intervals[index] = interval;
+        sum += interval;
+        sumOfSquares += (double) interval * interval;
+        count++;
+    }
+
+    public void recordHeartbeat(long now) {
+        addInterval(Math.max(0, now - lastHeartbeatAt));
+        lastHeartbeatAt = now;
+    }
+
+    public long lastHeartbeatAt() {
+        return lastHeartbeatAt;
+    }
+
+    public double suspicionLevel(long now) {
+        int n = Math.min(count, WINDOW);
+        double mean = sum / n;
+        double deviation = Math.max(MIN_RELATIVE_DEVIATION * mean, Math.sqrt(Math.max(0, sumOfSquares / n - mean * mean)));
+        double x = (now - lastHeartbeatAt - mean) / Math.max(1, deviation);
+        // The tail of the normal distribution, by its logistic approximation (Bowling and others, 2009).
+        double e = Math.exp(-x * (1.5976 + 0.070566 * x * x));
+        double tail = x > 0 ? e / (1 + e) : 1 - 1 / (1 + e);
+        return tail <= 0 ? MAX_LEVEL : Math.min(MAX_LEVEL, -Math.log10(tail));
+    }
+}
--- a/src/main/java/honeygap/manage/Step.java
+++ b/src/main/java/honeygap/manage/Step.java
@@ -25,11 +25,11 @@
     State state = State.PLANNED;
     /** The generation that it was sent to; 0 before that. */
     long generation;
-    int tries;
-    long dueAt;
+    int attempts;
+    long nextAttemptAt;
     /** When what is on its way counts as unknown. */
-    long patienceAt;
-    String word = "";
+    long answerDeadline;
+    String detail = "";
 
     Step(String instance) {
         this.instance = instance;
@@ -40,7 +40,7 @@
     }
 
     /** What the instance, or the manager for want of a word of it, said in the end. */
-    public String word() {
-        return word;
+    public String detail() {
+        return detail;
     }
 }
--- a/src/main/java/honeygap/manage/host/FleetSheet.java
+++ b/src/main/java/honeygap/manage/host/FleetSheet.java
@@ -14,43 +14,43 @@
 public final class FleetSheet {
 
     /** An agent: where its door is, and labels by which it can be chosen. */
-    public record Instance(String name, InetSocketAddress door, Map<String, String> labels) { }
+    public record Instance(String name, InetSocketAddress adminEndpoint, Map<String, String> labels) { }
 
     public final InetSocketAddress listen;
-    public final Path store;
+    public final Path storeFile;
     public final String tokenFile;
-    public final long every;
-    public final long answerWithin;
+    public final long pollInterval;
+    public final long answerTimeout;
     public final List<Instance> instances = new ArrayList<>();
 
-    private FleetSheet(Sheet sheet) {
-        listen = sheet.address("listen");
-        store = Path.of(sheet.text("store", null) + "");
-        tokenFile = sheet.text("tokenFile", "");
-        every = sheet.duration("every", "1s");
-        answerWithin = sheet.duration("answerWithin", "1.5s");
-        for (Sheet one : sheet.parts("instances")) {
+    private FleetSheet(Sheet input) {
+        listen = input.address("listen");
+        storeFile = Path.of(input.text("store", null) + "");
+        tokenFile = input.text("tokenFile", "");
+        pollInterval = input.duration("every", "1s");
+        answerTimeout = input.duration("answerWithin", "1.5s");
+        for (Sheet entry : input.parts("instances")) {
             Map<String, String> labels = new LinkedHashMap<>();
-            String name = one.text("name", null);
-            InetSocketAddress door = one.address("door");
-            one.part("labels").each(labels::put);
+            String name = entry.text("name", null);
+            InetSocketAddress adminEndpoint = entry.address("door");
+            entry.part("labels").each(labels::put);
             if (instances.stream().anyMatch(other -> other.name.equals(name))) {
-                one.fault("name", "a name of its own");
+                entry.fault("name", "a name of its own");
             }
             labels.put("name", name);
-            instances.add(new Instance(name, door, labels));
-            one.end();
+            instances.add(new Instance(name, adminEndpoint, labels));
+            entry.end();
         }
-        sheet.end();
+        input.end();
     }
 
     /** Reads the whole of it; all that is wrong is told at once, a line each. */
     public static FleetSheet of(Fields fields) throws Malformed {
-        Sheet sheet = new Sheet(fields);
-        FleetSheet read = new FleetSheet(sheet);
-        if (!sheet.noted().isEmpty()) {
-            throw new Malformed(String.join("\n", sheet.noted()));
+        Sheet input = new Sheet(fields);
+        FleetSheet settings = new FleetSheet(input);
+        if (!input.noted().isEmpty()) {
+            throw new Malformed(String.join("\n", input.noted()));
         }
-        return read;
+        return settings;
     }
 }
--- a/src/main/java/honeygap/manage/host/Log.java
+++ b/src/main/java/honeygap/manage/host/OperationStore.java
@@ -17,13 +17,13 @@
 import org.h2.mvstore.MVStoreException;
 
 /** Operations on disk, by their numbers, in an embedded store: what is kept is there after any crash. */
-public final class Log implements AutoCloseable {
+public final class OperationStore implements AutoCloseable {
 
     private final Path file;
     private MVStore store;
     private MVMap<Long, String> operations;
 
-    public Log(Path file) {
+    public OperationStore(Path file) {
         this.file = file;
         open();
     }
@@ -37,10 +37,10 @@
      * Comes back once it is on the disk. A store closes itself when a write fails, and what was put into it would go with
      * the next one: it is opened anew from what the disk has, at once or, while that fails too, at the next call.
      */
-    public void keep(Operation.Written written) throws IOException {
+    public void save(Operation.Snapshot snapshot) throws IOException {
         try {
             reopen();
-            operations.put(written.number(), json(written));
+            operations.put(snapshot.number(), toJson(snapshot));
             store.commit();
             store.sync();
         } catch (MVStoreException e) {
@@ -56,20 +56,20 @@
     }
 
     /** All that is kept, oldest first. */
-    public List<Operation.Written> read() throws IOException {
+    public List<Operation.Snapshot> loadAll() throws IOException {
         reopen();
-        List<Operation.Written> all = new ArrayList<>();
-        for (String words : operations.values()) {
-            all.add(read(words));
+        List<Operation.Snapshot> snapshots = new ArrayList<>();
+        for (String json : operations.values()) {
+            snapshots.add(parse(json));
         }
-        return all;
+        return snapshots;
     }
 
     /** Forgets what has ended and is older than the newest so many; the file shrinks. */
-    public void compact(int kept) throws IOException {
+    public void compact(int retained) throws IOException {
         reopen();
         for (Long number : List.copyOf(operations.keySet())) {
-            if (operations.size() > kept && !Operation.of(read(operations.get(number))).isOpen()) {
+            if (operations.size() > retained && !Operation.of(parse(operations.get(number))).isOpen()) {
                 operations.remove(number);
             }
         }
@@ -77,44 +77,44 @@
         store.compactFile(1000);
     }
 
-    static String json(Operation.Written written) throws IOException {
-        StringWriter words = new StringWriter();
-        try (JsonGenerator out = new JsonFactory().createGenerator(words)) {
+    static String toJson(Operation.Snapshot snapshot) throws IOException {
+        StringWriter text = new StringWriter();
+        try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
-            out.writeStringField("id", written.id());
-            out.writeNumberField("number", written.number());
-            out.writeStringField("action", written.action());
-            out.writeStringField("argument", written.argument());
-            out.writeNumberField("atOnce", written.atOnce());
-            out.writeNumberField("failuresToPause", written.failuresToPause());
-            out.writeNumberField("askedAt", written.askedAt());
-            out.writeNumberField("deadline", written.deadline());
-            out.writeStringField("state", written.state().name());
+            out.writeStringField("id", snapshot.id());
+            out.writeNumberField("number", snapshot.number());
+            out.writeStringField("action", snapshot.action());
+            out.writeStringField("argument", snapshot.argument());
+            out.writeNumberField("atOnce", snapshot.maxConcurrent());
+            out.writeNumberField("failuresToPause", snapshot.failuresToPause());
+            out.writeNumberField("askedAt", snapshot.requestedAt());
+            out.writeNumberField("deadline", snapshot.deadline());
+            out.writeStringField("state", snapshot.state().name());
             out.writeArrayFieldStart("steps");
-            for (Operation.WrittenStep step : written.steps()) {
+            for (Operation.StepSnapshot step : snapshot.steps()) {
                 out.writeStartObject();
                 out.writeStringField("instance", step.instance());
                 out.writeStringField("state", step.state().name());
                 out.writeStringField("generation", Long.toString(step.generation()));
-                out.writeNumberField("tries", step.tries());
-                out.writeStringField("word", step.word());
+                out.writeNumberField("tries", step.attempts());
+                out.writeStringField("word", step.detail());
                 out.writeEndObject();
             }
             out.writeEndArray();
             out.writeEndObject();
         }
-        return words.toString();
+        return text.toString();
     }
 
-    static Operation.Written read(String words) throws IOException {
-        try (JsonParser parser = new JsonFactory().createParser(words)) {
+    static Operation.Snapshot parse(String json) throws IOException {
+        try (JsonParser parser = new JsonFactory().createParser(json)) {
             Fields fields = Fields.document(parser);
-            List<Operation.WrittenStep> steps = new ArrayList<>();
+            List<Operation.StepSnapshot> steps = new ArrayList<>();
             for (Fields step : fields.objects("steps")) {
-                steps.add(new Operation.WrittenStep(step.text("instance"), Step.State.valueOf(step.text("state")),
+                steps.add(new Operation.StepSnapshot(step.text("instance"), Step.State.valueOf(step.text("state")),
                         Long.parseLong(step.text("generation")), step.index("tries"), step.text("word")));
             }
-            return new Operation.Written(fields.text("id"), fields.whole("number"), fields.text("action"),
+            return new Operation.Snapshot(fields.text("id"), fields.whole("number"), fields.text("action"),
                     fields.text("argument"), fields.index("atOnce"), fields.index("failuresToPause"),
                     fields.whole("askedAt"), fields.whole("deadline"),
                     Operation.State.valueOf(fields.text("state")), steps);
--- a/src/main/java/honeygap/manage/host/Selector.java
+++ b/src/main/java/honeygap/manage/host/Selector.java
@@ -20,7 +20,7 @@
      *
      * @throws IllegalArgumentException with the column where it can't be read
      */
-    public static Predicate<Map<String, String>> of(String words) {
+    public static Predicate<Map<String, String>> of(String text) {
         BaseErrorListener errors = new BaseErrorListener() {
             @Override
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
@@ -29,26 +29,26 @@
                         + ": expected parts such as location=east, with commas between");
             }
         };
-        SelectLexer lexer = new SelectLexer(CharStreams.fromString(words));
+        SelectLexer lexer = new SelectLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
         lexer.addErrorListener(errors);
         SelectParser parser = new SelectParser(new CommonTokenStream(lexer));
         parser.removeErrorListeners();
         parser.addErrorListener(errors);
-        Predicate<Map<String, String>> all = labels -> true;
+        Predicate<Map<String, String>> predicate = labels -> true;
         for (SelectParser.PartContext part : parser.whole().part()) {
             String name = part.name.getText();
-            String sign = part.sign.getText();
+            String operator = part.sign.getText();
             String value = part.value.getText();
-            all = all.and(labels -> labels.containsKey(name) ? holds(labels.get(name), sign, value)
-                    : sign.equals("!="));
+            predicate = predicate.and(labels -> labels.containsKey(name) ? matches(labels.get(name), operator, value)
+                    : operator.equals("!="));
         }
-        return all;
+        return predicate;
     }
 
-    private static boolean holds(String there, String sign, String value) {
-        boolean areNumbers = there.matches("-?[0-9]{1,15}") && value.matches("-?[0-9]{1,15}");
-        int order = areNumbers ? Long.compare(Long.parseLong(there), Long.parseLong(value)) : there.compareTo(value);
-        return Signs.holds(sign, order);
+    private static boolean matches(String actual, String operator, String expected) {
+        boolean areNumbers = actual.matches("-?[0-9]{1,15}") && expected.matches("-?[0-9]{1,15}");
+        int order = areNumbers ? Long.compare(Long.parseLong(actual), Long.parseLong(expected)) : actual.compareTo(expected);
+        return Signs.holds(operator, order);
     }
 }
--- a/src/main/java/honeygap/share/exchange/Message.java
+++ b/src/main/java/honeygap/share/exchange/Message.java
@@ -1,7 +1,7 @@
 package honeygap.share.exchange;
 
-import honeygap.share.table.Known;
-import honeygap.share.table.Parcel;
+import honeygap.share.table.DigestEntry;
+import honeygap.share.table.Delta;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -12,19 +12,19 @@
  * @param from the sender
  * @param version of the form that the sender speaks
  */
-public record Message(String from, int version, Map<String, Part> parts) {
+public record Message(String from, int version, Map<String, TableSection> sections) {
 
     /** The version of the form spoken here. */
     public static final int VERSION = 1;
 
     /** Either may be empty. */
-    public record Part(List<Known> digest, List<Parcel> parcels) { }
+    public record TableSection(List<DigestEntry> digest, List<Delta> deltas) { }
 
     public static Message of(String from) {
         return new Message(from, VERSION, new LinkedHashMap<>());
     }
 
-    public boolean isNewer() {
+    public boolean hasNewerVersion() {
         return version > VERSION;
     }
 }
--- /dev/null
+++ b/src/main/java/honeygap/share/exchange/PartnerSelector.java
@@ -0,0 +1,52 @@
+package honeygap.share.exchange;
+
+import honeygap.share.member.Peer;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import org.apache.commons.rng.UniformRandomProvider;
+
+/**
+ * With whom does this process exchange in a round? One drawn from its own site and one from another, so that what a site
+ * knows crosses to the others each round, however many processes it has. Every few rounds one that is held for dead is
+ * tried too: where a cut has healed nobody else would find out.
+ */
+public final class PartnerSelector {
+
+    private static final int DEAD_PEER_ROUND_INTERVAL = 4;
+
+    private final String localSite;
+    private final UniformRandomProvider random;
+    private long roundCount;
+
+    public PartnerSelector(String localSite, UniformRandomProvider random) {
+        this.localSite = localSite;
+        this.random = random;
+    }
+
+    public List<Peer> select(Collection<Peer> peers) {
+        List<Peer> localPeers = new ArrayList<>();
+        List<Peer> remotePeers = new ArrayList<>();
+        List<Peer> deadPeers = new ArrayList<>();
+        for (Peer peer : peers) {
+            if (peer.standing() == Peer.Standing.DEAD) {
+                deadPeers.add(peer);
+            } else if (peer.standing() != Peer.Standing.LEFT) {
+                (peer.site.equals(localSite) ? localPeers : remotePeers).add(peer);
+            }
+        }
+        List<Peer> selected = new ArrayList<>();
+        addRandom(localPeers, selected);
+        addRandom(remotePeers, selected);
+        if (roundCount++ % DEAD_PEER_ROUND_INTERVAL == 0) {
+            addRandom(deadPeers, selected);
+        }
+        return selected;
+    }
+
+    private void addRandom(List<Peer> candidates, List<Peer> selected) {
+        if (!candidates.isEmpty()) {
+            selected.add(candidates.get(random.nextInt(candidates.size())));
+        }
+    }
+}
--- a/src/main/java/honeygap/share/host/Calls.java
+++ b/src/main/java/honeygap/share/host/PeerClient.java
@@ -1,7 +1,7 @@
 package honeygap.share.host;
 
 import honeygap.read.Malformed;
-import honeygap.share.exchange.Form;
+import honeygap.share.exchange.MessageCodec;
 import honeygap.share.exchange.Message;
 import java.io.IOException;
 import java.io.InputStream;
@@ -14,40 +14,40 @@
 import java.time.Duration;
 
 /** Calls to the doors of other processes, each bounded in time and in what it reads. From workers only. */
-final class Calls {
+final class PeerClient {
 
     private final HttpClient client;
     private final String token;
-    private final int longest;
+    private final int maxResponseBytes;
 
     /** The token opens the doors; it may be empty. Answers longer than so many bytes are a fault; no proxy is null. */
-    Calls(String token, long connectWithin, int longest, InetSocketAddress proxy) {
+    PeerClient(String token, long connectTimeout, int maxResponseBytes, InetSocketAddress proxy) {
         this.token = token;
-        this.longest = longest;
-        HttpClient.Builder made = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(Duration.ofMillis(connectWithin / 10));
-        client = (proxy == null ? made : made.proxy(ProxySelector.of(proxy))).build();
+        this.maxResponseBytes = maxResponseBytes;
+        HttpClient.Builder builder = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(Duration.ofMillis(connectTimeout / 10));
+        client = (proxy == null ? builder : builder.proxy(ProxySelector.of(proxy))).build();
     }
 
     /** Sends a message and reads the one that answers it. Times are tenths of a millisecond. */
-    Message call(String address, String path, Message message, long within)
+    Message call(String address, String path, Message message, long timeout)
             throws IOException, InterruptedException, Malformed {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + address + path))
-                .timeout(Duration.ofMillis(Math.max(1, within / 10)))
-                .POST(HttpRequest.BodyPublishers.ofByteArray(Form.write(message)));
+                .timeout(Duration.ofMillis(Math.max(1, timeout / 10)))
+                .POST(HttpRequest.BodyPublishers.ofByteArray(MessageCodec.write(message)));
         if (!token.isEmpty()) {
             request.header("Authorization", "Bearer " + token);
         }
-        HttpResponse<InputStream> answer = client.send(request.build(), HttpResponse.BodyHandlers.ofInputStream());
-        try (InputStream in = answer.body()) {
-            byte[] body = in.readNBytes(longest + 1);
-            if (body.length > longest) {
-                throw new Malformed(address + " answers more than " + longest + " bytes");
+        HttpResponse<InputStream> response = client.send(request.build(), HttpResponse.BodyHandlers.ofInputStream());
+        try (InputStream input = response.body()) {
+            byte[] body = input.readNBytes(maxResponseBytes + 1);
+            if (body.length > maxResponseBytes) {
+                throw new Malformed(address + " answers more than " + maxResponseBytes + " bytes");
             }
-            if (answer.statusCode() != 200) {
-                throw new Malformed(address + " answers " + answer.statusCode());
+            if (response.statusCode() != 200) {
+                throw new Malformed(address + " answers " + response.statusCode());
             }
-            return Form.read(body);
+            return MessageCodec.read(body);
         }
     }
 }
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -5,23 +5,23 @@
 import honeygap.net.door.Aside;
 import honeygap.net.http.Refusal;
 import honeygap.read.Malformed;
-import honeygap.share.exchange.Form;
+import honeygap.share.exchange.MessageCodec;
 import honeygap.share.exchange.Message;
-import honeygap.share.exchange.Partners;
-import honeygap.share.lock.Discipline;
+import honeygap.share.exchange.PartnerSelector;
+import honeygap.share.lock.LockMonitor;
 import honeygap.share.lock.Rank;
 import honeygap.share.lock.RankedLock;
-import honeygap.share.member.Members;
+import honeygap.share.member.FailureDetector;
 import honeygap.share.member.Peer;
-import honeygap.share.table.Held;
-import honeygap.share.table.Known;
-import honeygap.share.table.Life;
-import honeygap.share.table.Parcel;
-import honeygap.share.table.Table;
-import honeygap.share.table.Tally;
-import honeygap.share.work.Budget;
-import honeygap.share.work.Kind;
-import honeygap.share.work.Workers;
+import honeygap.share.table.StoredEntry;
+import honeygap.share.table.DigestEntry;
+import honeygap.share.table.ProcessIdentity;
+import honeygap.share.table.Delta;
+import honeygap.share.table.ReplicatedTable;
+import honeygap.share.table.MergeCounts;
+import honeygap.share.work.WorkLimits;
+import honeygap.share.work.WorkKind;
+import honeygap.share.work.WorkerPool;
 import honeygap.spread.Others;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -50,54 +50,54 @@
     /** Tables by name: who is there, whom each suspects, and what each has out at appliances. */
     private static final String MEMBERS = "members", SUSPECTS = "suspects", LOAD = "load";
     private static final String PROBE = "/v1/share/probe", RELAY = "/v1/share/relay/", EXCHANGE = "/v1/share/exchange";
-    private static final int HELPERS = 3;
-    private static final int ASKED_MOST = 64;
-    private static final int BOX = 4;
-    private static final long LOCK_LONGEST_NS = 200_000_000;
+    private static final int INDIRECT_PROBERS = 3;
+    private static final int REQUEST_QUEUE_CAPACITY = 64;
+    private static final int LOAD_QUEUE_CAPACITY = 4;
+    private static final long MAX_LOCK_HOLD_NS = 200_000_000;
     /** Digests may take as much again as entries. */
-    private static final int BODY = 4;
+    private static final int BODY_SIZE_FACTOR = 4;
 
-    private final SitesSheet sheet;
-    private final Life life;
-    private final Discipline discipline = new Discipline(LOCK_LONGEST_NS);
-    private final RankedLock membersLock = new RankedLock(Rank.MEMBERS, discipline);
-    private final RankedLock loadLock = new RankedLock(Rank.LOAD, discipline);
-    private final RankedLock partnersLock = new RankedLock(Rank.PARTNERS, discipline);
-    private final Map<String, Table> tables = new LinkedHashMap<>();
-    private final Members members;
-    private final Partners partners;
-    private final Workers workers;
-    private final Calls calls;
-    private final ScheduledExecutorService rounds = Executors.newSingleThreadScheduledExecutor(daemon("rounds"));
-    private final ThreadPoolExecutor asked = new ThreadPoolExecutor(1, 1, 1, TimeUnit.MINUTES,
-            new ArrayBlockingQueue<>(ASKED_MOST), daemon("asked"));
-    private final ArrayBlockingQueue<Map<String, Integer>> box = new ArrayBlockingQueue<>(BOX);
-    private volatile Map<String, Double> others = Map.of();
-    private volatile String address;
-    private final AtomicLong boxFull = new AtomicLong(), spoilt = new AtomicLong(), newer = new AtomicLong();
-    private final AtomicLong unreached = new AtomicLong(), exchanged = new AtomicLong(), busy = new AtomicLong();
-    private final AtomicLong beyond = new AtomicLong(), sent = new AtomicLong();
+    private final SitesSheet settings;
+    private final ProcessIdentity identity;
+    private final LockMonitor lockMonitor = new LockMonitor(MAX_LOCK_HOLD_NS);
+    private final RankedLock membersLock = new RankedLock(Rank.MEMBERS, lockMonitor);
+    private final RankedLock loadLock = new RankedLock(Rank.LOAD, lockMonitor);
+    private final RankedLock partnersLock = new RankedLock(Rank.PARTNERS, lockMonitor);
+    private final Map<String, ReplicatedTable> tables = new LinkedHashMap<>();
+    private final FailureDetector failureDetector;
+    private final PartnerSelector partnerSelector;
+    private final WorkerPool workerPool;
+    private final PeerClient peerClient;
+    private final ScheduledExecutorService roundExecutor = Executors.newSingleThreadScheduledExecutor(daemonThreads("rounds"));
+    private final ThreadPoolExecutor requestExecutor = new ThreadPoolExecutor(1, 1, 1, TimeUnit.MINUTES,
+            new ArrayBlockingQueue<>(REQUEST_QUEUE_CAPACITY), daemonThreads("asked"));
+    private final ArrayBlockingQueue<Map<String, Integer>> pendingLoads = new ArrayBlockingQueue<>(LOAD_QUEUE_CAPACITY);
+    private volatile Map<String, Double> remoteLoads = Map.of();
+    private volatile String ownAddress;
+    private final AtomicLong droppedLoads = new AtomicLong(), malformedMessages = new AtomicLong(), newerVersionMessages = new AtomicLong();
+    private final AtomicLong failedCalls = new AtomicLong(), completedExchanges = new AtomicLong(), rejectedRequests = new AtomicLong();
+    private final AtomicLong loadsOutOfBounds = new AtomicLong(), answeredBytes = new AtomicLong();
 
     /** The generation tells this life from earlier ones; the token opens others' doors and may be empty. */
-    public Sites(SitesSheet sheet, long generation, String token) {
-        this.sheet = sheet;
-        life = new Life(sheet.name, generation);
-        long now = clock();
+    public Sites(SitesSheet settings, long generation, String token) {
+        this.settings = settings;
+        identity = new ProcessIdentity(settings.name, generation);
+        long now = monotonicTime();
         for (String name : new String[] {MEMBERS, SUSPECTS, LOAD}) {
-            tables.put(name, new Table(name, life, now, sheet.bounds));
+            tables.put(name, new ReplicatedTable(name, identity, now, settings.limits));
         }
-        var chance = RandomSource.XO_RO_SHI_RO_128_PP.create(generation);
-        members = new Members(sheet.name, sheet.every, now, chance);
-        partners = new Partners(sheet.site, RandomSource.XO_RO_SHI_RO_128_PP.create(generation + 1));
-        Map<Kind, Budget> budgets = new EnumMap<>(Kind.class);
-        for (Kind kind : Kind.values()) {
-            budgets.put(kind, new Budget(Math.max(1, sheet.workers - 1), 2 * sheet.workers, sheet.every, 2 * sheet.every));
+        var random = RandomSource.XO_RO_SHI_RO_128_PP.create(generation);
+        failureDetector = new FailureDetector(settings.name, settings.roundInterval, now, random);
+        partnerSelector = new PartnerSelector(settings.site, RandomSource.XO_RO_SHI_RO_128_PP.create(generation + 1));
+        Map<WorkKind, WorkLimits> budgets = new EnumMap<>(WorkKind.class);
+        for (WorkKind kind : WorkKind.values()) {
+            budgets.put(kind, new WorkLimits(Math.max(1, settings.workerThreads - 1), 2 * settings.workerThreads, settings.roundInterval, 2 * settings.roundInterval));
         }
-        workers = new Workers(sheet.workers, budgets, Sites::clock, discipline);
-        calls = new Calls(token, sheet.answerWithin, BODY * sheet.roundBytes, sheet.proxy);
+        workerPool = new WorkerPool(settings.workerThreads, budgets, Sites::monotonicTime, lockMonitor);
+        peerClient = new PeerClient(token, settings.answerTimeout, BODY_SIZE_FACTOR * settings.maxRoundBytes, settings.proxy);
     }
 
-    private static java.util.concurrent.ThreadFactory daemon(String name) {
+    private static java.util.concurrent.ThreadFactory daemonThreads(String name) {
         return task -> {
             Thread thread = new Thread(null, task, name, 1 << 18);
             thread.setDaemon(true);
@@ -105,118 +105,118 @@
         };
     }
 
-    private static long clock() {
+    private static long monotonicTime() {
         return System.nanoTime() / 100_000;
     }
 
     /** From then on others may come: the door listens there. */
-    public void start(InetSocketAddress door) {
-        InetSocketAddress at = sheet.advertise == null ? door : sheet.advertise;
-        address = at.getAddress().getHostAddress() + ":" + at.getPort();
-        rounds.scheduleAtFixedRate(this::round, 0, Math.max(1, sheet.every / 10), TimeUnit.MILLISECONDS);
+    public void start(InetSocketAddress listenAddress) {
+        InetSocketAddress reachableAddress = settings.advertise == null ? listenAddress : settings.advertise;
+        ownAddress = reachableAddress.getAddress().getHostAddress() + ":" + reachableAddress.getPort();
+        roundExecutor.scheduleAtFixedRate(this::runRound, 0, Math.max(1, settings.roundInterval / 10), TimeUnit.MILLISECONDS);
     }
 
     @Override
     public long every() {
-        return sheet.every;
+        return settings.roundInterval;
     }
 
     /** One too many is dropped and counted. */
     @Override
-    public void figures(Map<String, Integer> out) {
-        if (!box.offer(out)) {
-            boxFull.incrementAndGet();
+    public void figures(Map<String, Integer> loads) {
+        if (!pendingLoads.offer(loads)) {
+            droppedLoads.incrementAndGet();
         }
     }
 
     @Override
     public Map<String, Double> others() {
-        return others;
+        return remoteLoads;
     }
 
-    private void round() {
+    private void runRound() {
         try {
-            List<Peer> draw = new ArrayList<>();
-            Peer target = membersLock.hold(() -> {
-                long now = clock();
-                tables.get(MEMBERS).now(now);
-                tables.get(SUSPECTS).now(now);
-                members.now(now);
-                tell();
-                draw.addAll(members.peers());
-                return members.target();
+            List<Peer> peers = new ArrayList<>();
+            Peer target = membersLock.callLocked(() -> {
+                long now = monotonicTime();
+                tables.get(MEMBERS).setNow(now);
+                tables.get(SUSPECTS).setNow(now);
+                failureDetector.setNow(now);
+                publishMembership();
+                peers.addAll(failureDetector.peers());
+                return failureDetector.nextProbeTarget();
             });
             if (target != null) {
-                workers.offer(Kind.PROBE, target.name, () -> probe(target));
+                workerPool.offer(WorkKind.PROBE, target.name, () -> probe(target));
             }
-            for (Peer partner : partnersLock.hold(() -> partners.draw(draw))) {
-                workers.offer(Kind.EXCHANGE, partner.name, () -> exchange(partner.name, partner.address));
+            for (Peer partner : partnersLock.callLocked(() -> partnerSelector.select(peers))) {
+                workerPool.offer(WorkKind.EXCHANGE, partner.name, () -> exchange(partner.name, partner.address));
             }
-            for (InetSocketAddress seed : sheet.seeds) {
-                String at = seed.getAddress().getHostAddress() + ":" + seed.getPort();
-                if (!at.equals(address) && draw.stream().noneMatch(peer -> peer.address.equals(at)
+            for (InetSocketAddress seed : settings.seeds) {
+                String seedAddress = seed.getAddress().getHostAddress() + ":" + seed.getPort();
+                if (!seedAddress.equals(ownAddress) && peers.stream().noneMatch(peer -> peer.address.equals(seedAddress)
                         && peer.standing() == Peer.Standing.ALIVE)) {
-                    workers.offer(Kind.EXCHANGE, at, () -> exchange(at, at));
+                    workerPool.offer(WorkKind.EXCHANGE, seedAddress, () -> exchange(seedAddress, seedAddress));
                 }
             }
-            workers.offer(Kind.EXPIRE, "", this::expire);
+            workerPool.offer(WorkKind.EXPIRE, "", this::expire);
         } catch (RuntimeException e) {
             Logger.error(e, "a round failed, gone on from");
         }
     }
 
     /** What this process says of itself and of those that it suspects; under the lock of members. */
-    private void tell() {
-        Table own = tables.get(MEMBERS);
-        own.put("self", members.incarnation() + " " + address + " " + sheet.site, sheet.bounds.ttl());
-        Table suspects = tables.get(SUSPECTS);
-        List<Peer> suspected = members.accusations();
-        suspects.retain(suspected.stream().map(peer -> peer.name).toList());
+    private void publishMembership() {
+        ReplicatedTable membersTable = tables.get(MEMBERS);
+        membersTable.put("self", failureDetector.incarnation() + " " + ownAddress + " " + settings.site, settings.limits.maxTtl());
+        ReplicatedTable suspects = tables.get(SUSPECTS);
+        List<Peer> suspected = failureDetector.suspectedPeers();
+        suspects.retainOnly(suspected.stream().map(peer -> peer.name).toList());
         for (Peer peer : suspected) {
-            suspects.put(peer.name, peer.generation + " " + peer.incarnation, sheet.bounds.ttl());
+            suspects.put(peer.name, peer.generation + " " + peer.incarnation, settings.limits.maxTtl());
         }
     }
 
     private void probe(Peer target) {
-        long within = membersLock.hold(() -> members.patience(sheet.answerWithin));
-        if (reaches(target.address, PROBE, within)) {
-            membersLock.run(() -> at(() -> members.answered(target.name, true)));
+        long timeout = membersLock.callLocked(() -> failureDetector.probeTimeout(settings.answerTimeout));
+        if (isReachable(target.address, PROBE, timeout)) {
+            membersLock.runLocked(() -> updateDetector(() -> failureDetector.probeSucceeded(target.name, true)));
             return;
         }
-        List<Peer> helpers = membersLock.hold(() -> new ArrayList<>(members.helpers(target.name, HELPERS)));
-        boolean heard = false;
+        List<Peer> helpers = membersLock.callLocked(() -> new ArrayList<>(failureDetector.indirectProbers(target.name, INDIRECT_PROBERS)));
+        boolean helperAnswered = false;
         for (Peer helper : helpers) {
             try {
-                discipline.mayWait("a relayed probe");
-                Message answer = calls.call(helper.address, RELAY + target.address, Message.of(sheet.name), 2 * within);
-                heard = true;
-                if (answer.parts().containsKey("reached")) {
-                    membersLock.run(() -> at(() -> members.answered(target.name, false)));
+                lockMonitor.beforeBlocking("a relayed probe");
+                Message answer = peerClient.call(helper.address, RELAY + target.address, Message.of(settings.name), 2 * timeout);
+                helperAnswered = true;
+                if (answer.sections().containsKey("reached")) {
+                    membersLock.runLocked(() -> updateDetector(() -> failureDetector.probeSucceeded(target.name, false)));
                     return;
                 }
             } catch (IOException | Malformed e) {
-                unreached.incrementAndGet();
+                failedCalls.incrementAndGet();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
         }
-        boolean others = heard;
-        membersLock.run(() -> at(() -> members.missed(target.name, others)));
+        boolean anyHelperAnswered = helperAnswered;
+        membersLock.runLocked(() -> updateDetector(() -> failureDetector.probeFailed(target.name, anyHelperAnswered)));
     }
 
-    private void at(Runnable told) {
-        members.now(clock());
-        told.run();
+    private void updateDetector(Runnable update) {
+        failureDetector.setNow(monotonicTime());
+        update.run();
     }
 
-    private boolean reaches(String at, String path, long within) {
+    private boolean isReachable(String targetAddress, String path, long timeout) {
         try {
-            discipline.mayWait("a probe");
-            calls.call(at, path, Message.of(sheet.name), within);
+            lockMonitor.beforeBlocking("a probe");
+            peerClient.call(targetAddress, path, Message.of(settings.name), timeout);
             return true;
         } catch (IOException | Malformed | IllegalArgumentException e) {
-            unreached.incrementAndGet();
+            failedCalls.incrementAndGet();
             return false;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -224,76 +224,76 @@
         }
     }
 
-    private RankedLock lock(String table) {
+    private RankedLock lockFor(String table) {
         return table.equals(LOAD) ? loadLock : membersLock;
     }
 
-    private <T> T with(String name, Supplier<T> task) {
-        return lock(name).hold(() -> {
-            tables.get(name).now(clock());
+    private <T> T withTable(String name, Supplier<T> task) {
+        return lockFor(name).callLocked(() -> {
+            tables.get(name).setNow(monotonicTime());
             return task.get();
         });
     }
 
     /** Digests there, what this one lacks back, and then what the other lacks. */
-    private void exchange(String name, String at) {
-        Message digests = Message.of(sheet.name);
+    private void exchange(String partnerName, String partnerAddress) {
+        Message digests = Message.of(settings.name);
         for (String table : tables.keySet()) {
-            digests.parts().put(table, new Message.Part(with(table, tables.get(table)::digest), List.of()));
+            digests.sections().put(table, new Message.TableSection(withTable(table, tables.get(table)::digest), List.of()));
         }
         try {
-            discipline.mayWait("an exchange");
-            long began = clock();
-            Message answer = calls.call(at, EXCHANGE, digests, 2 * sheet.answerWithin);
-            long underWay = clock() - began;
-            newer.addAndGet(answer.isNewer() ? 1 : 0);
-            Message more = Message.of(sheet.name);
-            for (Map.Entry<String, Message.Part> part : answer.parts().entrySet()) {
-                if (tables.containsKey(part.getKey())) {
-                    List<Parcel> lacking = with(part.getKey(), () -> {
-                        Table table = tables.get(part.getKey());
-                        table.take(part.getValue().parcels(), underWay);
-                        return table.lackingOf(part.getValue().digest(), sheet.roundBytes);
+            lockMonitor.beforeBlocking("an exchange");
+            long startedAt = monotonicTime();
+            Message answer = peerClient.call(partnerAddress, EXCHANGE, digests, 2 * settings.answerTimeout);
+            long roundTrip = monotonicTime() - startedAt;
+            newerVersionMessages.addAndGet(answer.hasNewerVersion() ? 1 : 0);
+            Message reply = Message.of(settings.name);
+            for (Map.Entry<String, Message.TableSection> section : answer.sections().entrySet()) {
+                if (tables.containsKey(section.getKey())) {
+                    List<Delta> deltas = withTable(section.getKey(), () -> {
+                        ReplicatedTable table = tables.get(section.getKey());
+                        table.merge(section.getValue().deltas(), roundTrip);
+                        return table.deltasForListedOwners(section.getValue().digest(), settings.maxRoundBytes);
                     });
-                    if (!lacking.isEmpty()) {
-                        more.parts().put(part.getKey(), new Message.Part(List.of(), lacking));
+                    if (!deltas.isEmpty()) {
+                        reply.sections().put(section.getKey(), new Message.TableSection(List.of(), deltas));
                     }
                 }
             }
-            hear();
-            if (!more.parts().isEmpty()) {
-                discipline.mayWait("an exchange");
-                calls.call(at, EXCHANGE, more, 2 * sheet.answerWithin);
+            updateMembership();
+            if (!reply.sections().isEmpty()) {
+                lockMonitor.beforeBlocking("an exchange");
+                peerClient.call(partnerAddress, EXCHANGE, reply, 2 * settings.answerTimeout);
             }
-            exchanged.incrementAndGet();
+            completedExchanges.incrementAndGet();
         } catch (Malformed e) {
-            spoilt.incrementAndGet();
-            Logger.debug("exchange with {}: {}", name, e.getMessage());
+            malformedMessages.incrementAndGet();
+            Logger.debug("exchange with {}: {}", partnerName, e.getMessage());
         } catch (IOException | IllegalArgumentException e) {
-            unreached.incrementAndGet();
+            failedCalls.incrementAndGet();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** What the tables of members now say goes to the one that judges. */
-    private void hear() {
-        membersLock.run(() -> {
-            members.now(clock());
-            tables.get(MEMBERS).each((owner, held) -> {
-                String[] words = held.entry().value().split(" ");
-                if (words.length >= 3 && words[0].matches("[0-9]{1,18}")) {
-                    members.listed(owner.name, owner.generation, Long.parseLong(words[0]), words[1], words[2]);
-                    members.heard(owner.name, held.writtenAt());
+    private void updateMembership() {
+        membersLock.runLocked(() -> {
+            failureDetector.setNow(monotonicTime());
+            tables.get(MEMBERS).forEachLive((owner, stored) -> {
+                String[] parts = stored.entry().value().split(" ");
+                if (parts.length >= 3 && parts[0].matches("[0-9]{1,18}")) {
+                    failureDetector.memberAnnounced(owner.name, owner.generation, Long.parseLong(parts[0]), parts[1], parts[2]);
+                    failureDetector.updateReceived(owner.name, stored.writtenAt());
                 }
             });
-            tables.get(SUSPECTS).each((owner, held) -> {
-                String[] words = held.entry().value().split(" ");
-                if (words.length >= 2 && words[0].matches("[0-9]{1,18}") && words[1].matches("[0-9]{1,18}")) {
-                    members.accused(owner.name, held.entry().name(), Long.parseLong(words[0]), Long.parseLong(words[1]));
+            tables.get(SUSPECTS).forEachLive((owner, stored) -> {
+                String[] parts = stored.entry().value().split(" ");
+                if (parts.length >= 2 && parts[0].matches("[0-9]{1,18}") && parts[1].matches("[0-9]{1,18}")) {
+                    failureDetector.suspicionReceived(owner.name, stored.entry().name(), Long.parseLong(parts[0]), Long.parseLong(parts[1]));
                 }
             });
-            for (Peer peer : members.judge()) {
+            for (Peer peer : failureDetector.evaluate()) {
                 Logger.info("{} at {} is {}", peer.name, peer.address, peer.standing());
             }
         });
@@ -302,41 +302,41 @@
     /** Takes the loop's figures out of the box, lets go of what no longer holds, and publishes. */
     private void expire() {
         Map<String, Integer> newest = null;
-        for (Map<String, Integer> figures = box.poll(); figures != null; figures = box.poll()) {
-            newest = figures;
+        for (Map<String, Integer> loads = pendingLoads.poll(); loads != null; loads = pendingLoads.poll()) {
+            newest = loads;
         }
-        Map<String, Integer> out = newest;
-        Others sums = new Others(sheet.bounds.ttl(), sheet.mostOut);
-        with(LOAD, () -> {
-            Table load = tables.get(LOAD);
-            if (out != null) {
-                load.retain(out.keySet());
-                out.forEach((appliance, many) -> load.put(appliance, Integer.toString(many), sheet.bounds.ttl()));
+        Map<String, Integer> loads = newest;
+        Others sums = new Others(settings.limits.maxTtl(), settings.maxInFlight);
+        withTable(LOAD, () -> {
+            ReplicatedTable loadTable = tables.get(LOAD);
+            if (loads != null) {
+                loadTable.retainOnly(loads.keySet());
+                loads.forEach((appliance, inFlight) -> loadTable.put(appliance, Integer.toString(inFlight), settings.limits.maxTtl()));
             }
-            load.expire();
-            long now = clock();
-            load.each((owner, held) -> {
-                if (!owner.name.equals(sheet.name)) {
-                    sums.told(held.entry().name(), number(held), now - held.writtenAt());
+            loadTable.expire();
+            long now = monotonicTime();
+            loadTable.forEachLive((owner, stored) -> {
+                if (!owner.name.equals(settings.name)) {
+                    sums.told(stored.entry().name(), parseLoad(stored), now - stored.writtenAt());
                 }
             });
             return null;
         });
-        others = sums.sums();
-        beyond.addAndGet(sums.beyond());
-        membersLock.run(() -> {
-            long now = clock();
+        remoteLoads = sums.sums();
+        loadsOutOfBounds.addAndGet(sums.beyond());
+        membersLock.runLocked(() -> {
+            long now = monotonicTime();
             for (String name : new String[] {MEMBERS, SUSPECTS}) {
-                tables.get(name).now(now);
+                tables.get(name).setNow(now);
                 tables.get(name).expire();
             }
         });
-        hear();
+        updateMembership();
     }
 
-    private static double number(Held held) {
+    private static double parseLoad(StoredEntry stored) {
         try {
-            return Double.parseDouble(held.entry().value());
+            return Double.parseDouble(stored.entry().value());
         } catch (NumberFormatException e) {
             return Double.NaN;
         }
@@ -349,18 +349,18 @@
 
     @Override
     public int longest() {
-        return BODY * sheet.roundBytes;
+        return BODY_SIZE_FACTOR * settings.maxRoundBytes;
     }
 
     @Override
     public void answer(String method, String path, byte[] body, Reply reply) {
         Runnable task = () -> {
             try {
-                reply.reply(200, answer(method, path, body));
+                reply.reply(200, handle(method, path, body));
             } catch (Refusal e) {
                 reply.refuse(e);
             } catch (Malformed e) {
-                spoilt.incrementAndGet();
+                malformedMessages.incrementAndGet();
                 reply.refuse(new Refusal(400, "field", e.getMessage()));
             } catch (IOException | RuntimeException e) {
                 reply.refuse(new Refusal(500, "fault", String.valueOf(e.getMessage())));
@@ -368,101 +368,101 @@
         };
         if (method.equals("POST") && path.startsWith(RELAY)) {
             // Waits for a third one: that is a worker's business.
-            if (!workers.offer(Kind.PROBE, path, () -> relay(path.substring(RELAY.length()), reply))) {
-                busy.incrementAndGet();
+            if (!workerPool.offer(WorkKind.PROBE, path, () -> relay(path.substring(RELAY.length()), reply))) {
+                rejectedRequests.incrementAndGet();
                 reply.refuse(new Refusal(503, "busy", "no worker for it"));
             }
             return;
         }
         try {
-            asked.execute(task);
+            requestExecutor.execute(task);
         } catch (java.util.concurrent.RejectedExecutionException e) {
-            busy.incrementAndGet();
+            rejectedRequests.incrementAndGet();
             reply.refuse(new Refusal(503, "busy", "too much is asked for at once"));
         }
     }
 
     private void relay(String target, Reply reply) {
-        Message answer = Message.of(sheet.name);
-        if (target.matches("[0-9.]{7,15}:[0-9]{1,5}") && reaches(target, PROBE, sheet.answerWithin)) {
-            answer.parts().put("reached", new Message.Part(List.of(), List.of()));
+        Message answer = Message.of(settings.name);
+        if (target.matches("[0-9.]{7,15}:[0-9]{1,5}") && isReachable(target, PROBE, settings.answerTimeout)) {
+            answer.sections().put("reached", new Message.TableSection(List.of(), List.of()));
         }
         try {
-            reply.reply(200, Form.write(answer));
+            reply.reply(200, MessageCodec.write(answer));
         } catch (IOException e) {
             reply.refuse(new Refusal(500, "fault", String.valueOf(e.getMessage())));
         }
     }
 
-    private byte[] answer(String method, String path, byte[] body) throws Refusal, IOException, Malformed {
+    private byte[] handle(String method, String path, byte[] body) throws Refusal, IOException, Malformed {
         switch (method + " " + path) {
             case "POST " + PROBE:
-                return Form.write(Message.of(sheet.name));
+                return MessageCodec.write(Message.of(settings.name));
             case "POST " + EXCHANGE:
-                Message told = Form.read(body);
-                newer.addAndGet(told.isNewer() ? 1 : 0);
-                Message answer = Message.of(sheet.name);
-                for (Map.Entry<String, Message.Part> part : told.parts().entrySet()) {
-                    Table table = tables.get(part.getKey());
+                Message request = MessageCodec.read(body);
+                newerVersionMessages.addAndGet(request.hasNewerVersion() ? 1 : 0);
+                Message answer = Message.of(settings.name);
+                for (Map.Entry<String, Message.TableSection> section : request.sections().entrySet()) {
+                    ReplicatedTable table = tables.get(section.getKey());
                     if (table != null) {
-                        answer.parts().put(part.getKey(), with(part.getKey(), () -> {
-                            table.take(part.getValue().parcels(), 0);
-                            List<Known> digest = part.getValue().digest();
-                            return new Message.Part(table.behind(digest), digest.isEmpty() ? List.of()
-                                    : table.lacking(digest, sheet.roundBytes));
+                        answer.sections().put(section.getKey(), withTable(section.getKey(), () -> {
+                            table.merge(section.getValue().deltas(), 0);
+                            List<DigestEntry> digest = section.getValue().digest();
+                            return new Message.TableSection(table.staleOwners(digest), digest.isEmpty() ? List.of()
+                                    : table.deltasFor(digest, settings.maxRoundBytes));
                         }));
                     }
                 }
-                hear();
-                byte[] bytes = Form.write(answer);
-                sent.addAndGet(bytes.length);
+                updateMembership();
+                byte[] bytes = MessageCodec.write(answer);
+                answeredBytes.addAndGet(bytes.length);
                 return bytes;
             case "GET /v1/share/members":
-                return standings();
+                return membersJson();
             default:
                 throw new Refusal(404, "other path", "nothing is here");
         }
     }
 
-    private byte[] standings() {
-        StringBuilder words = new StringBuilder();
-        membersLock.run(() -> {
-            words.append("{\"name\":\"").append(sheet.name).append("\",\"cutOff\":").append(members.isCutOff())
+    private byte[] membersJson() {
+        StringBuilder json = new StringBuilder();
+        membersLock.runLocked(() -> {
+            json.append("{\"name\":\"").append(settings.name).append("\",\"cutOff\":").append(failureDetector.isCutOff())
                     .append(",\"members\":{");
             boolean isFirst = true;
-            for (Peer peer : members.peers()) {
-                words.append(isFirst ? "" : ",").append('"').append(peer.name).append("\":\"")
-                        .append(members.isDoubted(peer) ? "DOUBTED" : peer.standing()).append('"');
+            for (Peer peer : failureDetector.peers()) {
+                json.append(isFirst ? "" : ",").append('"').append(peer.name).append("\":\"")
+                        .append(failureDetector.hasNameConflict(peer) ? "DOUBTED" : peer.standing()).append('"');
                 isFirst = false;
             }
         });
-        return words.append("}}").toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        return json.append("}}").toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
     }
 
     @Override
     public void report(Counters counters) {
         // The loop must not wait for a lock: what needs one is asked for beside it.
-        counters.count("exchanged", exchanged.get());
-        counters.count("unreached", unreached.get());
-        counters.count("spoilt", spoilt.get());
-        counters.count("newer form", newer.get());
-        counters.count("turned away", busy.get());
-        counters.count("box full", boxFull.get());
-        counters.count("load out of bounds", beyond.get());
-        counters.count("bytes answered", sent.get());
-        counters.count("workers died", workers.died());
-        counters.count("work failed", workers.failed());
-        counters.count("locks out of order", discipline.outOfOrder());
-        counters.count("locks held long", discipline.heldLong());
-        counters.count("locks held over waits", discipline.heldOverIo());
+        counters.count("exchanged", completedExchanges.get());
+        counters.count("unreached", failedCalls.get());
+        counters.count("spoilt", malformedMessages.get());
+        counters.count("newer form", newerVersionMessages.get());
+        counters.count("turned away", rejectedRequests.get());
+        counters.count("box full", droppedLoads.get());
+        counters.count("load out of bounds", loadsOutOfBounds.get());
+        counters.count("bytes answered", answeredBytes.get());
+        counters.count("workers died", workerPool.deadWorkers());
+        counters.count("work failed", workerPool.failedItems());
+        counters.count("locks out of order", lockMonitor.orderViolations());
+        counters.count("locks held long", lockMonitor.longHolds());
+        counters.count("locks held over waits", lockMonitor.holdsWhileBlocking());
         counters.count("generations raised", tables.values().stream().mapToLong(
-                table -> table.tally().of(Tally.Kind.OWN_NAME)).sum());
+                table -> table.mergeCounts().count(MergeCounts.Outcome.OWN_NAME)).sum());
     }
 
     @Override
     public void close() {
-        rounds.shutdownNow();
-        asked.shutdownNow();
-        workers.close();
+        roundExecutor.shutdownNow();
+        requestExecutor.shutdownNow();
+        workerPool.close();
     }
 }
--- a/src/main/java/honeygap/share/lock/RankedLock.java
+++ b/src/main/java/honeygap/share/lock/RankedLock.java
@@ -9,16 +9,16 @@
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Rank rank;
-    private final Discipline discipline;
-    private long since;
+    private final LockMonitor monitor;
+    private long acquiredAtNs;
 
-    public RankedLock(Rank rank, Discipline discipline) {
+    public RankedLock(Rank rank, LockMonitor monitor) {
         this.rank = rank;
-        this.discipline = discipline;
+        this.monitor = monitor;
     }
 
-    public <T> T hold(Supplier<T> task) {
-        take();
+    public <T> T callLocked(Supplier<T> task) {
+        acquire();
         try {
             return task.get();
         } finally {
@@ -26,24 +26,24 @@
         }
     }
 
-    public void run(Runnable task) {
-        hold(() -> {
+    public void runLocked(Runnable task) {
+        callLocked(() -> {
             task.run();
             return null;
         });
     }
 
-    void take() {
-        discipline.taking(rank);
+    void acquire() {
+        monitor.beforeAcquire(rank);
         lock.lock();
-        discipline.taken(rank);
-        since = System.nanoTime();
+        monitor.acquired(rank);
+        acquiredAtNs = System.nanoTime();
     }
 
     void release() {
-        long heldFor = System.nanoTime() - since;
+        long heldNs = System.nanoTime() - acquiredAtNs;
         lock.unlock();
-        discipline.released(rank, heldFor);
+        monitor.released(rank, heldNs);
     }
 
     public Condition condition() {
@@ -51,8 +51,8 @@
     }
 
     /** Waits on a condition of this lock, at most so long; the wait does not count as holding it. */
-    public void await(Condition condition, long nanos) throws InterruptedException {
-        condition.awaitNanos(nanos);
-        since = System.nanoTime();
+    public void await(Condition condition, long timeoutNs) throws InterruptedException {
+        condition.awaitNanos(timeoutNs);
+        acquiredAtNs = System.nanoTime();
     }
 }
--- a/src/main/java/honeygap/share/member/Members.java
+++ b/src/main/java/honeygap/share/member/FailureDetector.java
@@ -1,6 +1,6 @@
 package honeygap.share.member;
 
-import honeygap.manage.Suspicion;
+import honeygap.manage.PhiAccrualDetector;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -17,65 +17,65 @@
  * judgement rests. After SWIM (Das and others, 2002) with Lifeguard's corrections and an accrual detector of signs.
  * Decisions alone: no I/O, no clock of its own. Times are tenths of a millisecond.
  */
-public final class Members {
+public final class FailureDetector {
 
     /** Level of the accrual detector from which silence counts as such: wrong once in a hundred. */
-    private static final double SILENT = 2;
+    private static final double SILENCE_LEVEL = 2;
     /** Least time of a suspicion, in rounds for each tenfold of members; most, against least. */
-    private static final double LEAST_ROUNDS = 4, MOST_AGAINST_LEAST = 6;
+    private static final double MIN_SUSPICION_ROUNDS = 4, MAX_SUSPICION_FACTOR = 6;
     /** So many accusers bring the time of a suspicion down to its least. */
-    private static final int ACCUSERS = 3;
+    private static final int ACCUSERS_FOR_MIN_TIME = 3;
     /** Of those that stood well, such a part silent within the time of a suspicion: this end is cut off. */
-    private static final double CUT_OFF = 0.5;
-    private static final int CUT_OFF_LEAST = 3;
+    private static final double CUT_OFF_SHARE = 0.5;
+    private static final int CUT_OFF_MIN_PEERS = 3;
     /** Changes of life of one name within so many rounds that are no restart. */
-    private static final int DOUBT_ROUNDS = 10;
+    private static final int NAME_CONFLICT_ROUNDS = 10;
 
     private final String self;
-    private final long every;
-    private final UniformRandomProvider chance;
+    private final long roundInterval;
+    private final UniformRandomProvider random;
     private final LocalHealth health = new LocalHealth();
     private final Map<String, Peer> peers = new LinkedHashMap<>();
-    private final List<Peer> round = new ArrayList<>();
+    private final List<Peer> probeOrder = new ArrayList<>();
     private long now;
     private long incarnation = 1;
     private boolean isCutOff;
 
     /** Each round asks one other; it begins so often. */
-    public Members(String self, long every, long now, UniformRandomProvider chance) {
+    public FailureDetector(String self, long roundInterval, long now, UniformRandomProvider random) {
         this.self = self;
-        this.every = every;
+        this.roundInterval = roundInterval;
         this.now = now;
-        this.chance = chance;
+        this.random = random;
     }
 
-    /** Inputs come first, then {@link #target} and {@link #judge}. */
-    public void now(long now) {
+    /** Inputs come first, then {@link #nextProbeTarget} and {@link #evaluate}. */
+    public void setNow(long now) {
         this.now = now;
     }
 
     /** A member has said where it is. */
-    public void listed(String name, long generation, long incarnation, String address, String site) {
+    public void memberAnnounced(String name, long generation, long incarnation, String address, String site) {
         if (name.equals(self)) {
             return;
         }
         Peer peer = peers.computeIfAbsent(name, Peer::new);
         if (peer.generation != generation) {
-            boolean another = peer.generation != 0 && !peer.address.equals(address)
-                    && now - peer.lastSign < DOUBT_ROUNDS * every;
-            if (another) {
-                peer.doubtedUntil = now + DOUBT_ROUNDS * every;
+            boolean isConflict = peer.generation != 0 && !peer.address.equals(address)
+                    && now - peer.lastHeartbeatAt < NAME_CONFLICT_ROUNDS * roundInterval;
+            if (isConflict) {
+                peer.nameConflictUntil = now + NAME_CONFLICT_ROUNDS * roundInterval;
             }
             // A later life: nothing known of the one before holds.
             peer.generation = generation;
             peer.incarnation = incarnation;
-            clear(peer);
-            peer.signs = null;
-            sign(peer);
+            clearSuspicion(peer);
+            peer.heartbeats = null;
+            recordHeartbeat(peer);
         } else if (incarnation > peer.incarnation) {
             peer.incarnation = incarnation;
-            clear(peer);
-            sign(peer);
+            clearSuspicion(peer);
+            recordHeartbeat(peer);
         }
         peer.address = address;
         peer.site = site;
@@ -83,163 +83,163 @@
     }
 
     /** It has taken itself out. */
-    public void left(String name) {
+    public void memberLeft(String name) {
         Peer peer = peers.get(name);
         if (peer != null) {
-            clear(peer);
+            clearSuspicion(peer);
             peer.standing = Peer.Standing.LEFT;
         }
     }
 
     /** Something that it wrote then has come, by whatever way: a sign of life if it is newer than the last. */
-    public void heard(String name, long writtenAt) {
+    public void updateReceived(String name, long writtenAt) {
         Peer peer = peers.get(name);
-        if (peer != null && peer.standing != Peer.Standing.LEFT && writtenAt > peer.wroteAt) {
-            peer.wroteAt = writtenAt;
-            sign(peer);
+        if (peer != null && peer.standing != Peer.Standing.LEFT && writtenAt > peer.latestWriteAt) {
+            peer.latestWriteAt = writtenAt;
+            recordHeartbeat(peer);
         }
     }
 
-    private void sign(Peer peer) {
-        if (peer.signs == null || isCutOff) {
+    private void recordHeartbeat(Peer peer) {
+        if (peer.heartbeats == null || isCutOff) {
             // The time in which nobody could be heard says nothing of this one.
-            peer.signs = new Suspicion(now, every);
+            peer.heartbeats = new PhiAccrualDetector(now, roundInterval);
         } else {
-            peer.signs.sign(now);
+            peer.heartbeats.recordHeartbeat(now);
         }
-        peer.lastSign = now;
+        peer.lastHeartbeatAt = now;
     }
 
     /** It has answered a probe itself, or another one says that it did: it stands well here at once. */
-    public void answered(String name, boolean direct) {
-        if (direct) {
-            health.well();
+    public void probeSucceeded(String name, boolean isDirect) {
+        if (isDirect) {
+            health.recordSuccess();
         }
         Peer peer = peers.get(name);
         if (peer != null && peer.standing != Peer.Standing.LEFT) {
-            clear(peer);
-            sign(peer);
+            clearSuspicion(peer);
+            recordHeartbeat(peer);
         }
     }
 
     /** Neither it nor those that were asked to ask it have brought a word; was this process heard by anybody? */
-    public void missed(String name, boolean othersAnswered) {
-        if (!othersAnswered) {
-            health.ill();
+    public void probeFailed(String name, boolean anyHelperAnswered) {
+        if (!anyHelperAnswered) {
+            health.recordFailure();
         }
         Peer peer = peers.get(name);
         if (peer != null) {
-            peer.missed++;
+            peer.failedProbes++;
         }
     }
 
     /** Somebody accuses somebody, perhaps this process, of silence. */
-    public void accused(String by, String name, long generation, long incarnation) {
+    public void suspicionReceived(String accuser, String name, long generation, long incarnation) {
         if (name.equals(self)) {
             if (incarnation >= this.incarnation) {
                 this.incarnation = incarnation + 1;
-                health.ill();
+                health.recordFailure();
             }
             return;
         }
         Peer peer = peers.get(name);
         if (peer != null && peer.generation == generation && incarnation >= peer.incarnation
-                && !by.equals(name)) {
-            peer.accusers.putIfAbsent(by, now);
+                && !accuser.equals(name)) {
+            peer.accusers.putIfAbsent(accuser, now);
         }
     }
 
-    private void clear(Peer peer) {
-        peer.missed = 0;
+    private void clearSuspicion(Peer peer) {
+        peer.failedProbes = 0;
         peer.accusers.clear();
         peer.standing = Peer.Standing.ALIVE;
     }
 
     /** Whom to probe next: all once a round in a drawn order, the dead too, or none would come back by itself. */
-    public Peer target() {
-        round.removeIf(peer -> peer.standing == Peer.Standing.LEFT);
-        if (round.isEmpty()) {
-            peers.values().stream().filter(p -> p.standing != Peer.Standing.LEFT).forEach(round::add);
-            ListSampler.shuffle(chance, round);
+    public Peer nextProbeTarget() {
+        probeOrder.removeIf(peer -> peer.standing == Peer.Standing.LEFT);
+        if (probeOrder.isEmpty()) {
+            peers.values().stream().filter(p -> p.standing != Peer.Standing.LEFT).forEach(probeOrder::add);
+            ListSampler.shuffle(random, probeOrder);
         }
-        return round.isEmpty() ? null : round.remove(round.size() - 1);
+        return probeOrder.isEmpty() ? null : probeOrder.remove(probeOrder.size() - 1);
     }
 
     /** Others through which one can be asked: so many at most, drawn, none of them held for dead. */
-    public List<Peer> helpers(String target, int most) {
-        List<Peer> helpers = new ArrayList<>();
+    public List<Peer> indirectProbers(String target, int limit) {
+        List<Peer> candidates = new ArrayList<>();
         for (Peer peer : peers.values()) {
             if (!peer.name.equals(target) && peer.standing == Peer.Standing.ALIVE) {
-                helpers.add(peer);
+                candidates.add(peer);
             }
         }
-        ListSampler.shuffle(chance, helpers);
-        return helpers.subList(0, Math.min(most, helpers.size()));
+        ListSampler.shuffle(random, candidates);
+        return candidates.subList(0, Math.min(limit, candidates.size()));
     }
 
     /** How long to wait for an answer that should come within this time. */
-    public long patience(long within) {
-        return health.stretched(within);
+    public long probeTimeout(long timeout) {
+        return health.scaleTimeout(timeout);
     }
 
     /** Whom this process suspects, dead ones included: what its accusations are to say. */
-    public List<Peer> accusations() {
-        return peers.values().stream().filter(peer -> peer.missed > 0
+    public List<Peer> suspectedPeers() {
+        return peers.values().stream().filter(peer -> peer.failedProbes > 0
                 && (peer.standing == Peer.Standing.SUSPECT || peer.standing == Peer.Standing.DEAD)).toList();
     }
 
     /** Draws the conclusions from what has been told; those whose standing has changed. */
-    public List<Peer> judge() {
-        rest();
+    public List<Peer> evaluate() {
+        updateCutOff();
         List<Peer> changed = new ArrayList<>();
         if (isCutOff) {
             return changed;
         }
         for (Peer peer : peers.values()) {
-            Peer.Standing before = peer.standing;
-            boolean silent = peer.signs != null && peer.signs.level(now) > SILENT;
+            Peer.Standing previous = peer.standing;
+            boolean isSilent = peer.heartbeats != null && peer.heartbeats.suspicionLevel(now) > SILENCE_LEVEL;
             // By its own probe and ear, by its own probe and another's, or by its ear and enough others.
-            boolean suspect = peer.missed > 0 ? silent || !peer.accusers.isEmpty()
-                    : silent && peer.accusers.size() >= ACCUSERS;
-            if (peer.standing == Peer.Standing.ALIVE && suspect) {
+            boolean isSuspect = peer.failedProbes > 0 ? isSilent || !peer.accusers.isEmpty()
+                    : isSilent && peer.accusers.size() >= ACCUSERS_FOR_MIN_TIME;
+            if (peer.standing == Peer.Standing.ALIVE && isSuspect) {
                 peer.standing = Peer.Standing.SUSPECT;
                 peer.suspectedAt = now;
             }
             if (peer.standing == Peer.Standing.SUSPECT && now - peer.suspectedAt >= suspicionTime(peer)) {
                 peer.standing = Peer.Standing.DEAD;
             }
-            if (peer.standing != before) {
+            if (peer.standing != previous) {
                 changed.add(peer);
             }
         }
         return changed;
     }
 
-    private long least() {
-        return (long) (LEAST_ROUNDS * Math.max(1, Math.log10(Math.max(1, peers.size()))) * every);
+    private long minSuspicionTime() {
+        return (long) (MIN_SUSPICION_ROUNDS * Math.max(1, Math.log10(Math.max(1, peers.size()))) * roundInterval);
     }
 
     /** For how long one may refute: shorter with each independent accuser. */
     private long suspicionTime(Peer peer) {
-        double least = health.stretched(least());
-        double most = MOST_AGAINST_LEAST * least;
-        double part = Math.log(Math.min(ACCUSERS, peer.accusers.size()) + 1) / Math.log(ACCUSERS + 1);
-        return (long) (most - (most - least) * part);
+        double min = health.scaleTimeout(minSuspicionTime());
+        double max = MAX_SUSPICION_FACTOR * min;
+        double progress = Math.log(Math.min(ACCUSERS_FOR_MIN_TIME, peer.accusers.size()) + 1) / Math.log(ACCUSERS_FOR_MIN_TIME + 1);
+        return (long) (max - (max - min) * progress);
     }
 
     /** Where many that stood well fall silent together it is this end that is cut off. */
-    private void rest() {
-        int well = 0;
+    private void updateCutOff() {
+        int healthy = 0;
         int silent = 0;
         for (Peer peer : peers.values()) {
             // Held for dead before any of this began: says nothing of this end.
             if (peer.standing == Peer.Standing.ALIVE || peer.standing == Peer.Standing.SUSPECT
-                    && now - peer.suspectedAt < MOST_AGAINST_LEAST * least()) {
-                well++;
-                silent += peer.signs != null && peer.signs.level(now) > SILENT ? 1 : 0;
+                    && now - peer.suspectedAt < MAX_SUSPICION_FACTOR * minSuspicionTime()) {
+                healthy++;
+                silent += peer.heartbeats != null && peer.heartbeats.suspicionLevel(now) > SILENCE_LEVEL ? 1 : 0;
             }
         }
-        isCutOff = well >= CUT_OFF_LEAST && silent > CUT_OFF * well;
+        isCutOff = healthy >= CUT_OFF_MIN_PEERS && silent > CUT_OFF_SHARE * healthy;
     }
 
     public boolean isCutOff() {
@@ -247,8 +247,8 @@
     }
 
     /** Is its name in use by two processes? Then what either says counts for nothing. */
-    public boolean isDoubted(Peer peer) {
-        return now < peer.doubtedUntil;
+    public boolean hasNameConflict(Peer peer) {
+        return now < peer.nameConflictUntil;
     }
 
     /** This process's own incarnation, to be told with where it is. */
--- a/src/main/java/honeygap/share/member/LocalHealth.java
+++ b/src/main/java/honeygap/share/member/LocalHealth.java
@@ -7,25 +7,25 @@
  */
 public final class LocalHealth {
 
-    private static final int MOST = 8;
+    private static final int MAX_SCORE = 8;
 
     private int score;
 
     /** A probe was answered in time. */
-    public void well() {
+    public void recordSuccess() {
         score = Math.max(0, score - 1);
     }
 
     /** A probe brought nothing, a suspicion had to be refuted, or a timer came late. */
-    public void ill() {
-        score = Math.min(MOST, score + 1);
+    public void recordFailure() {
+        score = Math.min(MAX_SCORE, score + 1);
     }
 
     public int score() {
         return score;
     }
 
-    public long stretched(long time) {
-        return time * (1 + score);
+    public long scaleTimeout(long timeout) {
+        return timeout * (1 + score);
     }
 }
--- a/src/main/java/honeygap/share/member/Peer.java
+++ b/src/main/java/honeygap/share/member/Peer.java
@@ -1,6 +1,6 @@
 package honeygap.share.member;
 
-import honeygap.manage.Suspicion;
+import honeygap.manage.PhiAccrualDetector;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -21,13 +21,13 @@
     long suspectedAt;
     final Map<String, Long> accusers = new LinkedHashMap<>();
     /** Direct and indirect probes in a row that brought nothing. */
-    int missed;
-    Suspicion signs;
-    long lastSign;
+    int failedProbes;
+    PhiAccrualDetector heartbeats;
+    long lastHeartbeatAt;
     /** When it wrote the newest that has come of it. */
-    long wroteAt = Long.MIN_VALUE / 2;
+    long latestWriteAt = Long.MIN_VALUE / 2;
     /** Until then its name was seen in two lives that both went on: neither is believed. */
-    long doubtedUntil = Long.MIN_VALUE / 2;
+    long nameConflictUntil = Long.MIN_VALUE / 2;
 
     Peer(String name) {
         this.name = name;
--- a/src/main/java/honeygap/share/table/Parcel.java
+++ b/src/main/java/honeygap/share/table/Delta.java
@@ -7,8 +7,8 @@
  *
  * @param from the count up to which the other had heard: to one that has not, this parcel says too little
  */
-public record Parcel(String owner, long generation, long from, List<Aged> entries) {
+public record Delta(String owner, long generation, long afterSequence, List<AgedEntry> entries) {
 
     /** The age is the time since its writing, in tenths of a millisecond: clocks need not agree. */
-    public record Aged(Entry entry, long age) { }
+    public record AgedEntry(Entry entry, long age) { }
 }
--- a/src/main/java/honeygap/share/table/Entry.java
+++ b/src/main/java/honeygap/share/table/Entry.java
@@ -8,14 +8,14 @@
  * @param ttl for how long it holds from its writing, in tenths of a millisecond
  * @param value text; null where the owner has taken it back
  */
-public record Entry(String name, long counter, long ttl, String value) {
+public record Entry(String name, long sequence, long ttl, String value) {
 
-    public boolean isWithdrawn() {
+    public boolean isTombstone() {
         return value == null;
     }
 
     /** What it counts for against a bound in bytes. */
-    public int size() {
+    public int estimatedBytes() {
         return 48 + name.length() + (value == null ? 0 : value.length());
     }
 }
--- a/src/main/java/honeygap/share/table/Life.java
+++ b/src/main/java/honeygap/share/table/ProcessIdentity.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** This process's name, and the generation by which its present life goes before all earlier ones. */
-public final class Life {
+public final class ProcessIdentity {
 
     private final String name;
     private final AtomicLong generation;
 
-    public Life(String name, long generation) {
+    public ProcessIdentity(String name, long generation) {
         this.name = name;
         this.generation = new AtomicLong(generation);
     }
@@ -22,7 +22,7 @@
     }
 
     /** From any thread: what this process says from now on goes before what goes under that generation. */
-    public void raiseAbove(long other) {
-        generation.accumulateAndGet(other + 1, Math::max);
+    public void raiseGenerationAbove(long otherGeneration) {
+        generation.accumulateAndGet(otherGeneration + 1, Math::max);
     }
 }
--- a/src/main/java/honeygap/share/table/Bounds.java
+++ b/src/main/java/honeygap/share/table/TableLimits.java
@@ -9,4 +9,4 @@
  * @param value characters of a value
  * @param ttl the longest time that an entry may hold, in tenths of a millisecond
  */
-public record Bounds(int owners, int names, int text, int value, long ttl) { }
+public record TableLimits(int maxOwners, int maxEntriesPerOwner, int maxNameLength, int maxValueLength, long maxTtl) { }
--- a/src/main/java/honeygap/share/work/Piece.java
+++ b/src/main/java/honeygap/share/work/WorkItem.java
@@ -1,18 +1,18 @@
 package honeygap.share.work;
 
 /** One piece of work, with or for one partner; empty where it concerns none. */
-public final class Piece {
+public final class WorkItem {
 
-    final Kind kind;
+    final WorkKind kind;
     final String partner;
     final Runnable task;
-    final long offeredAt;
+    final long enqueuedAt;
 
-    Piece(Kind kind, String partner, Runnable task, long offeredAt) {
+    WorkItem(WorkKind kind, String partner, Runnable task, long enqueuedAt) {
         this.kind = kind;
         this.partner = partner;
         this.task = task;
-        this.offeredAt = offeredAt;
+        this.enqueuedAt = enqueuedAt;
     }
 
     @Override
--- a/src/main/java/honeygap/share/work/Kind.java
+++ b/src/main/java/honeygap/share/work/WorkKind.java
@@ -1,4 +1,4 @@
 package honeygap.share.work;
 
 /** Kinds of work beside the loop, the most pressing first. */
-public enum Kind { PROBE, EXCHANGE, EXPIRE, STORE }
+public enum WorkKind { PROBE, EXCHANGE, EXPIRE, STORE }
--- a/src/main/java/honeygap/share/work/Budget.java
+++ b/src/main/java/honeygap/share/work/WorkLimits.java
@@ -9,4 +9,4 @@
  *        millisecond
  * @param stale what has waited for so long is of no use any more
  */
-public record Budget(int running, int waiting, long ages, long stale) { }
+public record WorkLimits(int maxRunning, int maxQueued, long agingInterval, long maxWait) { }
--- /dev/null
+++ b/src/main/java/honeygap/share/work/WorkerPool.java
@@ -0,0 +1,143 @@
+package honeygap.share.work;
+
+import honeygap.share.lock.LockMonitor;
+import honeygap.share.lock.Rank;
+import honeygap.share.lock.RankedLock;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.locks.Condition;
+import java.util.function.LongSupplier;
+import org.tinylog.Logger;
+
+/**
+ * A pool of threads that carry out work beside the loop. Each takes its piece under the lock of the line and runs it
+ * under none. A worker that dies is replaced, and what it was at counts as ended.
+ */
+public final class WorkerPool implements AutoCloseable {
+
+    private static final long IDLE_WAIT_NS = 50_000_000;
+
+    private final WorkQueue queue;
+    private final LongSupplier clock;
+    private final LockMonitor lockMonitor;
+    private final RankedLock lock;
+    private final Condition workAvailable;
+    private final AtomicLong deadWorkers = new AtomicLong();
+    private final AtomicLong failedItems = new AtomicLong();
+    private volatile boolean isClosed;
+
+    /** So many threads; the clock tells tenths of a millisecond. */
+    public WorkerPool(int threads, Map<WorkKind, WorkLimits> limits, LongSupplier clock, LockMonitor lockMonitor) {
+        queue = new WorkQueue(limits);
+        this.clock = clock;
+        this.lockMonitor = lockMonitor;
+        lock = new RankedLock(Rank.QUEUE, lockMonitor);
+        workAvailable = lock.condition();
+        for (int i = 0; i < threads; i++) {
+            startWorker();
+        }
+    }
+
+    private void startWorker() {
+        Thread thread = new Thread(null, this::runWorker, "worker", 1 << 18);
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    /** From any thread, also one that holds a table's lock: never waits for a worker. */
+    public boolean offer(WorkKind kind, String partner, Runnable task) {
+        return lock.callLocked(() -> {
+            boolean isQueued = queue.offer(kind, partner, task, clock.getAsLong());
+            if (isQueued) {
+                workAvailable.signal();
+            }
+            return isQueued;
+        });
+    }
+
+    private WorkItem next() throws InterruptedException {
+        InterruptedException[] interrupted = new InterruptedException[1];
+        WorkItem polled = lock.callLocked(() -> {
+            WorkItem item = queue.poll(clock.getAsLong());
+            if (item == null && !isClosed) {
+                try {
+                    lock.await(workAvailable, IDLE_WAIT_NS);
+                } catch (InterruptedException e) {
+                    interrupted[0] = e;
+                }
+                item = queue.poll(clock.getAsLong());
+            }
+            return item;
+        });
+        if (interrupted[0] != null) {
+            throw interrupted[0];
+        }
+        return polled;
+    }
+
+    private void runWorker() {
+        WorkItem item = null;
+        boolean isRegularEnd = false;
+        try {
+            while (!isClosed) {
+                item = next();
+                if (item != null) {
+                    run(item);
+                    finished(item);
+                    item = null;
+                }
+            }
+            isRegularEnd = true;
+        } catch (InterruptedException e) {
+            isRegularEnd = isClosed;
+        } finally {
+            if (item != null) {
+                finished(item);
+            }
+            if (!isRegularEnd && !isClosed) {
+                deadWorkers.incrementAndGet();
+                startWorker();
+            }
+        }
+    }
+
+    /** A fault of the work ends the work alone; an error ends the worker too. */
+    private void run(WorkItem item) {
+        lockMonitor.beforeBlocking("work");
+        try {
+            item.task.run();
+        } catch (RuntimeException e) {
+            if (failedItems.incrementAndGet() <= 100) {
+                Logger.error(e, "{} work failed", item.kind);
+            }
+        }
+    }
+
+    private void finished(WorkItem item) {
+        lock.runLocked(() -> {
+            queue.finished(item);
+            workAvailable.signal();
+        });
+    }
+
+    /** Something read off the line, under its lock. */
+    public long count(java.util.function.ToLongFunction<WorkQueue> reading) {
+        return lock.callLocked(() -> reading.applyAsLong(queue));
+    }
+
+    /** Workers that ended by an error and were replaced. */
+    public long deadWorkers() {
+        return deadWorkers.get();
+    }
+
+    /** Pieces of work that threw something. */
+    public long failedItems() {
+        return failedItems.get();
+    }
+
+    @Override
+    public void close() {
+        isClosed = true;
+        lock.runLocked(workAvailable::signalAll);
+    }
+}
--- a/src/test/java/honeygap/manage/ModelTest.java
+++ b/src/test/java/honeygap/manage/ModelTest.java
@@ -55,51 +55,51 @@
         long now = 0;
         for (int i = 0; i < 30; i++) {
             now += SECOND;
-            membership.now(now);
+            membership.advanceTo(now);
             for (int j = 0; j < 5; j++) {
-                membership.sign("a" + j, 1);
+                membership.recordHeartbeat("a" + j, 1);
             }
         }
         assertTrue(membership.members().stream().allMatch(one -> one.standing() == Membership.Standing.ALIVE));
         for (int i = 0; i < 10; i++) {
             now += SECOND;
-            membership.now(now);
+            membership.advanceTo(now);
             for (int j = 1; j < 5; j++) {
-                membership.sign("a" + j, 1);
+                membership.recordHeartbeat("a" + j, 1);
             }
         }
         assertEquals(Membership.Standing.SUSPECT, membership.member("a0").standing());
         now += 30 * SECOND;
-        membership.now(now);
+        membership.advanceTo(now);
         assertTrue(membership.isCutOff());
         assertEquals(Membership.Standing.ALIVE, membership.member("a1").standing(), "judgement rests");
-        assertTrue(membership.sign("a0", 2));
+        assertTrue(membership.recordHeartbeat("a0", 2));
         assertEquals(1, membership.member("a0").restarts);
         for (int j = 1; j < 5; j++) {
-            membership.sign("a" + j, 1);
+            membership.recordHeartbeat("a" + j, 1);
         }
-        membership.now(now + SECOND / 2);
+        membership.advanceTo(now + SECOND / 2);
         assertTrue(!membership.isCutOff());
     }
 
     /** Asked again, asked twice, asked by two: which operation it is. */
     @Test
     void asked() {
-        Operations operations = new Operations(1, new Membership(SECOND));
-        Operations.Taken[] taken = new Operations.Taken[1];
+        OperationScheduler operations = new OperationScheduler(1, new Membership(SECOND));
+        OperationScheduler.Admission[] taken = new OperationScheduler.Admission[1];
         List<String> two = List.of("a", "b");
-        Operation first = operations.asked("x", "drain", "", two, 1, 0, SECOND, false, taken);
-        assertEquals(Operations.Taken.NEW, taken[0]);
-        assertEquals(first, operations.asked("x", "drain", "", two, 1, 0, SECOND, false, taken));
-        assertEquals(Operations.Taken.SAME, taken[0]);
-        assertEquals(first, operations.asked("y", "drain", "", two, 1, 0, SECOND, false, taken));
-        assertEquals(Operations.Taken.SAME, taken[0]);
-        operations.asked("x", "undrain", "", two, 1, 0, SECOND, false, taken);
-        assertEquals(Operations.Taken.INVALID, taken[0]);
-        assertEquals(first, operations.asked("z", "undrain", "", List.of("b"), 1, 0, SECOND, false, taken));
-        assertEquals(Operations.Taken.BUSY, taken[0]);
-        operations.asked("z", "undrain", "", List.of("c"), 1, 0, SECOND, false, taken);
-        assertEquals(Operations.Taken.NEW, taken[0]);
+        Operation first = operations.request("x", "drain", "", two, 1, 0, SECOND, false, taken);
+        assertEquals(OperationScheduler.Admission.NEW, taken[0]);
+        assertEquals(first, operations.request("x", "drain", "", two, 1, 0, SECOND, false, taken));
+        assertEquals(OperationScheduler.Admission.SAME, taken[0]);
+        assertEquals(first, operations.request("y", "drain", "", two, 1, 0, SECOND, false, taken));
+        assertEquals(OperationScheduler.Admission.SAME, taken[0]);
+        operations.request("x", "undrain", "", two, 1, 0, SECOND, false, taken);
+        assertEquals(OperationScheduler.Admission.INVALID, taken[0]);
+        assertEquals(first, operations.request("z", "undrain", "", List.of("b"), 1, 0, SECOND, false, taken));
+        assertEquals(OperationScheduler.Admission.BUSY, taken[0]);
+        operations.request("z", "undrain", "", List.of("c"), 1, 0, SECOND, false, taken);
+        assertEquals(OperationScheduler.Admission.NEW, taken[0]);
     }
 
     /** An instance of the model: what it has done outlives its processes, what stands in memory does not. */
@@ -133,15 +133,15 @@
     }
 
     /** One schedule: a manager, instances, and a network that loses, delays, and copies. */
-    private static final class Model implements Operations.Out {
+    private static final class Model implements OperationScheduler.Actions {
 
         private final long seed;
         private final Random random;
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final Map<String, Instance> instances = new LinkedHashMap<>();
-        private final Map<String, Operation.Written> log = new LinkedHashMap<>();
+        private final Map<String, Operation.Snapshot> log = new LinkedHashMap<>();
         private Membership membership;
-        private Operations operations;
+        private OperationScheduler operations;
         private long now;
         private long numbers;
         private long generations = 100;
@@ -162,11 +162,11 @@
         private void manager() {
             int number = ++managers;
             membership = new Membership(SECOND);
-            membership.now(now);
-            instances.keySet().forEach(membership::joined);
-            operations = new Operations(seed * 31 + number, membership);
-            operations.now(now);
-            log.values().forEach(written -> operations.restored(Operation.of(written)));
+            membership.advanceTo(now);
+            instances.keySet().forEach(membership::join);
+            operations = new OperationScheduler(seed * 31 + number, membership);
+            operations.setNow(now);
+            log.values().forEach(written -> operations.restore(Operation.of(written)));
             poll(number);
         }
 
@@ -182,8 +182,8 @@
                         boolean isDrained = one.isDrained;
                         message(() -> {
                             if (number == managers) {
-                                membership.sign(one.name, generation);
-                                operations.stands(one.name, isDrained);
+                                membership.recordHeartbeat(one.name, generation);
+                                operations.setDrained(one.name, isDrained);
                             }
                         });
                     }
@@ -209,8 +209,8 @@
         }
 
         @Override
-        public void keep(Operation operation) {
-            log.put(operation.id, operation.written());
+        public void persist(Operation operation) {
+            log.put(operation.id, operation.snapshot());
             // The manager may die just after anything was written, before what rests on it was done.
             crashesNext |= !isCalm && random.nextInt(60) == 0;
             if (crashesNext) {
@@ -226,7 +226,7 @@
             // No answer within the host's own patience.
             at(15_000, () -> {
                 if (number == managers) {
-                    operations.noAnswer(operation, step);
+                    operations.onNoAnswer(operation, step);
                 }
             });
         }
@@ -273,9 +273,9 @@
                     return;
                 }
                 switch (answer) {
-                    case APPLY, ALREADY -> operations.answered(operation, step, true, "done");
-                    case TOO_LATE -> operations.answered(operation, step, false, "too late");
-                    default -> operations.noAnswer(operation, step);
+                    case APPLY, ALREADY -> operations.onAnswer(operation, step, true, "done");
+                    case TOO_LATE -> operations.onAnswer(operation, step, false, "too late");
+                    default -> operations.onNoAnswer(operation, step);
                 }
             });
         }
@@ -303,10 +303,10 @@
                         return;
                     }
                     if (entry == null) {
-                        operations.notInLedger(operation, step);
+                        operations.onNotInLedger(operation, step);
                     } else {
                         boolean isApplied = !entry.outcome().equals(Ledger.CALLED_OFF);
-                        operations.answered(operation, step, isApplied, entry.outcome());
+                        operations.onAnswer(operation, step, isApplied, entry.outcome());
                     }
                 });
             });
@@ -314,7 +314,7 @@
         }
 
         @Override
-        public void ask(Operation operation, Step step) {
+        public void queryLedger(Operation operation, Step step) {
             look(operation, step, false);
         }
 
@@ -333,9 +333,9 @@
 
         private void pull() {
             try {
-                operations.now(now);
-                membership.now(now);
-                for (int i = 0; operations.next(this); i++) {
+                operations.setNow(now);
+                membership.advanceTo(now);
+                for (int i = 0; operations.decideNext(this); i++) {
                     check(i < 10_000, "no end of decisions");
                 }
             } catch (Died e) {
@@ -354,8 +354,8 @@
                 Event event = events.poll();
                 now = Math.max(now, event.at);
                 steps++;
-                operations.now(now);
-                membership.now(now);
+                operations.setNow(now);
+                membership.advanceTo(now);
                 event.what.run();
                 pull();
                 each.run();
@@ -374,16 +374,16 @@
             Random random = new Random(seed * 7);
             model.bound = 1 + (int) (seed % 3);
             model.run(5 * SECOND, () -> { });
-            Operations.Taken[] taken = new Operations.Taken[1];
+            OperationScheduler.Admission[] taken = new OperationScheduler.Admission[1];
             List<String> all = List.copyOf(model.instances.keySet());
             String[] ids = {"op1"};
             boolean isUpdate = seed % 4 == 0;
-            model.operations.asked("op1", isUpdate ? "update" : "drain", "", all.subList(0, Math.min(all.size(),
+            model.operations.request("op1", isUpdate ? "update" : "drain", "", all.subList(0, Math.min(all.size(),
                     isUpdate ? all.size() : model.bound)), model.bound, 0, 60 * SECOND, false, taken);
             model.pull();
             // The same command typed twice, and an operator who changes his mind.
             if (random.nextInt(3) == 0) {
-                model.at(random.nextInt(30_000), () -> model.operations.asked("op1", isUpdate ? "update" : "drain", "",
+                model.at(random.nextInt(30_000), () -> model.operations.request("op1", isUpdate ? "update" : "drain", "",
                         all.subList(0, Math.min(all.size(), isUpdate ? all.size() : model.bound)), model.bound, 0,
                         60 * SECOND, false, taken));
             }
@@ -391,7 +391,7 @@
                 model.at(random.nextInt(random.nextBoolean() ? 4_000 : 100_000), () -> {
                     Operation running = model.operations.operation("op1");
                     if (running != null) {
-                        model.operations.cancelled(running);
+                        model.operations.cancel(running);
                     }
                 });
             }
@@ -409,14 +409,14 @@
             model.instances.values().forEach(one -> one.isStopped = false);
             model.run(150 * SECOND, () -> { });
             for (String id : ids) {
-                Operation.Written written = model.log.get(id);
+                Operation.Snapshot written = model.log.get(id);
                 if (written == null) {
                     continue;
                 }
                 model.check(written.state() != Operation.State.RUNNING && written.state() != Operation.State.CANCELLING,
                         "has not ended: " + written);
                 Set<String> seen = new HashSet<>();
-                for (Operation.WrittenStep step : written.steps()) {
+                for (Operation.StepSnapshot step : written.steps()) {
                     model.check(seen.add(step.instance()), "twice in the report");
                     int times = model.instances.get(step.instance()).effects.getOrDefault(id, 0);
                     model.check(times <= 1, step.instance() + " applied it " + times + " times");
--- a/src/test/java/honeygap/share/TableTest.java
+++ b/src/test/java/honeygap/share/TableTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.share.table.Bounds;
+import honeygap.share.table.TableLimits;
 import honeygap.share.table.Entry;
-import honeygap.share.table.Held;
-import honeygap.share.table.Life;
-import honeygap.share.table.Parcel;
-import honeygap.share.table.Table;
-import honeygap.share.table.Tally;
+import honeygap.share.table.StoredEntry;
+import honeygap.share.table.ProcessIdentity;
+import honeygap.share.table.Delta;
+import honeygap.share.table.ReplicatedTable;
+import honeygap.share.table.MergeCounts;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -29,18 +29,18 @@
 class TableTest {
 
     private static final long TTL = 1000;
-    private static final Bounds BOUNDS = new Bounds(8, 4, 20, 40, TTL);
+    private static final TableLimits BOUNDS = new TableLimits(8, 4, 20, 40, TTL);
 
-    private static Table table(String name, long generation) {
-        return new Table("load", new Life(name, generation), 0, BOUNDS);
+    private static ReplicatedTable table(String name, long generation) {
+        return new ReplicatedTable("load", new ProcessIdentity(name, generation), 0, BOUNDS);
     }
 
-    private static void exchange(Table from, Table to, int bytes) {
-        to.take(from.lacking(to.digest(), bytes), 0);
+    private static void exchange(ReplicatedTable from, ReplicatedTable to, int bytes) {
+        to.merge(from.deltasFor(to.digest(), bytes), 0);
     }
 
-    private static String value(Table table, String owner, String name) {
-        Held held = table.get(owner, name);
+    private static String value(ReplicatedTable table, String owner, String name) {
+        StoredEntry held = table.get(owner, name);
         return held == null ? null : held.entry().value();
     }
 
@@ -48,41 +48,41 @@
     @ParameterizedTest
     @CsvSource({"10000,1,3", "110,2,3", "55,3,3"})
     void onlyWhatIsLacking(int bytes, int rounds, int entries) {
-        Table a = table("a", 5);
-        Table b = table("b", 5);
+        ReplicatedTable a = table("a", 5);
+        ReplicatedTable b = table("b", 5);
         for (int i = 0; i < entries; i++) {
             a.put("n" + i, "v" + i, TTL);
         }
         for (int i = 0; i < rounds; i++) {
-            assertTrue(b.lacks(a.digest()));
+            assertTrue(b.isBehind(a.digest()));
             exchange(a, b, bytes);
         }
-        assertFalse(b.lacks(a.digest()));
-        assertEquals(List.of(), a.lacking(b.digest(), 10000));
+        assertFalse(b.isBehind(a.digest()));
+        assertEquals(List.of(), a.deltasFor(b.digest(), 10000));
         assertEquals("v2", value(b, "a", "n2"));
     }
 
     /** What an owner wrote in an earlier life, and what it took back, comes back by no old copy. */
     @Test
     void noOldCopyComesBack() {
-        Table a = table("a", 5);
+        ReplicatedTable a = table("a", 5);
         a.put("x", "1", TTL);
         a.put("y", "2", TTL);
-        Table old = table("old", 1);
+        ReplicatedTable old = table("old", 1);
         exchange(a, old, 10000);
-        a.withdraw("x");
-        Table b = table("b", 1);
+        a.delete("x");
+        ReplicatedTable b = table("b", 1);
         exchange(a, b, 10000);
         exchange(old, b, 10000);
         assertNull(value(b, "a", "x"));
         assertEquals("2", value(b, "a", "y"));
-        Table again = table("a", 6);
+        ReplicatedTable again = table("a", 6);
         again.put("x", "3", TTL);
         exchange(again, b, 10000);
-        b.take(old.lacking(List.of(), 10000), 0);
+        b.merge(old.deltasFor(List.of(), 10000), 0);
         assertEquals("3", value(b, "a", "x"));
         assertNull(value(b, "a", "y"));
-        assertEquals(2, b.tally().of(Tally.Kind.EARLIER_LIFE));
+        assertEquals(2, b.mergeCounts().count(MergeCounts.Outcome.EARLIER_LIFE));
         exchange(b, old, 10000);
         assertNull(value(old, "a", "y"));
     }
@@ -91,15 +91,15 @@
     @ParameterizedTest
     @CsvSource({"0,0,999,true", "0,0,1000,false", "600000,0,999,true", "600000,500,499,true", "-600000,500,500,false"})
     void endsByAge(long clock, long later, long after, boolean holds) {
-        Table a = table("a", 1);
+        ReplicatedTable a = table("a", 1);
         a.put("x", "1", TTL);
-        Table b = new Table("load", new Life("b", 1), clock, BOUNDS);
-        a.now(later);
+        ReplicatedTable b = new ReplicatedTable("load", new ProcessIdentity("b", 1), clock, BOUNDS);
+        a.setNow(later);
         exchange(a, b, 1000);
-        b.now(clock + after);
+        b.setNow(clock + after);
         assertEquals(holds, value(b, "a", "x") != null);
         b.expire();
-        Table c = table("c", 1);
+        ReplicatedTable c = table("c", 1);
         exchange(b, c, 1000);
         assertEquals(holds, value(c, "a", "x") != null);
     }
@@ -108,17 +108,17 @@
     @ParameterizedTest
     @CsvSource({"7,1,8", "5,3,6", "5,1,5", "4,9,5"})
     void ownNameElsewhere(long generation, int writes, long then) {
-        Life life = new Life("a", 5);
-        Table a = new Table("load", life, 0, BOUNDS);
+        ProcessIdentity life = new ProcessIdentity("a", 5);
+        ReplicatedTable a = new ReplicatedTable("load", life, 0, BOUNDS);
         a.put("x", "mine", TTL);
         a.put("y", "mine", TTL);
-        Table other = table("a", generation);
+        ReplicatedTable other = table("a", generation);
         for (int i = 0; i < writes; i++) {
             other.put("x", "theirs" + i, TTL);
         }
-        Table b = table("b", 1);
+        ReplicatedTable b = table("b", 1);
         exchange(other, b, 1000);
-        a.take(b.lacking(List.of(), 1000), 0);
+        a.merge(b.deltasFor(List.of(), 1000), 0);
         assertEquals(then, life.generation());
         if (then > 5) {
             exchange(a, b, 1000);
@@ -129,25 +129,25 @@
     /** Whatever comes, the bounds hold, it is counted by kind, and what was held stays. */
     @ParameterizedTest
     @CsvSource({"owners,TOO_MANY", "names,TOO_MANY", "name,TOO_LONG", "value,TOO_LONG", "ttl,OVER"})
-    void bounded(String what, Tally.Kind kind) {
-        Table b = table("b", 1);
-        b.take(List.of(parcel("a", "n", 1, "v", TTL)), 0);
-        List<Parcel> parcels = new ArrayList<>();
+    void bounded(String what, MergeCounts.Outcome kind) {
+        ReplicatedTable b = table("b", 1);
+        b.merge(List.of(parcel("a", "n", 1, "v", TTL)), 0);
+        List<Delta> parcels = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             String name = what.equals("name") ? "n".repeat(21) : "n" + i;
             parcels.add(parcel(what.equals("owners") ? "o" + i : "a", name, what.equals("owners") ? 1 : 2 + i,
                     what.equals("value") ? "v".repeat(41) : "v", what.equals("ttl") ? TTL + 1 : TTL));
         }
-        b.take(parcels, 0);
-        assertTrue(b.tally().of(kind) >= 14, what + ": " + b.tally().of(kind));
+        b.merge(parcels, 0);
+        assertTrue(b.mergeCounts().count(kind) >= 14, what + ": " + b.mergeCounts().count(kind));
         assertTrue(b.owners().size() <= 8);
         assertEquals("v", value(b, "a", "n"));
         // What was turned away is not asked for again and again.
-        assertFalse(what.equals("names") && b.lacks(List.of(new honeygap.share.table.Known("a", 1, 21))));
+        assertFalse(what.equals("names") && b.isBehind(List.of(new honeygap.share.table.DigestEntry("a", 1, 21))));
     }
 
-    private static Parcel parcel(String owner, String name, long counter, String value, long ttl) {
-        return new Parcel(owner, 1, counter - 1, List.of(new Parcel.Aged(new Entry(name, counter, ttl, value), 0)));
+    private static Delta parcel(String owner, String name, long counter, String value, long ttl) {
+        return new Delta(owner, 1, counter - 1, List.of(new Delta.AgedEntry(new Entry(name, counter, ttl, value), 0)));
     }
 
     /** Whatever was lost, came twice or late on the way: after enough rounds all hold the same, and no ghost. */
@@ -155,14 +155,14 @@
     void allComeToTheSame(@ForAll @IntRange(min = 0, max = 1 << 30) int seed) {
         UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create((long) seed);
         int many = 3 + chance.nextInt(5);
-        List<Table> tables = new ArrayList<>();
+        List<ReplicatedTable> tables = new ArrayList<>();
         Map<String, String> truth = new TreeMap<>();
         Map<Integer, Long> lives = new HashMap<>();
         for (int i = 0; i < many; i++) {
             tables.add(table("p" + i, 1));
             lives.put(i, 1L);
         }
-        List<List<Parcel>> late = new ArrayList<>();
+        List<List<Delta>> late = new ArrayList<>();
         for (int step = 0; step < 200; step++) {
             int i = chance.nextInt(many);
             int j = chance.nextInt(many);
@@ -174,7 +174,7 @@
                 }
                 case 1 -> {
                     String name = "n" + chance.nextInt(4);
-                    tables.get(i).withdraw(name);
+                    tables.get(i).delete(name);
                     truth.remove("p" + i + "/" + name);
                 }
                 case 2 -> {
@@ -187,10 +187,10 @@
                         truth.put(gone + "n0", "new" + step);
                     }
                 }
-                case 3 -> late.add(tables.get(i).lacking(tables.get(j).digest(), 200));
+                case 3 -> late.add(tables.get(i).deltasFor(tables.get(j).digest(), 200));
                 case 4 -> {
                     if (!late.isEmpty()) {
-                        tables.get(j).take(late.get(chance.nextInt(late.size())), 0);
+                        tables.get(j).merge(late.get(chance.nextInt(late.size())), 0);
                     }
                 }
                 default -> exchange(tables.get(i), tables.get(j), 50 + chance.nextInt(500));
@@ -202,9 +202,9 @@
                 exchange(tables.get((i + 1) % many), tables.get(i), 10_000);
             }
         }
-        for (Table table : tables) {
+        for (ReplicatedTable table : tables) {
             Map<String, String> held = new TreeMap<>();
-            table.each((owner, entry) -> held.put(owner.name + "/" + entry.entry().name(), entry.entry().value()));
+            table.forEachLive((owner, entry) -> held.put(owner.name + "/" + entry.entry().name(), entry.entry().value()));
             assertEquals(truth, held, "seed " + seed);
         }
     }
--- a/src/test/java/honeygap/share/Town.java
+++ b/src/test/java/honeygap/share/Town.java
@@ -1,11 +1,11 @@
 package honeygap.share;
 
-import honeygap.share.exchange.Partners;
-import honeygap.share.member.Members;
+import honeygap.share.exchange.PartnerSelector;
+import honeygap.share.member.FailureDetector;
 import honeygap.share.member.Peer;
-import honeygap.share.table.Bounds;
-import honeygap.share.table.Life;
-import honeygap.share.table.Table;
+import honeygap.share.table.TableLimits;
+import honeygap.share.table.ProcessIdentity;
+import honeygap.share.table.ReplicatedTable;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -18,7 +18,7 @@
     /** A round, and how long an answer may take. */
     static final long EVERY = SECOND;
     static final long WITHIN = SECOND / 2;
-    private static final Bounds BOUNDS = new Bounds(2000, 2000, 40, 200, 60 * SECOND);
+    private static final TableLimits BOUNDS = new TableLimits(2000, 2000, 40, 200, 60 * SECOND);
 
     /** Time from one process to another just now, in tenths of a millisecond; a negative one is never. */
     interface Links {
@@ -31,11 +31,11 @@
         final String name;
         final String site;
         final long zero;
-        Life life;
-        Table members;
-        Table suspects;
-        Members detector;
-        Partners partners;
+        ProcessIdentity life;
+        ReplicatedTable members;
+        ReplicatedTable suspects;
+        FailureDetector detector;
+        PartnerSelector partners;
         long nextAt;
         /** Stopped, or killed, until then; a killed one begins anew. */
         long awayUntil = Long.MIN_VALUE;
@@ -66,18 +66,18 @@
         }
         for (Process one : all) {
             for (Process other : all) {
-                one.detector.listed(other.name, 1, 1, "at" + other.number, other.site);
+                one.detector.memberAnnounced(other.name, 1, 1, "at" + other.number, other.site);
             }
         }
     }
 
     void begin(Process process, long generation) {
         long time = now + process.zero;
-        process.life = new Life(process.name, generation);
-        process.members = new Table("members", process.life, time, BOUNDS);
-        process.suspects = new Table("suspects", process.life, time, BOUNDS);
-        process.detector = new Members(process.name, EVERY, time, chance);
-        process.partners = new Partners(process.site, chance);
+        process.life = new ProcessIdentity(process.name, generation);
+        process.members = new ReplicatedTable("members", process.life, time, BOUNDS);
+        process.suspects = new ReplicatedTable("suspects", process.life, time, BOUNDS);
+        process.detector = new FailureDetector(process.name, EVERY, time, chance);
+        process.partners = new PartnerSelector(process.site, chance);
         process.killed = false;
     }
 
@@ -100,7 +100,7 @@
                     process.nextAt = now + EVERY;
                     if (process.killed) {
                         begin(process, process.life.generation() + 1);
-                        all.forEach(other -> process.detector.listed(other.name, 1, 1, "at" + other.number, other.site));
+                        all.forEach(other -> process.detector.memberAnnounced(other.name, 1, 1, "at" + other.number, other.site));
                     }
                     round(process);
                 }
@@ -114,29 +114,29 @@
 
     private void round(Process process) {
         tell(process);
-        Peer target = process.detector.target();
+        Peer target = process.detector.nextProbeTarget();
         if (target != null) {
-            long within = process.detector.patience(WITHIN);
+            long within = process.detector.probeTimeout(WITHIN);
             Process other = named(target.name);
             if (reaches(process, other, within)) {
-                process.detector.answered(target.name, true);
+                process.detector.probeSucceeded(target.name, true);
             } else {
                 boolean answered = false;
                 boolean heard = false;
-                for (Peer helper : process.detector.helpers(target.name, 3)) {
+                for (Peer helper : process.detector.indirectProbers(target.name, 3)) {
                     Process by = named(helper.name);
                     boolean isHere = reaches(process, by, 2 * within);
                     heard |= isHere;
                     answered |= isHere && reaches(by, other, within);
                 }
                 if (answered) {
-                    process.detector.answered(target.name, false);
+                    process.detector.probeSucceeded(target.name, false);
                 } else {
-                    process.detector.missed(target.name, heard);
+                    process.detector.probeFailed(target.name, heard);
                 }
             }
         }
-        for (Peer partner : process.partners.draw(process.detector.peers())) {
+        for (Peer partner : process.partners.select(process.detector.peers())) {
             Process other = named(partner.name);
             if (reaches(process, other, 4 * WITHIN)) {
                 exchange(process, process.members, other, other.members);
@@ -144,19 +144,19 @@
             }
         }
         hear(process);
-        process.detector.judge();
+        process.detector.evaluate();
     }
 
     /** What this process says of itself and of those that it suspects. */
     private void tell(Process process) {
         long time = now + process.zero;
-        process.detector.now(time);
-        process.members.now(time);
-        process.suspects.now(time);
+        process.detector.setNow(time);
+        process.members.setNow(time);
+        process.suspects.setNow(time);
         process.members.put("self", process.detector.incarnation() + " at" + process.number + " " + process.site,
                 20 * EVERY);
-        List<Peer> suspected = process.detector.accusations();
-        process.suspects.retain(suspected.stream().map(peer -> peer.name).toList());
+        List<Peer> suspected = process.detector.suspectedPeers();
+        process.suspects.retainOnly(suspected.stream().map(peer -> peer.name).toList());
         for (Peer peer : suspected) {
             String value = peer.generation + " " + peer.incarnation;
             var held = process.suspects.get(process.name, peer.name);
@@ -166,32 +166,32 @@
         }
     }
 
-    private void exchange(Process a, Table of, Process b, Table with) {
+    private void exchange(Process a, ReplicatedTable of, Process b, ReplicatedTable with) {
         long timeB = now + b.zero;
-        with.now(timeB);
-        var forB = of.lacking(with.digest(), 1 << 20);
-        var forA = with.lacking(of.digest(), 1 << 20);
-        with.take(forB, 0);
-        of.take(forA, 0);
+        with.setNow(timeB);
+        var forB = of.deltasFor(with.digest(), 1 << 20);
+        var forA = with.deltasFor(of.digest(), 1 << 20);
+        with.merge(forB, 0);
+        of.merge(forA, 0);
         hear(b);
     }
 
     private void hear(Process process) {
-        process.detector.now(now + process.zero);
+        process.detector.setNow(now + process.zero);
         for (var owner : process.members.owners()) {
-            if (owner.heardAt > Long.MIN_VALUE && process.detector.peer(owner.name) != null
+            if (owner.updatedAt > Long.MIN_VALUE && process.detector.peer(owner.name) != null
                     && process.detector.peer(owner.name).generation <= owner.generation) {
                 var held = process.members.get(owner.name, "self");
                 if (held != null) {
                     String[] words = held.entry().value().split(" ");
-                    process.detector.listed(owner.name, owner.generation, Long.parseLong(words[0]), words[1], words[2]);
-                    process.detector.heard(owner.name, held.writtenAt());
+                    process.detector.memberAnnounced(owner.name, owner.generation, Long.parseLong(words[0]), words[1], words[2]);
+                    process.detector.updateReceived(owner.name, held.writtenAt());
                 }
             }
         }
-        process.suspects.each((owner, held) -> {
+        process.suspects.forEachLive((owner, held) -> {
             String[] words = held.entry().value().split(" ");
-            process.detector.accused(owner.name, held.entry().name(), Long.parseLong(words[0]), Long.parseLong(words[1]));
+            process.detector.suspicionReceived(owner.name, held.entry().name(), Long.parseLong(words[0]), Long.parseLong(words[1]));
         });
     }
 
--- a/src/test/java/honeygap/share/WorkTest.java
+++ b/src/test/java/honeygap/share/WorkTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.share.lock.Discipline;
+import honeygap.share.lock.LockMonitor;
 import honeygap.share.lock.Rank;
 import honeygap.share.lock.RankedLock;
-import honeygap.share.work.Budget;
-import honeygap.share.work.Kind;
-import honeygap.share.work.Line;
-import honeygap.share.work.Workers;
+import honeygap.share.work.WorkLimits;
+import honeygap.share.work.WorkKind;
+import honeygap.share.work.WorkQueue;
+import honeygap.share.work.WorkerPool;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
@@ -25,10 +25,10 @@
 
     private static final long NEVER = Long.MAX_VALUE / 2;
 
-    private static Map<Kind, Budget> budgets(int running, int waiting, long ages, long stale) {
-        Map<Kind, Budget> budgets = new EnumMap<>(Kind.class);
-        for (Kind kind : Kind.values()) {
-            budgets.put(kind, new Budget(running, waiting, ages, stale));
+    private static Map<WorkKind, WorkLimits> budgets(int running, int waiting, long ages, long stale) {
+        Map<WorkKind, WorkLimits> budgets = new EnumMap<>(WorkKind.class);
+        for (WorkKind kind : WorkKind.values()) {
+            budgets.put(kind, new WorkLimits(running, waiting, ages, stale));
         }
         return budgets;
     }
@@ -45,13 +45,13 @@
         "PROBE:a:0 PROBE:b:900, 1001, PROBE:b",
         "PROBE:a:0 PROBE:a:1 EXCHANGE:b:1, 2, PROBE:a EXCHANGE:b"})
     void order(String offers, long at, String begun) {
-        Line line = new Line(budgets(2, 3, 100, 1000));
+        WorkQueue line = new WorkQueue(budgets(2, 3, 100, 1000));
         for (String offer : offers.split(" ")) {
             String[] parts = offer.split(":");
-            line.offer(Kind.valueOf(parts[0]), parts[1], () -> { }, Long.parseLong(parts[2]));
+            line.offer(WorkKind.valueOf(parts[0]), parts[1], () -> { }, Long.parseLong(parts[2]));
         }
         StringBuilder said = new StringBuilder();
-        for (var piece = line.next(at); piece != null; piece = line.next(at)) {
+        for (var piece = line.poll(at); piece != null; piece = line.poll(at)) {
             said.append(said.length() > 0 ? " " : "").append(piece);
         }
         assertEquals(begun, said.toString());
@@ -60,45 +60,45 @@
     /** What is too much, or the same once more, is dropped and counted by its kind. */
     @Test
     void droppedByKind() {
-        Line line = new Line(budgets(1, 2, 100, 1000));
+        WorkQueue line = new WorkQueue(budgets(1, 2, 100, 1000));
         for (String partner : new String[] {"a", "b", "c", "a"}) {
-            line.offer(Kind.EXCHANGE, partner, () -> { }, 0);
+            line.offer(WorkKind.EXCHANGE, partner, () -> { }, 0);
         }
-        assertEquals(2, line.dropped(Kind.EXCHANGE));
-        assertEquals(0, line.dropped(Kind.PROBE));
-        assertEquals(null, line.next(2000));
-        assertEquals(2, line.stale(Kind.EXCHANGE));
+        assertEquals(2, line.droppedCount(WorkKind.EXCHANGE));
+        assertEquals(0, line.droppedCount(WorkKind.PROBE));
+        assertEquals(null, line.poll(2000));
+        assertEquals(2, line.staleCount(WorkKind.EXCHANGE));
     }
 
     /** Wrong orders and waits under a lock fail where assertions are on, and are counted always. */
     @ParameterizedTest
     @CsvSource({"MEMBERS,LOAD,true", "LOAD,MEMBERS,false", "LOAD,LOAD,false", "QUEUE,PARTNERS,false"})
     void lockOrder(Rank first, Rank then, boolean may) {
-        Discipline discipline = new Discipline(NEVER);
+        LockMonitor discipline = new LockMonitor(NEVER);
         RankedLock outer = new RankedLock(first, discipline);
         RankedLock inner = new RankedLock(then, discipline);
-        Runnable both = () -> outer.run(() -> inner.run(() -> { }));
+        Runnable both = () -> outer.runLocked(() -> inner.runLocked(() -> { }));
         if (may) {
             both.run();
         } else {
             assertThrows(AssertionError.class, both::run);
         }
-        assertEquals(may ? 0 : 1, discipline.outOfOrder());
-        assertThrows(AssertionError.class, () -> outer.run(() -> discipline.mayWait("a socket")));
-        assertEquals(1, discipline.heldOverIo());
-        discipline.mayWait("a socket");
-        assertEquals(1, discipline.heldOverIo());
+        assertEquals(may ? 0 : 1, discipline.orderViolations());
+        assertThrows(AssertionError.class, () -> outer.runLocked(() -> discipline.beforeBlocking("a socket")));
+        assertEquals(1, discipline.holdsWhileBlocking());
+        discipline.beforeBlocking("a socket");
+        assertEquals(1, discipline.holdsWhileBlocking());
     }
 
     /** A worker that dies is replaced, its partner is free again; a fault of the work ends the work alone. */
     @Test
     @Timeout(20)
     void workersDie() throws InterruptedException {
-        try (Workers workers = new Workers(2, budgets(2, 100, 100, NEVER), () -> 0L, new Discipline(NEVER))) {
+        try (WorkerPool workers = new WorkerPool(2, budgets(2, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
             CountDownLatch done = new CountDownLatch(6);
             for (int i = 0; i < 6; i++) {
                 int number = i;
-                workers.offer(Kind.PROBE, "p" + i, () -> {
+                workers.offer(WorkKind.PROBE, "p" + i, () -> {
                     done.countDown();
                     if (number % 3 == 0) {
                         throw new StackOverflowError("made up");
@@ -112,13 +112,13 @@
             CountDownLatch again = new CountDownLatch(6);
             for (int i = 0; i < 6; i++) {
                 int number = i;
-                while (!workers.offer(Kind.PROBE, "p" + number, again::countDown)) {
+                while (!workers.offer(WorkKind.PROBE, "p" + number, again::countDown)) {
                     Thread.onSpinWait();
                 }
             }
             assertTrue(again.await(10, TimeUnit.SECONDS));
-            assertEquals(2, workers.died());
-            assertEquals(2, workers.failed());
+            assertEquals(2, workers.deadWorkers());
+            assertEquals(2, workers.failedItems());
         }
     }
 
@@ -126,12 +126,12 @@
     @Test
     @Timeout(20)
     void oneAtATimeWithAPartner() throws InterruptedException {
-        try (Workers workers = new Workers(4, budgets(4, 100, 100, NEVER), () -> 0L, new Discipline(NEVER))) {
+        try (WorkerPool workers = new WorkerPool(4, budgets(4, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
             AtomicInteger inside = new AtomicInteger();
             AtomicInteger most = new AtomicInteger();
             CountDownLatch done = new CountDownLatch(200);
             for (int i = 0; i < 200; i++) {
-                Kind kind = Kind.values()[i % 4];
+                WorkKind kind = WorkKind.values()[i % 4];
                 while (!workers.offer(kind, "one", () -> {
                     most.accumulateAndGet(inside.incrementAndGet(), Math::max);
                     Thread.yield();
