--- a/src/main/java/honeygap/share/exchange/Message.java
+++ b/src/main/java/honeygap/share/exchange/Message.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /**
- * What goes between two processes, a part a table: how far the sender has heard, and entries.
+ * A message between two processes. It has one section per table: the sender's digest and deltas for the receiver.
  *
- * @param from the sender
- * @param version of the form that the sender speaks
+ * @param from name of the sending process
+ * @param version message format version of the sender
  */
 public record Message(String from, int version, Map<String, TableSection> sections) {
 
-    /** The version of the form spoken here. */
+    /** Message format version of this build. */
     public static final int VERSION = 1;
 
-    /** Either may be empty. */
+    /** One table's digest and deltas; either list may be empty. */
     public record TableSection(List<DigestEntry> digest, List<Delta> deltas) { }
 
     public static Message of(String from) {
--- a/src/main/java/honeygap/share/exchange/MessageCodec.java
+++ b/src/main/java/honeygap/share/exchange/MessageCodec.java
@@ -15,9 +15,10 @@
 import java.util.Map;
 
 /**
- * Messages as JSON. A line of a digest is a list of owner, generation and count; an entry is one of name, count, time to
- * hold, age and value. Generations and counts are text, since some readers' numbers hold fewer bits. Fields with other
- * names are passed over, also in a newer version of the form; what is of another type is a fault with its place.
+ * Encodes messages as JSON and decodes them. A digest item is an array of owner, generation and highest sequence
+ * number; an entry is an array of name, sequence number, TTL, age and value. Generations and sequence numbers are
+ * written as strings, because some JSON parsers cannot hold 64-bit integers. Unknown fields are ignored, so that
+ * newer format versions stay readable; a value of the wrong type is an error that names its location.
  */
 public final class MessageCodec {
 
@@ -88,7 +89,8 @@
                 List<DigestEntry> digest = new ArrayList<>();
                 for (Object item : listField(section, name, "digest")) {
                     List<?> values = requireRow(item, 3, name + ".digest");
-                    digest.add(new DigestEntry(textAt(values, 0, name + ".digest"), nonNegativeAt(values, 1, name + ".digest"),
+                    digest.add(new DigestEntry(textAt(values, 0, name + ".digest"),
+                            nonNegativeAt(values, 1, name + ".digest"),
                             nonNegativeAt(values, 2, name + ".digest")));
                 }
                 List<Delta> deltas = new ArrayList<>();
@@ -108,10 +110,11 @@
         long last = 0;
         for (Object item : listField(delta, place, "entries")) {
             List<?> values = requireRow(item, 5, place);
-            Entry entry = new Entry(textAt(values, 0, place), nonNegativeAt(values, 1, place), nonNegativeAt(values, 2, place),
+            Entry entry = new Entry(textAt(values, 0, place), nonNegativeAt(values, 1, place),
+                    nonNegativeAt(values, 2, place),
                     values.get(4) == null ? null : textAt(values, 4, place));
             if (entry.sequence() <= last) {
-                throw new Malformed(place + ": counts that do not rise");
+                throw new Malformed(place + ": sequence numbers are not increasing");
             }
             last = entry.sequence();
             entries.add(new Delta.AgedEntry(entry, nonNegativeAt(values, 3, place)));
@@ -120,7 +123,7 @@
             return new Delta(delta.text("owner"), Long.parseLong(delta.text("generation")),
                     Long.parseLong(delta.text("from")), entries);
         } catch (NumberFormatException e) {
-            throw new Malformed(place + ": generation or from is not a whole number");
+            throw new Malformed(place + ": generation or from is not an integer");
         }
     }
 
@@ -134,19 +137,19 @@
 
     private static List<?> requireRow(Object value, int minSize, String place) throws Malformed {
         if (!(value instanceof List<?> values) || values.size() < minSize) {
-            throw new Malformed(place + ": a row that is no list of " + minSize);
+            throw new Malformed(place + ": expected an array with a minimum length of " + minSize);
         }
         return values;
     }
 
     private static String textAt(List<?> values, int index, String place) throws Malformed {
         if (!(values.get(index) instanceof String text)) {
-            throw new Malformed(place + ": text expected at place " + index + " of a row");
+            throw new Malformed(place + ": expected a string at array index " + index + " of an item");
         }
         return text;
     }
 
-    /** A whole number, not negative, as text or as a number. */
+    /** Reads a non-negative integer, written as a string or as a number. */
     private static long nonNegativeAt(List<?> values, int index, String place) throws Malformed {
         Object value = values.get(index);
         try {
@@ -155,8 +158,8 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Falls through to the error below.
         }
-        throw new Malformed(place + ": a whole number expected at place " + index + " of a row");
+        throw new Malformed(place + ": expected a non-negative integer at array index " + index + " of an item");
     }
 }
--- a/src/main/java/honeygap/share/exchange/PartnerSelector.java
+++ b/src/main/java/honeygap/share/exchange/PartnerSelector.java
@@ -7,9 +7,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * With whom does this process exchange in a round? One drawn from its own site and one from another, so that what a site
- * knows crosses to the others each round, however many processes it has. Every few rounds one that is held for dead is
- * tried too: where a cut has healed nobody else would find out.
+ * Selects the peers for one round of anti-entropy: a random peer of the local site and a random peer of another site,
+ * so that updates cross sites every round whatever the number of processes. Every few rounds it adds a peer that is
+ * considered dead: after a healed network partition no other mechanism would contact it again.
  */
 public final class PartnerSelector {
 
--- a/src/main/java/honeygap/share/host/PeerClient.java
+++ b/src/main/java/honeygap/share/host/PeerClient.java
@@ -13,14 +13,20 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** Calls to the doors of other processes, each bounded in time and in what it reads. From workers only. */
+/**
+ * HTTP client for the admin endpoints of other processes, with bounds on call time and response size. It blocks, so
+ * only worker threads may call it.
+ */
 final class PeerClient {
 
     private final HttpClient client;
     private final String token;
     private final int maxResponseBytes;
 
-    /** The token opens the doors; it may be empty. Answers longer than so many bytes are a fault; no proxy is null. */
+    /**
+     * The token authorizes calls to other admin endpoints and may be empty. Longer responses than maxResponseBytes
+     * are an error; without an HTTP proxy, proxy is null. Timeouts are in units of 0.1 ms.
+     */
     PeerClient(String token, long connectTimeout, int maxResponseBytes, InetSocketAddress proxy) {
         this.token = token;
         this.maxResponseBytes = maxResponseBytes;
@@ -29,7 +35,7 @@
         client = (proxy == null ? builder : builder.proxy(ProxySelector.of(proxy))).build();
     }
 
-    /** Sends a message and reads the one that answers it. Times are tenths of a millisecond. */
+    /** Sends a message and returns the decoded response. The timeout is in units of 0.1 ms. */
     Message call(String address, String path, Message message, long timeout)
             throws IOException, InterruptedException, Malformed {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + address + path))
@@ -42,10 +48,10 @@
         try (InputStream input = response.body()) {
             byte[] body = input.readNBytes(maxResponseBytes + 1);
             if (body.length > maxResponseBytes) {
-                throw new Malformed(address + " answers more than " + maxResponseBytes + " bytes");
+                throw new Malformed(address + ": response is longer than " + maxResponseBytes + " bytes");
             }
             if (response.statusCode() != 200) {
-                throw new Malformed(address + " answers " + response.statusCode());
+                throw new Malformed(address + ": unexpected status " + response.statusCode());
             }
             return MessageCodec.read(body);
         }
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -41,20 +41,21 @@
 import org.tinylog.Logger;
 
 /**
- * The part of a process that shares tables with others, beside its loop. A clock offers work each round; workers probe,
- * exchange and expire; what others ask for is answered on a thread of its own from the tables. The loop puts its figures
- * into a bounded box and reads what is published: it never waits for a lock here. Locks are taken one at a time.
+ * Shares tables with other processes, off the event loop. A timer submits work every round; worker threads probe
+ * peers, exchange deltas and expire entries; incoming requests are answered from the tables on a thread of their own.
+ * The event loop offers its load figures to a bounded queue and reads published results, so it never waits for a lock
+ * in this class. A thread holds at most one lock at a time.
  */
 public final class Sites implements Aside, Shared, Counters.Group, AutoCloseable {
 
-    /** Tables by name: who is there, whom each suspects, and what each has out at appliances. */
+    /** Table names: member announcements, peers suspected by each process, and picks in flight per appliance. */
     private static final String MEMBERS = "members", SUSPECTS = "suspects", LOAD = "load";
     private static final String PROBE = "/v1/share/probe", RELAY = "/v1/share/relay/", EXCHANGE = "/v1/share/exchange";
     private static final int INDIRECT_PROBERS = 3;
     private static final int REQUEST_QUEUE_CAPACITY = 64;
     private static final int LOAD_QUEUE_CAPACITY = 4;
     private static final long MAX_LOCK_HOLD_NS = 200_000_000;
-    /** Digests may take as much again as entries. */
+    /** Bodies may be this many times the bytes per round: digests can be as large as the entries. */
     private static final int BODY_SIZE_FACTOR = 4;
 
     private final SitesSheet settings;
@@ -74,11 +75,16 @@
     private final ArrayBlockingQueue<Map<String, Integer>> pendingLoads = new ArrayBlockingQueue<>(LOAD_QUEUE_CAPACITY);
     private volatile Map<String, Double> remoteLoads = Map.of();
     private volatile String ownAddress;
-    private final AtomicLong droppedLoads = new AtomicLong(), malformedMessages = new AtomicLong(), newerVersionMessages = new AtomicLong();
-    private final AtomicLong failedCalls = new AtomicLong(), completedExchanges = new AtomicLong(), rejectedRequests = new AtomicLong();
+    private final AtomicLong droppedLoads = new AtomicLong(), malformedMessages = new AtomicLong(),
+            newerVersionMessages = new AtomicLong();
+    private final AtomicLong failedCalls = new AtomicLong(), completedExchanges = new AtomicLong(),
+            rejectedRequests = new AtomicLong();
     private final AtomicLong loadsOutOfBounds = new AtomicLong(), answeredBytes = new AtomicLong();
 
-    /** The generation tells this life from earlier ones; the token opens others' doors and may be empty. */
+    /**
+     * The generation distinguishes this process from earlier processes of the same name. The token authorizes calls
+     * to the admin endpoints of other processes and may be empty.
+     */
     public Sites(SitesSheet settings, long generation, String token) {
         this.settings = settings;
         identity = new ProcessIdentity(settings.name, generation);
@@ -91,10 +97,12 @@
         partnerSelector = new PartnerSelector(settings.site, RandomSource.XO_RO_SHI_RO_128_PP.create(generation + 1));
         Map<WorkKind, WorkLimits> budgets = new EnumMap<>(WorkKind.class);
         for (WorkKind kind : WorkKind.values()) {
-            budgets.put(kind, new WorkLimits(Math.max(1, settings.workerThreads - 1), 2 * settings.workerThreads, settings.roundInterval, 2 * settings.roundInterval));
+            budgets.put(kind, new WorkLimits(Math.max(1, settings.workerThreads - 1), 2 * settings.workerThreads,
+                    settings.roundInterval, 2 * settings.roundInterval));
         }
         workerPool = new WorkerPool(settings.workerThreads, budgets, Sites::monotonicTime, lockMonitor);
-        peerClient = new PeerClient(token, settings.answerTimeout, BODY_SIZE_FACTOR * settings.maxRoundBytes, settings.proxy);
+        peerClient = new PeerClient(token, settings.answerTimeout, BODY_SIZE_FACTOR * settings.maxRoundBytes,
+                settings.proxy);
     }
 
     private static java.util.concurrent.ThreadFactory daemonThreads(String name) {
@@ -109,11 +117,12 @@
         return System.nanoTime() / 100_000;
     }
 
-    /** From then on others may come: the door listens there. */
+    /** Starts the rounds and announces the address of this process; its admin endpoint already listens there. */
     public void start(InetSocketAddress listenAddress) {
         InetSocketAddress reachableAddress = settings.advertise == null ? listenAddress : settings.advertise;
         ownAddress = reachableAddress.getAddress().getHostAddress() + ":" + reachableAddress.getPort();
-        roundExecutor.scheduleAtFixedRate(this::runRound, 0, Math.max(1, settings.roundInterval / 10), TimeUnit.MILLISECONDS);
+        roundExecutor.scheduleAtFixedRate(this::runRound, 0, Math.max(1, settings.roundInterval / 10),
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -121,7 +130,7 @@
         return settings.roundInterval;
     }
 
-    /** One too many is dropped and counted. */
+    /** Figures that do not fit into the queue are dropped and counted. */
     @Override
     public void figures(Map<String, Integer> loads) {
         if (!pendingLoads.offer(loads)) {
@@ -161,14 +170,15 @@
             }
             workerPool.offer(WorkKind.EXPIRE, "", this::expire);
         } catch (RuntimeException e) {
-            Logger.error(e, "a round failed, gone on from");
+            Logger.error(e, "replication round failed; the next round runs as scheduled");
         }
     }
 
-    /** What this process says of itself and of those that it suspects; under the lock of members. */
+    /** Publishes this process's announcement and the peers that it suspects. Requires the members lock. */
     private void publishMembership() {
         ReplicatedTable membersTable = tables.get(MEMBERS);
-        membersTable.put("self", failureDetector.incarnation() + " " + ownAddress + " " + settings.site, settings.limits.maxTtl());
+        membersTable.put("self", failureDetector.incarnation() + " " + ownAddress + " " + settings.site,
+                settings.limits.maxTtl());
         ReplicatedTable suspects = tables.get(SUSPECTS);
         List<Peer> suspected = failureDetector.suspectedPeers();
         suspects.retainOnly(suspected.stream().map(peer -> peer.name).toList());
@@ -183,15 +193,18 @@
             membersLock.runLocked(() -> updateDetector(() -> failureDetector.probeSucceeded(target.name, true)));
             return;
         }
-        List<Peer> helpers = membersLock.callLocked(() -> new ArrayList<>(failureDetector.indirectProbers(target.name, INDIRECT_PROBERS)));
+        List<Peer> helpers = membersLock.callLocked(() -> new ArrayList<>(
+                failureDetector.indirectProbers(target.name, INDIRECT_PROBERS)));
         boolean helperAnswered = false;
         for (Peer helper : helpers) {
             try {
                 lockMonitor.beforeBlocking("a relayed probe");
-                Message answer = peerClient.call(helper.address, RELAY + target.address, Message.of(settings.name), 2 * timeout);
+                Message answer = peerClient.call(helper.address, RELAY + target.address, Message.of(settings.name),
+                        2 * timeout);
                 helperAnswered = true;
                 if (answer.sections().containsKey("reached")) {
-                    membersLock.runLocked(() -> updateDetector(() -> failureDetector.probeSucceeded(target.name, false)));
+                    membersLock.runLocked(() -> updateDetector(
+                            () -> failureDetector.probeSucceeded(target.name, false)));
                     return;
                 }
             } catch (IOException | Malformed e) {
@@ -235,11 +248,12 @@
         });
     }
 
-    /** Digests there, what this one lacks back, and then what the other lacks. */
+    /** Sends digests, merges the deltas that come back, and then sends the deltas that the partner lacks. */
     private void exchange(String partnerName, String partnerAddress) {
         Message digests = Message.of(settings.name);
         for (String table : tables.keySet()) {
-            digests.sections().put(table, new Message.TableSection(withTable(table, tables.get(table)::digest), List.of()));
+            digests.sections().put(table,
+                    new Message.TableSection(withTable(table, tables.get(table)::digest), List.of()));
         }
         try {
             lockMonitor.beforeBlocking("an exchange");
@@ -276,30 +290,32 @@
         }
     }
 
-    /** What the tables of members now say goes to the one that judges. */
+    /** Feeds the current contents of the members and suspects tables to the failure detector. */
     private void updateMembership() {
         membersLock.runLocked(() -> {
             failureDetector.setNow(monotonicTime());
             tables.get(MEMBERS).forEachLive((owner, stored) -> {
                 String[] parts = stored.entry().value().split(" ");
                 if (parts.length >= 3 && parts[0].matches("[0-9]{1,18}")) {
-                    failureDetector.memberAnnounced(owner.name, owner.generation, Long.parseLong(parts[0]), parts[1], parts[2]);
+                    failureDetector.memberAnnounced(owner.name, owner.generation, Long.parseLong(parts[0]), parts[1],
+                            parts[2]);
                     failureDetector.updateReceived(owner.name, stored.writtenAt());
                 }
             });
             tables.get(SUSPECTS).forEachLive((owner, stored) -> {
                 String[] parts = stored.entry().value().split(" ");
                 if (parts.length >= 2 && parts[0].matches("[0-9]{1,18}") && parts[1].matches("[0-9]{1,18}")) {
-                    failureDetector.suspicionReceived(owner.name, stored.entry().name(), Long.parseLong(parts[0]), Long.parseLong(parts[1]));
+                    failureDetector.suspicionReceived(owner.name, stored.entry().name(), Long.parseLong(parts[0]),
+                            Long.parseLong(parts[1]));
                 }
             });
             for (Peer peer : failureDetector.evaluate()) {
-                Logger.info("{} at {} is {}", peer.name, peer.address, peer.standing());
+                Logger.info("peer {} at {} is now {}", peer.name, peer.address, peer.standing());
             }
         });
     }
 
-    /** Takes the loop's figures out of the box, lets go of what no longer holds, and publishes. */
+    /** Drains the queue of load figures into the load table, expires entries, and publishes the remote loads. */
     private void expire() {
         Map<String, Integer> newest = null;
         for (Map<String, Integer> loads = pendingLoads.poll(); loads != null; loads = pendingLoads.poll()) {
@@ -311,7 +327,8 @@
             ReplicatedTable loadTable = tables.get(LOAD);
             if (loads != null) {
                 loadTable.retainOnly(loads.keySet());
-                loads.forEach((appliance, inFlight) -> loadTable.put(appliance, Integer.toString(inFlight), settings.limits.maxTtl()));
+                loads.forEach((appliance, inFlight) -> loadTable.put(appliance, Integer.toString(inFlight),
+                        settings.limits.maxTtl()));
             }
             loadTable.expire();
             long now = monotonicTime();
@@ -367,10 +384,10 @@
             }
         };
         if (method.equals("POST") && path.startsWith(RELAY)) {
-            // Waits for a third one: that is a worker's business.
+            // A relayed probe waits for another process, so a worker thread has to run it.
             if (!workerPool.offer(WorkKind.PROBE, path, () -> relay(path.substring(RELAY.length()), reply))) {
                 rejectedRequests.incrementAndGet();
-                reply.refuse(new Refusal(503, "busy", "no worker for it"));
+                reply.refuse(new Refusal(503, "busy", "no worker is available for a relayed probe"));
             }
             return;
         }
@@ -378,7 +395,7 @@
             requestExecutor.execute(task);
         } catch (java.util.concurrent.RejectedExecutionException e) {
             rejectedRequests.incrementAndGet();
-            reply.refuse(new Refusal(503, "busy", "too much is asked for at once"));
+            reply.refuse(new Refusal(503, "busy", "too many requests are queued"));
         }
     }
 
@@ -420,7 +437,7 @@
             case "GET /v1/share/members":
                 return membersJson();
             default:
-                throw new Refusal(404, "other path", "nothing is here");
+                throw new Refusal(404, "other path", "no such path");
         }
     }
 
@@ -441,7 +458,7 @@
 
     @Override
     public void report(Counters counters) {
-        // The loop must not wait for a lock: what needs one is asked for beside it.
+        // Runs on the event loop, which must not wait for a lock: figures that need one have an endpoint of their own.
         counters.count("exchanged", completedExchanges.get());
         counters.count("unreached", failedCalls.get());
         counters.count("spoilt", malformedMessages.get());
--- a/src/main/java/honeygap/share/host/SitesSheet.java
+++ b/src/main/java/honeygap/share/host/SitesSheet.java
@@ -8,25 +8,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What an operator's file says of the sites whose processes share tables; docs/sites.md has each field. */
+/**
+ * Settings of the sites whose processes share tables, as read from the operator's file; docs/sites.md describes each
+ * field.
+ */
 public final class SitesSheet {
 
     private static final int MAX_TEXT_LENGTH = 200;
 
-    /** This process's name and site, and where others find its door; null for where the door itself listens. */
+    /**
+     * Name and site of this process, and the address under which others reach its admin endpoint; null for its listen
+     * address.
+     */
     public final String name;
     public final String site;
     public final InetSocketAddress advertise;
-    /** Calls to others go through a proxy there; null for none. */
+    /** HTTP proxy for calls to other processes; null for none. */
     public final InetSocketAddress proxy;
-    /** Doors to begin with: one that answers is enough. */
+    /** Admin endpoints to contact first; one that responds is enough. */
     public final List<InetSocketAddress> seeds = new ArrayList<>();
     public final long roundInterval;
     public final long answerTimeout;
     public final int workerThreads;
     public final int maxRoundBytes;
     public final TableLimits limits;
-    /** Picks that one process may say it has out at one appliance. */
+    /** Maximum number of picks in flight that one process may report for one appliance. */
     public final double maxInFlight;
 
     private SitesSheet(Sheet input, String defaultName) {
@@ -43,7 +49,8 @@
         workerThreads = (int) input.whole("workers", 3, 1, 16);
         maxRoundBytes = (int) input.whole("roundBytes", 65_536, 1024, 1 << 20);
         maxInFlight = input.number("mostOut", 1000, 1, 1e6);
-        limits = new TableLimits((int) input.whole("owners", 1000, 2, 100_000), (int) input.whole("names", 512, 8, 100_000),
+        limits = new TableLimits((int) input.whole("owners", 1000, 2, 100_000),
+                (int) input.whole("names", 512, 8, 100_000),
                 MAX_TEXT_LENGTH, MAX_TEXT_LENGTH, input.duration("holds", "10s"));
         for (String value : new String[] {name, site}) {
             if (value != null && !value.matches("[\\w.-]{1,60}")) {
@@ -56,7 +63,7 @@
         input.end();
     }
 
-    /** Reads the whole of it; all that is wrong is told at once, a line each. */
+    /** Reads all settings; reports all errors together, one per line. */
     public static SitesSheet of(Fields fields, String defaultName) throws Malformed {
         Sheet input = new Sheet(fields);
         SitesSheet settings = new SitesSheet(input, defaultName);
--- a/src/main/java/honeygap/share/lock/LockMonitor.java
+++ b/src/main/java/honeygap/share/lock/LockMonitor.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Watches that locks are taken in rising rank, held for a short time, and never over I/O or a call out. Where
- * assertions are on a breach fails one; it is counted always.
+ * Checks that locks are acquired in ascending rank, held only briefly, and never held across I/O or calls to other
+ * components. Violations are always counted; with assertions enabled they also fail.
  */
 public final class LockMonitor {
 
@@ -12,10 +12,10 @@
     private final AtomicLong orderViolations = new AtomicLong();
     private final AtomicLong longHolds = new AtomicLong();
     private final AtomicLong holdsWhileBlocking = new AtomicLong();
-    /** A bit a rank that this thread holds. */
+    /** Bit mask of the ranks that the current thread holds. */
     private final ThreadLocal<int[]> heldRanks = ThreadLocal.withInitial(() -> new int[1]);
 
-    /** Nanoseconds for which a lock may be held. */
+    /** The longest time in nanoseconds for which a lock may be held. */
     public LockMonitor(long maxHoldNs) {
         this.maxHoldNs = maxHoldNs;
     }
@@ -24,7 +24,7 @@
         int[] rankBits = heldRanks.get();
         if (rankBits[0] >= 1 << rank.ordinal()) {
             orderViolations.incrementAndGet();
-            assert false : rank + " taken while one of its rank or below is held";
+            assert false : rank + " acquired while a lock of the same or a later rank is held";
         }
     }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Before anything that may wait: a socket, a file, another part's code. */
+    /** Call before an operation that may block, such as I/O on a socket or file, or a call to another component. */
     public void beforeBlocking(String operation) {
         if (heldRanks.get()[0] != 0) {
             holdsWhileBlocking.incrementAndGet();
--- a/src/main/java/honeygap/share/lock/Rank.java
+++ b/src/main/java/honeygap/share/lock/Rank.java
@@ -1,19 +1,19 @@
 package honeygap.share.lock;
 
 /**
- * The order of locks: a thread that holds one may take only such as stand below it here. One lock a table, one for
- * each of the other things that workers share. docs/sites.md says why each stands where it does.
+ * Lock order: a thread that holds a lock may acquire only locks that are listed after it. Each table has a lock, and
+ * so has every other object that workers share. docs/sites.md gives the reason for each position.
  */
 public enum Rank {
 
-    /** The table of members, and what this process makes of each of them. */
+    /** Guards the members and suspects tables and the failure detector. */
     MEMBERS,
-    /** The table of load at appliances. */
+    /** Guards the table of load per appliance. */
     LOAD,
-    /** Further tables, in the order of their coming. */
+    /** For further tables, in the order in which they are added. */
     OTHER_TABLES,
-    /** Who was spoken with, and when. */
+    /** Guards the selection of exchange partners. */
     PARTNERS,
-    /** Work that waits for a worker: innermost, since work may be offered under any of the others. */
+    /** Guards the work queue. Innermost, because work may be submitted while any other lock is held. */
     QUEUE
 }
--- a/src/main/java/honeygap/share/lock/RankedLock.java
+++ b/src/main/java/honeygap/share/lock/RankedLock.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
 
-/** A lock with its place in the order. What is done under it returns a value that outlives it. */
+/** A lock with a rank in the lock order. Results of a task that runs under it must stay valid after the release. */
 public final class RankedLock {
 
     private final ReentrantLock lock = new ReentrantLock();
@@ -50,7 +50,9 @@
         return lock.newCondition();
     }
 
-    /** Waits on a condition of this lock, at most so long; the wait does not count as holding it. */
+    /**
+     * Waits on a condition of this lock for at most the timeout; the waiting time does not count as holding the lock.
+     */
     public void await(Condition condition, long timeoutNs) throws InterruptedException {
         condition.awaitNanos(timeoutNs);
         acquiredAtNs = System.nanoTime();
--- a/src/main/java/honeygap/share/member/FailureDetector.java
+++ b/src/main/java/honeygap/share/member/FailureDetector.java
@@ -10,25 +10,31 @@
 import org.apache.commons.rng.sampling.ListSampler;
 
 /**
- * Who is there? Probes go round in a drawn order, direct and then by way of others; one that answers neither, and of
- * which nothing else is heard for longer than is usual, is suspected, and told so in a table. It refutes by a higher
- * incarnation; otherwise it is held for dead after a time that shrinks with the number of independent accusers. A
- * process that is slow itself waits longer, and where many fall silent at once it is this end that is cut off: then
- * judgement rests. After SWIM (Das and others, 2002) with Lifeguard's corrections and an accrual detector of signs.
- * Decisions alone: no I/O, no clock of its own. Times are tenths of a millisecond.
+ * Detects failed peers, after SWIM (Das and others, 2002) with the corrections of Lifeguard and an accrual detector
+ * on heartbeats. Peers are probed in random order, directly and then through other peers. A peer that answers no
+ * probe and has been silent for longer than usual becomes suspect, which is published in a table. It refutes the
+ * suspicion with a higher incarnation; otherwise it is declared dead after a time that shrinks with the number of
+ * independent accusers. A process that is slow itself waits longer. Where many peers fall silent at once, this
+ * process assumes that it is cut off itself and suspends its decisions. The class does no I/O and has no clock of its
+ * own; times are in units of 0.1 ms.
  */
 public final class FailureDetector {
 
-    /** Level of the accrual detector from which silence counts as such: wrong once in a hundred. */
+    /** Suspicion level from which a peer counts as silent: a false positive rate of 1 in 100. */
     private static final double SILENCE_LEVEL = 2;
-    /** Least time of a suspicion, in rounds for each tenfold of members; most, against least. */
+    /**
+     * Minimum suspicion time, in rounds for each factor of ten in cluster size; the maximum as a multiple of the
+     * minimum.
+     */
     private static final double MIN_SUSPICION_ROUNDS = 4, MAX_SUSPICION_FACTOR = 6;
-    /** So many accusers bring the time of a suspicion down to its least. */
+    /** Number of accusers that reduces the suspicion time to its minimum. */
     private static final int ACCUSERS_FOR_MIN_TIME = 3;
-    /** Of those that stood well, such a part silent within the time of a suspicion: this end is cut off. */
+    /**
+     * If more than this share of the healthy peers falls silent within one suspicion time, this process is cut off.
+     */
     private static final double CUT_OFF_SHARE = 0.5;
     private static final int CUT_OFF_MIN_PEERS = 3;
-    /** Changes of life of one name within so many rounds that are no restart. */
+    /** A new generation at another address within this many rounds is a name conflict, not a restart. */
     private static final int NAME_CONFLICT_ROUNDS = 10;
 
     private final String self;
@@ -41,7 +47,7 @@
     private long incarnation = 1;
     private boolean isCutOff;
 
-    /** Each round asks one other; it begins so often. */
+    /** One peer is probed per round, which starts every roundInterval. */
     public FailureDetector(String self, long roundInterval, long now, UniformRandomProvider random) {
         this.self = self;
         this.roundInterval = roundInterval;
@@ -49,12 +55,15 @@
         this.random = random;
     }
 
-    /** Inputs come first, then {@link #nextProbeTarget} and {@link #evaluate}. */
+    /**
+     * Sets the time of the following calls. Report events first, then call {@link #nextProbeTarget} and {@link
+     * #evaluate}.
+     */
     public void setNow(long now) {
         this.now = now;
     }
 
-    /** A member has said where it is. */
+    /** Handles a member's announcement of its address and site. */
     public void memberAnnounced(String name, long generation, long incarnation, String address, String site) {
         if (name.equals(self)) {
             return;
@@ -66,7 +75,7 @@
             if (isConflict) {
                 peer.nameConflictUntil = now + NAME_CONFLICT_ROUNDS * roundInterval;
             }
-            // A later life: nothing known of the one before holds.
+            // A new process: what is known of the previous one no longer applies.
             peer.generation = generation;
             peer.incarnation = incarnation;
             clearSuspicion(peer);
@@ -82,7 +91,7 @@
         peer.standing = peer.standing == Peer.Standing.LEFT ? Peer.Standing.ALIVE : peer.standing;
     }
 
-    /** It has taken itself out. */
+    /** Handles a member that left on its own account. */
     public void memberLeft(String name) {
         Peer peer = peers.get(name);
         if (peer != null) {
@@ -91,7 +100,10 @@
         }
     }
 
-    /** Something that it wrote then has come, by whatever way: a sign of life if it is newer than the last. */
+    /**
+     * Handles an update that the member wrote at the given time, received over any path. It counts as a heartbeat if
+     * it is newer than the latest.
+     */
     public void updateReceived(String name, long writtenAt) {
         Peer peer = peers.get(name);
         if (peer != null && peer.standing != Peer.Standing.LEFT && writtenAt > peer.latestWriteAt) {
@@ -102,7 +114,7 @@
 
     private void recordHeartbeat(Peer peer) {
         if (peer.heartbeats == null || isCutOff) {
-            // The time in which nobody could be heard says nothing of this one.
+            // While this process was cut off, silence says nothing about a single peer.
             peer.heartbeats = new PhiAccrualDetector(now, roundInterval);
         } else {
             peer.heartbeats.recordHeartbeat(now);
@@ -110,7 +122,7 @@
         peer.lastHeartbeatAt = now;
     }
 
-    /** It has answered a probe itself, or another one says that it did: it stands well here at once. */
+    /** Handles an answered probe, direct or through another peer: the peer is considered alive at once. */
     public void probeSucceeded(String name, boolean isDirect) {
         if (isDirect) {
             health.recordSuccess();
@@ -122,7 +134,10 @@
         }
     }
 
-    /** Neither it nor those that were asked to ask it have brought a word; was this process heard by anybody? */
+    /**
+     * Handles a probe that failed directly and through helpers. If no helper answered either, this process may be the
+     * slow one.
+     */
     public void probeFailed(String name, boolean anyHelperAnswered) {
         if (!anyHelperAnswered) {
             health.recordFailure();
@@ -133,7 +148,7 @@
         }
     }
 
-    /** Somebody accuses somebody, perhaps this process, of silence. */
+    /** Handles a suspicion that a process published about another, or about this process. */
     public void suspicionReceived(String accuser, String name, long generation, long incarnation) {
         if (name.equals(self)) {
             if (incarnation >= this.incarnation) {
@@ -155,7 +170,10 @@
         peer.standing = Peer.Standing.ALIVE;
     }
 
-    /** Whom to probe next: all once a round in a drawn order, the dead too, or none would come back by itself. */
+    /**
+     * Returns the next peer to probe. Each is probed once per pass in random order, dead ones included, as they could
+     * not recover without a probe.
+     */
     public Peer nextProbeTarget() {
         probeOrder.removeIf(peer -> peer.standing == Peer.Standing.LEFT);
         if (probeOrder.isEmpty()) {
@@ -165,7 +183,7 @@
         return probeOrder.isEmpty() ? null : probeOrder.remove(probeOrder.size() - 1);
     }
 
-    /** Others through which one can be asked: so many at most, drawn, none of them held for dead. */
+    /** Returns up to limit random live peers that can probe the target on behalf of this process. */
     public List<Peer> indirectProbers(String target, int limit) {
         List<Peer> candidates = new ArrayList<>();
         for (Peer peer : peers.values()) {
@@ -177,18 +195,18 @@
         return candidates.subList(0, Math.min(limit, candidates.size()));
     }
 
-    /** How long to wait for an answer that should come within this time. */
+    /** Returns the timeout for a probe whose usual timeout is given: longer while this process itself is slow. */
     public long probeTimeout(long timeout) {
         return health.scaleTimeout(timeout);
     }
 
-    /** Whom this process suspects, dead ones included: what its accusations are to say. */
+    /** Returns the peers whose suspicion this process publishes; dead peers are included. */
     public List<Peer> suspectedPeers() {
         return peers.values().stream().filter(peer -> peer.failedProbes > 0
                 && (peer.standing == Peer.Standing.SUSPECT || peer.standing == Peer.Standing.DEAD)).toList();
     }
 
-    /** Draws the conclusions from what has been told; those whose standing has changed. */
+    /** Re-evaluates all peers and returns those whose standing changed. */
     public List<Peer> evaluate() {
         updateCutOff();
         List<Peer> changed = new ArrayList<>();
@@ -198,7 +216,7 @@
         for (Peer peer : peers.values()) {
             Peer.Standing previous = peer.standing;
             boolean isSilent = peer.heartbeats != null && peer.heartbeats.suspicionLevel(now) > SILENCE_LEVEL;
-            // By its own probe and ear, by its own probe and another's, or by its ear and enough others.
+            // Own probe failed, and it is silent or others accuse it; or it is silent and enough others accuse it.
             boolean isSuspect = peer.failedProbes > 0 ? isSilent || !peer.accusers.isEmpty()
                     : isSilent && peer.accusers.size() >= ACCUSERS_FOR_MIN_TIME;
             if (peer.standing == Peer.Standing.ALIVE && isSuspect) {
@@ -219,20 +237,21 @@
         return (long) (MIN_SUSPICION_ROUNDS * Math.max(1, Math.log10(Math.max(1, peers.size()))) * roundInterval);
     }
 
-    /** For how long one may refute: shorter with each independent accuser. */
+    /** Returns the time within which a suspect may refute: shorter with each independent accuser. */
     private long suspicionTime(Peer peer) {
         double min = health.scaleTimeout(minSuspicionTime());
         double max = MAX_SUSPICION_FACTOR * min;
-        double progress = Math.log(Math.min(ACCUSERS_FOR_MIN_TIME, peer.accusers.size()) + 1) / Math.log(ACCUSERS_FOR_MIN_TIME + 1);
+        double progress = Math.log(Math.min(ACCUSERS_FOR_MIN_TIME, peer.accusers.size()) + 1)
+                / Math.log(ACCUSERS_FOR_MIN_TIME + 1);
         return (long) (max - (max - min) * progress);
     }
 
-    /** Where many that stood well fall silent together it is this end that is cut off. */
+    /** Updates whether this process is cut off: it is if many healthy peers fall silent together. */
     private void updateCutOff() {
         int healthy = 0;
         int silent = 0;
         for (Peer peer : peers.values()) {
-            // Held for dead before any of this began: says nothing of this end.
+            // Peers that have been suspect or dead for longer say nothing about the connectivity of this process.
             if (peer.standing == Peer.Standing.ALIVE || peer.standing == Peer.Standing.SUSPECT
                     && now - peer.suspectedAt < MAX_SUSPICION_FACTOR * minSuspicionTime()) {
                 healthy++;
@@ -246,12 +265,12 @@
         return isCutOff;
     }
 
-    /** Is its name in use by two processes? Then what either says counts for nothing. */
+    /** Whether two processes seem to use this peer's name; then announcements of neither are trusted. */
     public boolean hasNameConflict(Peer peer) {
         return now < peer.nameConflictUntil;
     }
 
-    /** This process's own incarnation, to be told with where it is. */
+    /** Returns the own incarnation, to be published with the own address. */
     public long incarnation() {
         return incarnation;
     }
--- a/src/main/java/honeygap/share/member/LocalHealth.java
+++ b/src/main/java/honeygap/share/member/LocalHealth.java
@@ -1,9 +1,9 @@
 package honeygap.share.member;
 
 /**
- * How far this process trusts its own ears: it counts its own slowness, as Lifeguard does (Dadgar and others, "Lifeguard:
- * Local Health Awareness for More Accurate Failure Detection", 2018). At 0 all is well; times to wait are multiplied by
- * one more than the score.
+ * Local health score: counts signs that this process itself is slow, as Lifeguard does (Dadgar and others,
+ * "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018). A score of 0 is healthy; timeouts
+ * are multiplied by the score plus one.
  */
 public final class LocalHealth {
 
@@ -11,12 +11,12 @@
 
     private int score;
 
-    /** A probe was answered in time. */
+    /** Records a probe that was answered in time. */
     public void recordSuccess() {
         score = Math.max(0, score - 1);
     }
 
-    /** A probe brought nothing, a suspicion had to be refuted, or a timer came late. */
+    /** Records a probe without any answer or a suspicion that had to be refuted. */
     public void recordFailure() {
         score = Math.min(MAX_SCORE, score + 1);
     }
--- a/src/main/java/honeygap/share/member/Peer.java
+++ b/src/main/java/honeygap/share/member/Peer.java
@@ -4,29 +4,33 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Another process as this one sees it. */
+/** Another process as seen by this one. */
 public final class Peer {
 
-    /** What this process makes of it. */
+    /** This process's view of the peer. */
     public enum Standing { ALIVE, SUSPECT, DEAD, LEFT }
 
     public final String name;
     public String address = "";
     public String site = "";
-    /** It raises this to refute a suspicion; an accusation holds for the incarnation that it names. */
+    /**
+     * A peer raises its incarnation to refute a suspicion; a suspicion applies only to the incarnation that it names.
+     */
     public long generation;
     public long incarnation;
     Standing standing = Standing.ALIVE;
-    /** When it was suspected, and who says so of this incarnation, with when that was heard. */
+    /**
+     * When the peer became suspect, and the accusers of its current incarnation with the times of their accusations.
+     */
     long suspectedAt;
     final Map<String, Long> accusers = new LinkedHashMap<>();
-    /** Direct and indirect probes in a row that brought nothing. */
+    /** Consecutive failed probes, each tried directly and through helpers. */
     int failedProbes;
     PhiAccrualDetector heartbeats;
     long lastHeartbeatAt;
-    /** When it wrote the newest that has come of it. */
+    /** When the peer wrote its latest update received here. */
     long latestWriteAt = Long.MIN_VALUE / 2;
-    /** Until then its name was seen in two lives that both went on: neither is believed. */
+    /** Until this time the peer's name counts as used by two live processes, and neither is trusted. */
     long nameConflictUntil = Long.MIN_VALUE / 2;
 
     Peer(String name) {
--- a/src/main/java/honeygap/share/table/Delta.java
+++ b/src/main/java/honeygap/share/table/Delta.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * Entries of one owner on their way to another process, older counts first, with the age of each.
+ * Entries of one owner for another process, in ascending order of sequence numbers, each with its age.
  *
- * @param from the count up to which the other had heard: to one that has not, this parcel says too little
+ * @param afterSequence the sequence number up to which the receiver was up to date; a receiver that is further behind
+ *         cannot use this delta
  */
 public record Delta(String owner, long generation, long afterSequence, List<AgedEntry> entries) {
 
-    /** The age is the time since its writing, in tenths of a millisecond: clocks need not agree. */
+    /** An entry and the time since it was written, in units of 0.1 ms. Ages are sent because clocks may differ. */
     public record AgedEntry(Entry entry, long age) { }
 }
--- a/src/main/java/honeygap/share/table/DigestEntry.java
+++ b/src/main/java/honeygap/share/table/DigestEntry.java
@@ -1,4 +1,4 @@
 package honeygap.share.table;
 
-/** One line of a digest: up to which of an owner's counts, in which of its lives, a process has heard. */
+/** The state of one owner in a digest: its generation and the highest sequence number received of it. */
 public record DigestEntry(String owner, long generation, long highestSequence) { }
--- a/src/main/java/honeygap/share/table/Entry.java
+++ b/src/main/java/honeygap/share/table/Entry.java
@@ -1,12 +1,12 @@
 package honeygap.share.table;
 
 /**
- * One small fact that its owner tells all others.
+ * A small entry that its owner replicates to all other processes.
  *
- * @param name what it is of, one of a kind for its owner and table
- * @param counter the owner's count of all that it has written in the table
- * @param ttl for how long it holds from its writing, in tenths of a millisecond
- * @param value text; null where the owner has taken it back
+ * @param name key of the entry, unique for its owner and table
+ * @param sequence the owner's sequence number of this write in the table
+ * @param ttl time to live from the write, in units of 0.1 ms
+ * @param value text; null for a tombstone
  */
 public record Entry(String name, long sequence, long ttl, String value) {
 
@@ -14,7 +14,7 @@
         return value == null;
     }
 
-    /** What it counts for against a bound in bytes. */
+    /** Size estimate for message size limits. */
     public int estimatedBytes() {
         return 48 + name.length() + (value == null ? 0 : value.length());
     }
--- a/src/main/java/honeygap/share/table/MergeCounts.java
+++ b/src/main/java/honeygap/share/table/MergeCounts.java
@@ -3,10 +3,10 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What became of the entries that came in, counted by kind. */
+/** Counts of received entries by the outcome of their merge. */
 public final class MergeCounts {
 
-    /** Fresh ones are held; all others are not, and why. */
+    /** FRESH entries were stored; the other outcomes are the reasons for which an entry was not. */
     public enum Outcome { FRESH, SEEN, EARLIER_LIFE, GAP, OVER, TOO_MANY, TOO_LONG, OWN_NAME }
 
     private final Map<Outcome, Long> counts = new EnumMap<>(Outcome.class);
--- a/src/main/java/honeygap/share/table/OwnerState.java
+++ b/src/main/java/honeygap/share/table/OwnerState.java
@@ -3,16 +3,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** All that is held of one owner in a table, in its present life. */
+/** The entries of one owner in a table, in its current generation. */
 public final class OwnerState {
 
     public final String name;
     public long generation;
-    /** The highest of its counts that has come here: all up to it was seen, or has been written anew since. */
+    /** The highest sequence number received: all writes up to it were received or have been overwritten since. */
     public long highestSequence;
-    /** When anything new of it came last. */
+    /** When a new entry of this owner was last received. */
     public long updatedAt;
-    /** By name, older counts first. */
+    /** Entries by name, in ascending order of sequence numbers. */
     final Map<String, StoredEntry> entries = new LinkedHashMap<>();
 
     OwnerState(String name) {
@@ -20,7 +20,7 @@
     }
 
     void put(StoredEntry stored) {
-        entries.remove(stored.entry().name());    // Or it would keep the place of its older count.
+        entries.remove(stored.entry().name());    // Otherwise it would keep its earlier position.
         entries.put(stored.entry().name(), stored);
     }
 }
--- a/src/main/java/honeygap/share/table/ProcessIdentity.java
+++ b/src/main/java/honeygap/share/table/ProcessIdentity.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** This process's name, and the generation by which its present life goes before all earlier ones. */
+/** Name and generation of this process; the generation is higher than those of earlier processes of the same name. */
 public final class ProcessIdentity {
 
     private final String name;
@@ -21,7 +21,7 @@
         return generation.get();
     }
 
-    /** From any thread: what this process says from now on goes before what goes under that generation. */
+    /** Raises the generation above the other one, so that this process's entries take precedence. Thread-safe. */
     public void raiseGenerationAbove(long otherGeneration) {
         generation.accumulateAndGet(otherGeneration + 1, Math::max);
     }
--- a/src/main/java/honeygap/share/table/ReplicatedTable.java
+++ b/src/main/java/honeygap/share/table/ReplicatedTable.java
@@ -8,16 +8,18 @@
 import java.util.function.BiConsumer;
 
 /**
- * One table of small entries that processes keep in common, without I/O or locks: whoever holds it sees to both.
- * Only an entry's owner writes it. An owner counts all that it writes here, so that one number an owner says what
- * has been heard of it, and entries go on in the order of their counts: the precise reconciliation of van Renesse and
- * others, "Efficient Reconciliation and Flow Control for Anti-Entropy Protocols" (2008). An owner that starts anew
- * has a higher generation, and with the first word of it all that it wrote before is gone. Times are tenths of a
- * millisecond of this process's clock; ages travel, clocks do not.
+ * A table of small entries that is replicated between processes by anti-entropy. It does no I/O and no locking; the
+ * caller has to do both. Only an entry's owner writes it. Each owner numbers its writes, so that one sequence number
+ * per owner describes what a process has received, and entries are sent in the order of these numbers: the precise
+ * reconciliation of van Renesse and others, "Efficient Reconciliation and Flow Control for Anti-Entropy Protocols"
+ * (2008). A restarted owner has a higher generation; its first entry discards all of earlier generations. Times are
+ * in units of 0.1 ms of the local clock; messages carry ages instead of clock times.
  */
 public final class ReplicatedTable {
 
-    /** Times the longest holding that an owner without entries is remembered, so that no old copy brings it back. */
+    /**
+     * Owners without entries are remembered for this multiple of the maximum TTL, so that no old copy restores them.
+     */
     private static final int OWNER_RETENTION_FACTOR = 4;
 
     private final String tableName;
@@ -39,13 +41,13 @@
         owners.put(self.name, self);
     }
 
-    /** The time of what follows; another table may have raised this process's life meanwhile. */
+    /** Sets the time of the following calls, and adopts a generation that another table may have raised. */
     public void setNow(long now) {
         this.now = now;
         self.generation = identity.generation();
     }
 
-    /** Is told of each owner that comes in a later life, with its generation before. */
+    /** Sets the listener that is notified of each owner with a new generation, and of its previous generation. */
     public void onNewGeneration(BiConsumer<String, Long> listener) {
         this.newGenerationListener = listener;
     }
@@ -58,16 +60,16 @@
         return mergeCounts;
     }
 
-    /** Writes an entry of this process's own. */
+    /** Writes an entry that this process owns. */
     public void put(String name, String value, long ttl) {
         if (name.length() > limits.maxNameLength() || value != null && value.length() > limits.maxValueLength()) {
-            throw new IllegalArgumentException(tableName + ' ' + name + ": longer than an entry may be");
+            throw new IllegalArgumentException(tableName + ' ' + name + ": entry name or value is too long");
         }
         self.put(new StoredEntry(new Entry(name, ++self.highestSequence, Math.min(ttl, limits.maxTtl()), value), now));
         self.updatedAt = now;
     }
 
-    /** Takes back an entry of this process's own; the others hear of it while it would have held. */
+    /** Deletes an entry that this process owns; the tombstone is replicated until the entry's TTL ends. */
     public void delete(String name) {
         StoredEntry stored = self.entries.get(name);
         if (stored != null && !stored.entry().isTombstone()) {
@@ -75,7 +77,7 @@
         }
     }
 
-    /** Takes back all entries of this process's own but those of these names. */
+    /** Deletes all entries that this process owns except those with the given names. */
     public void retainOnly(Collection<String> names) {
         for (StoredEntry stored : List.copyOf(self.entries.values())) {
             if (!names.contains(stored.entry().name())) {
@@ -84,20 +86,20 @@
         }
     }
 
-    /** An entry that holds, or null. */
+    /** Returns a live entry, or null. */
     public StoredEntry get(String owner, String name) {
         OwnerState state = owners.get(owner);
         StoredEntry stored = state == null ? null : state.entries.get(name);
         return stored == null || stored.entry().isTombstone() || stored.isExpired(now) ? null : stored;
     }
 
-    /** Something that looks at entries. */
+    /** Receives entries with their owners. */
     public interface EntryConsumer {
 
         void accept(OwnerState owner, StoredEntry stored);
     }
 
-    /** All entries that hold. */
+    /** Calls the consumer for each live entry. */
     public void forEachLive(EntryConsumer consumer) {
         for (OwnerState owner : owners.values()) {
             for (StoredEntry stored : owner.entries.values()) {
@@ -116,16 +118,17 @@
         return owners.values();
     }
 
-    /** How far this process has heard of each owner. */
+    /** Returns the generation and highest sequence number received for each owner. */
     public List<DigestEntry> digest() {
         List<DigestEntry> digest = new ArrayList<>(owners.size());
-        owners.values().forEach(owner -> digest.add(new DigestEntry(owner.name, owner.generation, owner.highestSequence)));
+        owners.values().forEach(owner -> digest.add(new DigestEntry(owner.name, owner.generation,
+                owner.highestSequence)));
         return digest;
     }
 
     /**
-     * What a process with this digest lacks and this one has, at most so many bytes of it. Own entries come first,
-     * then those of the owners heard of last: news goes ahead of what is about to end.
+     * Returns the entries that a process with this digest lacks, limited to about maxBytes. Own entries come first,
+     * then those of the most recently updated owners: new entries take precedence over entries that expire soon.
      */
     public List<Delta> deltasFor(Collection<DigestEntry> digest, int maxBytes) {
         Map<String, DigestEntry> knownByOwner = new LinkedHashMap<>();
@@ -160,7 +163,7 @@
         return deltas;
     }
 
-    /** How far this process has heard of those owners of whom the other one has heard more. */
+    /** Returns the local digest entries of the owners for which the other digest is ahead of this table. */
     public List<DigestEntry> staleOwners(Collection<DigestEntry> digest) {
         List<DigestEntry> stale = new ArrayList<>();
         for (DigestEntry known : digest) {
@@ -174,7 +177,7 @@
         return stale;
     }
 
-    /** The same as {@link #deltasFor}, of those owners alone that the digest names. */
+    /** Same as {@link #deltasFor}, limited to the owners in the digest. */
     public List<Delta> deltasForListedOwners(Collection<DigestEntry> digest, int maxBytes) {
         List<DigestEntry> fullDigest = new ArrayList<>(digest());
         fullDigest.removeIf(known -> digest.stream().anyMatch(other -> other.owner().equals(known.owner())));
@@ -182,14 +185,14 @@
         return deltasFor(fullDigest, maxBytes);
     }
 
-    /** Whether a process with this digest has heard more of any owner than this one. */
+    /** Whether a process with this digest is ahead of this table for any owner. */
     public boolean isBehind(Collection<DigestEntry> digest) {
         return !staleOwners(digest).isEmpty();
     }
 
     /**
-     * Takes in what came, having been under way for at most so long. Guards against an owner's earlier life, old
-     * copies, more than the bounds let in, and another process under this one's name.
+     * Merges received deltas that were in transit for at most the given time. Rejects entries of an owner's earlier
+     * generation, duplicates, entries beyond the limits, and entries of another process with this process's name.
      */
     public void merge(List<Delta> deltas, long transitTime) {
         for (Delta delta : deltas) {
@@ -205,7 +208,8 @@
         OwnerState owner = owners.get(delta.owner());
         int entryCount = delta.entries().size();
         if (owner == null && (owners.size() >= limits.maxOwners() || delta.owner().length() > limits.maxNameLength())) {
-            mergeCounts.add(owners.size() >= limits.maxOwners() ? MergeCounts.Outcome.TOO_MANY : MergeCounts.Outcome.TOO_LONG, entryCount);
+            mergeCounts.add(owners.size() >= limits.maxOwners() ? MergeCounts.Outcome.TOO_MANY
+                    : MergeCounts.Outcome.TOO_LONG, entryCount);
             return;
         }
         if (owner == null) {
@@ -225,7 +229,7 @@
             newGenerationListener.accept(owner.name, previous);
         }
         if (delta.afterSequence() > owner.highestSequence) {
-            // Guards against a parcel made for somebody who knew more: for another, or for an earlier life of this one.
+            // Made for a receiver that was further ahead: another process, or an earlier process of this name.
             mergeCounts.add(MergeCounts.Outcome.GAP, entryCount);
             return;
         }
@@ -240,11 +244,12 @@
         }
         owner.highestSequence = entry.sequence();
         owner.updatedAt = now;
-        StoredEntry previous = owner.entries.remove(entry.name());    // It was written anew, whatever becomes of it here.
+        StoredEntry previous = owner.entries.remove(entry.name());    // Overwritten, even if the new one is rejected.
         if (age >= entry.ttl() || entry.ttl() > limits.maxTtl()) {
             return MergeCounts.Outcome.OVER;
         }
-        if (entry.name().length() > limits.maxNameLength() || !entry.isTombstone() && entry.value().length() > limits.maxValueLength()) {
+        if (entry.name().length() > limits.maxNameLength() || !entry.isTombstone()
+                && entry.value().length() > limits.maxValueLength()) {
             return MergeCounts.Outcome.TOO_LONG;
         }
         if (previous == null && owner.entries.size() >= limits.maxEntriesPerOwner()) {
@@ -255,9 +260,10 @@
     }
 
     /**
-     * Something that this process never wrote in this life goes under its name: it was started from an older copy,
-     * or its clock went back, or another process has the same name. It takes a later life, so that what it says
-     * now goes before that; where two do so again and again, whoever follows members says so.
+     * Handles a delta for this process's own name with entries that it did not write in this generation: its state
+     * was restored from an older copy, its clock was set back, or another process uses the same name. Raises the own
+     * generation, so that its current entries take precedence. Where two processes do so repeatedly, the failure
+     * detector reports a name conflict.
      */
     private void mergeOwnName(Delta delta) {
         long lastSequence = delta.entries().isEmpty() ? 0
@@ -274,10 +280,10 @@
         newGenerationListener.accept(self.name, previousGeneration);
     }
 
-    /** Lets go of what no longer holds; owners go when nothing of theirs could come back. */
+    /** Removes expired entries, and owners of which no entry can come back. */
     public void expire() {
         for (OwnerState owner : owners.values()) {
-            owner.entries.values().removeIf(held -> held.isExpired(now));
+            owner.entries.values().removeIf(stored -> stored.isExpired(now));
         }
         owners.values().removeIf(owner -> owner != self && owner.entries.isEmpty()
                 && now - owner.updatedAt > OWNER_RETENTION_FACTOR * limits.maxTtl());
--- a/src/main/java/honeygap/share/table/StoredEntry.java
+++ b/src/main/java/honeygap/share/table/StoredEntry.java
@@ -1,6 +1,6 @@
 package honeygap.share.table;
 
-/** An entry as it is held here, and when its owner wrote it by this process's clock. */
+/** A stored entry and the local time at which its owner wrote it. */
 public record StoredEntry(Entry entry, long writtenAt) {
 
     public boolean isExpired(long now) {
--- a/src/main/java/honeygap/share/table/TableLimits.java
+++ b/src/main/java/honeygap/share/table/TableLimits.java
@@ -1,12 +1,12 @@
 package honeygap.share.table;
 
 /**
- * What a table may hold, whatever others send.
+ * Limits of a table, whatever other processes send.
  *
- * @param owners at most so many owners
- * @param names entries of one owner at most, those taken back included
- * @param text characters of an entry's name or an owner's
- * @param value characters of a value
- * @param ttl the longest time that an entry may hold, in tenths of a millisecond
+ * @param maxOwners maximum number of owners
+ * @param maxEntriesPerOwner maximum number of entries of one owner, tombstones included
+ * @param maxNameLength maximum number of characters of an entry's or owner's name
+ * @param maxValueLength maximum number of characters of a value
+ * @param maxTtl maximum TTL of an entry, in units of 0.1 ms
  */
 public record TableLimits(int maxOwners, int maxEntriesPerOwner, int maxNameLength, int maxValueLength, long maxTtl) { }
--- a/src/main/java/honeygap/share/work/WorkItem.java
+++ b/src/main/java/honeygap/share/work/WorkItem.java
@@ -1,6 +1,6 @@
 package honeygap.share.work;
 
-/** One piece of work, with or for one partner; empty where it concerns none. */
+/** A queued or running task, for one partner; the partner is empty where the task concerns none. */
 public final class WorkItem {
 
     final WorkKind kind;
--- a/src/main/java/honeygap/share/work/WorkKind.java
+++ b/src/main/java/honeygap/share/work/WorkKind.java
@@ -1,4 +1,4 @@
 package honeygap.share.work;
 
-/** Kinds of work beside the loop, the most pressing first. */
+/** Kinds of background work, highest priority first. */
 public enum WorkKind { PROBE, EXCHANGE, EXPIRE, STORE }
--- a/src/main/java/honeygap/share/work/WorkLimits.java
+++ b/src/main/java/honeygap/share/work/WorkLimits.java
@@ -1,12 +1,11 @@
 package honeygap.share.work;
 
 /**
- * What one kind of work may take.
+ * Limits and scheduling parameters of one kind of work. Times are in units of 0.1 ms.
  *
- * @param running pieces at once
- * @param waiting pieces that may wait
- * @param ages a piece that has waited for so long goes before the next more pressing kind's newest, in tenths of a
- *        millisecond
- * @param stale what has waited for so long is of no use any more
+ * @param maxRunning maximum number of items that run at once
+ * @param maxQueued maximum number of queued items
+ * @param agingInterval waiting time that raises an item's priority by one kind
+ * @param maxWait items that have waited for longer are discarded as stale
  */
 public record WorkLimits(int maxRunning, int maxQueued, long agingInterval, long maxWait) { }
--- a/src/main/java/honeygap/share/work/WorkQueue.java
+++ b/src/main/java/honeygap/share/work/WorkQueue.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * Which piece of work is next? By kind and age, within each kind's budget, one at a time with a partner. What does not
- * fit or has become stale is dropped and counted by kind. No threads and no locks here. Times are tenths of a
- * millisecond.
+ * Selects the next work item by kind and age, within the limits of each kind and with at most one running item per
+ * partner. Items that do not fit or have become stale are dropped and counted by kind. Not thread-safe. Times are in
+ * units of 0.1 ms.
  */
 public final class WorkQueue {
 
@@ -23,12 +23,12 @@
     private final Map<WorkKind, Long> dropped = new EnumMap<>(WorkKind.class);
     private final Map<WorkKind, Long> stale = new EnumMap<>(WorkKind.class);
 
-    /** Every kind has a budget. */
+    /** Every kind needs limits. */
     public WorkQueue(Map<WorkKind, WorkLimits> limits) {
         this.limits = new EnumMap<>(limits);
     }
 
-    /** False where it is dropped: its kind has too many waiting, or the same is to be done with this partner. */
+    /** Returns false if the item is dropped: too many of its kind are queued, or one of its kind and partner is. */
     public boolean offer(WorkKind kind, String partner, Runnable task, long now) {
         int sameKind = 0;
         boolean isDuplicate = false;
@@ -44,7 +44,7 @@
         return true;
     }
 
-    /** The next piece, which runs from now on; null where none may. */
+    /** Removes and returns the next item, which counts as running from now on; null if none may run. */
     public WorkItem poll(long now) {
         WorkItem selected = null;
         double selectedPriority = 0;
@@ -57,9 +57,10 @@
                 iterator.remove();
                 continue;
             }
-            // Each kind stands one step behind the one before, and a step forward for each age that it waits.
+            // Each kind is one priority level below the previous; each aging interval of waiting raises it by one.
             double priority = item.kind.ordinal() - (double) waitTime / kindLimits.agingInterval();
-            boolean isEligible = running.getOrDefault(item.kind, 0) < kindLimits.maxRunning() && !busy.contains(item.partner);
+            boolean isEligible = running.getOrDefault(item.kind, 0) < kindLimits.maxRunning()
+                    && !busy.contains(item.partner);
             if (isEligible && (selected == null || priority < selectedPriority)) {
                 selected = item;
                 selectedPriority = priority;
@@ -75,7 +76,7 @@
         return selected;
     }
 
-    /** It has ended, well or not: its partner and its kind's room are free again. */
+    /** Ends a running item, successful or not: frees its partner and its kind's capacity. */
     public void finished(WorkItem item) {
         running.merge(item.kind, -1, Integer::sum);
         busy.remove(item.partner);
@@ -90,12 +91,12 @@
         return finished.getOrDefault(kind, 0L);
     }
 
-    /** Turned away at once. */
+    /** Items rejected when offered. */
     public long droppedCount(WorkKind kind) {
         return dropped.getOrDefault(kind, 0L);
     }
 
-    /** Not begun in time. */
+    /** Items discarded because they waited too long. */
     public long staleCount(WorkKind kind) {
         return stale.getOrDefault(kind, 0L);
     }
--- a/src/main/java/honeygap/share/work/WorkerPool.java
+++ b/src/main/java/honeygap/share/work/WorkerPool.java
@@ -10,8 +10,8 @@
 import org.tinylog.Logger;
 
 /**
- * A pool of threads that carry out work beside the loop. Each takes its piece under the lock of the line and runs it
- * under none. A worker that dies is replaced, and what it was at counts as ended.
+ * A pool of threads that run background work. Each polls the queue under the queue's lock and runs the item without
+ * any lock. A worker thread that dies is replaced, and its item counts as ended.
  */
 public final class WorkerPool implements AutoCloseable {
 
@@ -26,7 +26,7 @@
     private final AtomicLong failedItems = new AtomicLong();
     private volatile boolean isClosed;
 
-    /** So many threads; the clock tells tenths of a millisecond. */
+    /** The clock returns units of 0.1 ms. */
     public WorkerPool(int threads, Map<WorkKind, WorkLimits> limits, LongSupplier clock, LockMonitor lockMonitor) {
         queue = new WorkQueue(limits);
         this.clock = clock;
@@ -44,7 +44,7 @@
         thread.start();
     }
 
-    /** From any thread, also one that holds a table's lock: never waits for a worker. */
+    /** Thread-safe, also while a table's lock is held: never waits for a worker. */
     public boolean offer(WorkKind kind, String partner, Runnable task) {
         return lock.callLocked(() -> {
             boolean isQueued = queue.offer(kind, partner, task, clock.getAsLong());
@@ -101,7 +101,7 @@
         }
     }
 
-    /** A fault of the work ends the work alone; an error ends the worker too. */
+    /** An exception ends the item only; an error ends the worker thread too. */
     private void run(WorkItem item) {
         lockMonitor.beforeBlocking("work");
         try {
@@ -120,17 +120,17 @@
         });
     }
 
-    /** Something read off the line, under its lock. */
+    /** Reads a figure from the queue under its lock. */
     public long count(java.util.function.ToLongFunction<WorkQueue> reading) {
         return lock.callLocked(() -> reading.applyAsLong(queue));
     }
 
-    /** Workers that ended by an error and were replaced. */
+    /** Worker threads that ended by an error and were replaced. */
     public long deadWorkers() {
         return deadWorkers.get();
     }
 
-    /** Pieces of work that threw something. */
+    /** Items that threw an exception. */
     public long failedItems() {
         return failedItems.get();
     }
