--- a/src/main/antlr4/honeygap/manage/host/Select.g4
+++ b/src/main/antlr4/honeygap/manage/host/Select.g4
@@ -1,4 +1,4 @@
-// Which instances are meant, by their labels: location=east,build<43,name!=a3
+// Label selectors for instances, for example: location=east,build<43,name!=a3
 grammar Select;
 
 whole: (part (',' part)*)? EOF;
--- a/src/main/java/honeygap/manage/Ledger.java
+++ b/src/main/java/honeygap/manage/Ledger.java
@@ -5,36 +5,37 @@
 import java.util.Map;
 
 /**
- * What an agent knows of the commands that it was given: decides whether one is carried out, was carried out before, or
- * comes too late. A command is known by its id, ordered by its number, and meant for one generation of the agent. It
- * has no I/O: the host makes what {@link #applied} says durable before it answers, and brings it back by
- * {@link #restored}. Bounded: the oldest is forgotten, and what is older than all that are remembered is turned down.
+ * The commands that an agent has executed or refused in advance. Decides whether a command is executed, was executed
+ * before, or comes too late. A command is identified by its id, ordered by its number, and addressed to one
+ * generation of the agent. The class does no I/O: the host makes the entries of {@link #applied} durable before it
+ * answers, and reloads them with {@link #restored}. Memory is bounded: the oldest entry is evicted first, and
+ * commands that are not newer than the evicted ones are refused.
  */
 public final class Ledger {
 
-    /** What becomes of a command. */
+    /** The decision on a command. */
     public enum Answer {
-        /** Carry it out. */
+        /** Execute the command. */
         APPLY,
-        /** It was: here is what came of it. */
+        /** It was executed before; its outcome is known. */
         ALREADY,
-        /** A newer one has been carried out, or it was called off, or it is older than all that is remembered. */
+        /** A newer command was executed, this one was called off, or it is older than an evicted one. */
         TOO_LATE,
-        /** It is meant for another process under this name. */
+        /** It is addressed to another process of the same name. */
         OTHER_GENERATION
     }
 
-    /** A command that was carried out, or called off before it came. */
+    /** A command that was executed, or called off before it arrived. */
     public record Entry(String id, long number, String action, String outcome) { }
 
     private final int capacity;
     private final long generation;
     private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
-    /** The newest number that was carried out, and the newest that has been forgotten. */
+    /** The highest number that was executed, and the highest that was evicted. */
     private long newestApplied;
     private long newestEvicted;
 
-    /** Remembers so many commands; the generation is this process's. */
+    /** Holds up to capacity commands; the generation is that of this process. */
     public Ledger(int capacity, long generation) {
         this.capacity = Math.max(1, capacity);
         this.generation = generation;
@@ -48,12 +49,12 @@
         return newestApplied;
     }
 
-    /** An entry from before the process started, in the order in which they were made. */
+    /** Restores an entry of an earlier process; call in the order in which the entries were made. */
     public void restored(Entry entry) {
         add(entry);
     }
 
-    /** Whether a command is to be carried out; a generation of 0 means any. */
+    /** Decides whether a command is to be executed; a generation of 0 matches any. */
     public Answer asked(String id, long number, long forGeneration) {
         Entry entry = entries.get(id);
         if (entry != null) {
@@ -65,17 +66,20 @@
         return number <= newestApplied || number <= newestEvicted ? Answer.TOO_LATE : Answer.APPLY;
     }
 
-    /** The outcome of one that was called off. */
+    /** The outcome of a command that was called off. */
     public static final String CALLED_OFF = "called off";
 
-    /** A command has been carried out. */
+    /** Records that a command was executed. */
     public Entry applied(String id, long number, String action, String outcome) {
         Entry entry = new Entry(id, number, action, outcome);
         add(entry);
         return entry;
     }
 
-    /** Fences a command that may still be on its way: it will not be carried out. What became of it if it was. */
+    /**
+     * Fences off a command that may still arrive, so that it will not be executed. If it already was, returns its
+     * entry.
+     */
     public Entry calledOff(String id, long number) {
         Entry entry = entries.get(id);
         return entry != null ? entry : applied(id, number, "", CALLED_OFF);
@@ -93,7 +97,7 @@
         }
     }
 
-    /** What became of a command; null where it is not remembered. */
+    /** Returns a command's entry, or null if there is none. */
     public Entry entry(String id) {
         return entries.get(id);
     }
--- a/src/main/java/honeygap/manage/Membership.java
+++ b/src/main/java/honeygap/manage/Membership.java
@@ -5,29 +5,32 @@
 import java.util.Map;
 
 /**
- * Which instances there are and how they stand. An instance is its name and the generation of its process: one that has
- * been restarted is never taken for the one before. Where many become suspect at once, it is the manager that was cut
- * off, and judgement rests. No I/O; times are tenths of a millisecond.
+ * The managed instances and their standing. An instance is identified by its name and the generation of its process,
+ * so a restarted process is never mistaken for the previous one. Where many instances become suspect at once, the
+ * manager assumes that it is cut off itself and suspends its decisions. The class does no I/O; times are in units of
+ * 0.1 ms.
  */
 public final class Membership {
 
-    /** How an instance stands. */
+    /** The standing of an instance. */
     public enum Standing { UNHEARD, ALIVE, SUSPECT }
 
-    /** Suspicion beyond which an instance counts as silent. */
+    /** Suspicion level above which an instance counts as silent. */
     private static final double SUSPICION_THRESHOLD = 8;
-    /** Part of those heard of whose silence, begun together, tells of the manager rather than of them. */
+    /**
+     * If more than this share of the known instances falls silent together, the manager is cut off rather than they.
+     */
     private static final double CUT_OFF_SHARE = 0.5;
     private static final int CUT_OFF_MIN_MEMBERS = 3;
 
-    /** One instance. */
+    /** A managed instance. */
     public static final class Member {
 
         public final String name;
         public long generation;
         PhiAccrualDetector heartbeats;
         private Standing standing = Standing.UNHEARD;
-        /** Times that another process came under the name. */
+        /** How often another process appeared under this name. */
         public int restarts;
 
         Member(String name) {
@@ -44,7 +47,7 @@
     private boolean isCutOff;
     private long now;
 
-    /** Signs are asked for so often. */
+    /** Heartbeats are expected at this interval. */
     public Membership(long heartbeatInterval) {
         this.heartbeatInterval = heartbeatInterval;
     }
@@ -62,7 +65,7 @@
         members.remove(name);
     }
 
-    /** An instance has given a sign. Whether it is another process than before. */
+    /** Records a heartbeat. Returns whether it came from another process than the previous ones. */
     public boolean recordHeartbeat(String name, long generation) {
         Member member = join(name);
         boolean isNewProcess = member.generation != 0 && member.generation != generation;
@@ -70,7 +73,7 @@
             member.heartbeats = new PhiAccrualDetector(now, heartbeatInterval);
             member.restarts += isNewProcess ? 1 : 0;
         } else if (isCutOff) {
-            // The time in which nobody could be heard says nothing of this one.
+            // While the manager was cut off, silence says nothing about a single instance.
             member.heartbeats = new PhiAccrualDetector(now, heartbeatInterval);
         } else {
             member.heartbeats.recordHeartbeat(now);
@@ -90,8 +93,9 @@
             }
         }
         long alreadySuspect = members.values().stream().filter(member -> member.standing == Standing.SUSPECT).count();
-        // Those suspected before do not count: only what falls silent together tells of this end.
-        isCutOff = known - alreadySuspect >= CUT_OFF_MIN_MEMBERS && silent - alreadySuspect > CUT_OFF_SHARE * (known - alreadySuspect);
+        // Earlier suspects do not count: only a simultaneous silence indicates that the manager is cut off.
+        isCutOff = known - alreadySuspect >= CUT_OFF_MIN_MEMBERS
+                && silent - alreadySuspect > CUT_OFF_SHARE * (known - alreadySuspect);
         if (isCutOff) {
             return;
         }
@@ -102,12 +106,12 @@
         }
     }
 
-    /** This manager hears of too few to judge any. */
+    /** Whether this manager reaches too few instances to judge any. */
     public boolean isCutOff() {
         return isCutOff;
     }
 
-    /** Null for a name that is not known. */
+    /** Returns null for an unknown name. */
     public Member member(String name) {
         return members.get(name);
     }
--- a/src/main/java/honeygap/manage/Operation.java
+++ b/src/main/java/honeygap/manage/Operation.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One command to several instances, from its asking to the end of each of its steps. */
+/** A command for one or more instances, from the request to the end of each of its steps. */
 public final class Operation {
 
-    /** How it stands as a whole. */
+    /** State of the whole operation. */
     public enum State { RUNNING, PAUSED, CANCELLING, DONE, FAILED, CANCELLED;
 
         public boolean isOpen() {
@@ -14,16 +14,16 @@
         }
     }
 
-    /** By its asker; the same id is the same operation. */
+    /** Chosen by the requester; the same id means the same operation. */
     public final String id;
-    /** In the order of their asking; fences what is older. */
+    /** Ascending in the order of requests; instances refuse commands with lower numbers than the newest. */
     public final long number;
-    /** What instances are told, such as drain. */
+    /** The command for the instances, such as drain. */
     public final String action;
     public final String argument;
-    /** How many may be on their way or out of service at once, all operations together. */
+    /** Limit on instances that have a command in flight or are out of service, over all operations. */
     public final int maxConcurrent;
-    /** After so many steps that were surely not applied it stops; 0 is never. */
+    /** The operation pauses after this many steps that were definitely not applied; 0 means never. */
     public final int failuresToPause;
     public final long requestedAt;
     public final long deadline;
@@ -55,17 +55,18 @@
         return state.isOpen();
     }
 
-    /** Whether it is the same command, whoever gave it another id. */
+    /** Whether this is the same command, whatever its id. */
     boolean isSameCommand(String action, String argument, List<String> instances) {
         return this.action.equals(action) && this.argument.equals(argument)
                 && steps.stream().map(step -> step.instance).toList().equals(instances);
     }
 
-    /** One of its steps, as it is written down. */
+    /** Persistent form of a step. */
     public record StepSnapshot(String instance, Step.State state, long generation, int attempts, String detail) { }
 
-    /** All of it, as it is written down. */
-    public record Snapshot(String id, long number, String action, String argument, int maxConcurrent, int failuresToPause,
+    /** Persistent form of an operation. */
+    public record Snapshot(String id, long number, String action, String argument, int maxConcurrent,
+            int failuresToPause,
                           long requestedAt, long deadline, State state, List<StepSnapshot> steps) { }
 
     public Snapshot snapshot() {
@@ -78,10 +79,11 @@
         return restored(snapshot, snapshot.requestedAt);
     }
 
-    /** The same with its whole time from then on. */
+    /** Restores an operation with its full time budget from requestedAt on. */
     static Operation restored(Snapshot snapshot, long requestedAt) {
         Operation operation = new Operation(snapshot.id, snapshot.number, snapshot.action, snapshot.argument,
-                snapshot.steps.stream().map(step -> step.instance).toList(), snapshot.maxConcurrent, snapshot.failuresToPause,
+                snapshot.steps.stream().map(step -> step.instance).toList(), snapshot.maxConcurrent,
+                snapshot.failuresToPause,
                 requestedAt, requestedAt + snapshot.deadline - snapshot.requestedAt);
         operation.state = snapshot.state;
         for (int i = 0; i < snapshot.steps.size(); i++) {
--- a/src/main/java/honeygap/manage/OperationScheduler.java
+++ b/src/main/java/honeygap/manage/OperationScheduler.java
@@ -10,46 +10,52 @@
 import java.util.zip.CRC32;
 
 /**
- * Decides what becomes of operations: which step is sent when, what an answer or its lack means, when to ask an
- * instance's ledger, when to pause, and when all is over. Driven as {@code Rules} is: inputs only update what is known,
- * {@link #decideNext} makes one decision at a time. Nothing goes out before what it rests on is written down: the host keeps
- * each record that it is told to, and only then pulls on. A step whose answer did not come is never sent again blindly:
- * first its instance's ledger is asked. Times are tenths of a millisecond.
+ * Schedules the steps of operations: when to send which command, how to interpret an answer or a missing answer, when
+ * to query an instance's ledger, when to pause, and when an operation ends. Event-driven like {@code Rules}: inputs
+ * only update the state, and {@link #decideNext} makes one decision at a time. Nothing is sent before the state that
+ * it depends on is durable: the host persists each operation that it is given before it asks for the next decision. A
+ * step without an answer is never resent blindly; the instance's ledger is queried first. Times are in units of 0.1
+ * ms.
  */
 public final class OperationScheduler {
 
-    /** The way decisions go out; each call of {@link #decideNext} makes at most one, or keeps and then sends. */
+    /** Receives the decisions; each call of {@link #decideNext} makes at most one call, or persists and then sends. */
     public interface Actions {
 
-        /** To be durable before anything else is pulled. */
+        /** Persists the operation; it has to be durable before the next decision. */
         void persist(Operation operation);
 
-        /** Tells an instance to do it, fenced by the operation's number and, unless 0, the generation. */
+        /** Sends the command, fenced by the operation's number and, unless 0, by the generation. */
         void send(Operation operation, Step step, long generation);
 
-        /** Asks an instance's ledger what became of it. */
+        /** Queries the instance's ledger for the outcome of the command. */
         void queryLedger(Operation operation, Step step);
 
-        /** Fences it at an instance: it is not to be carried out any more; the ledger's word comes back. */
+        /**
+         * Fences the command at the instance, so that it will not be executed any more; the ledger's entry is
+         * returned.
+         */
         void callOff(Operation operation, Step step);
     }
 
-    /** How an asking was taken. */
+    /** How a request was admitted. */
     public enum Admission { NEW, SAME, BUSY, INVALID }
 
-    /** The same command, without its id, within this time is the same operation. */
+    /** A repeated command, even under another id, counts as the same operation within this time. */
     private static final long DUPLICATE_WINDOW = 100_000;
     private static final long ANSWER_TIMEOUT = 20_000;
     private static final long RETRY_DELAY_INITIAL = 2_000;
     private static final long RETRY_DELAY_MAX = 100_000;
-    /** Times its own time after the deadline, an operation ends with steps that are still unknown. */
-    private static final int GIVE_UP_FACTOR = 2;
+    /**
+     * After this multiple of its own duration past the deadline, an operation ends with steps that are still unknown.
+     */
+    private static final int ABANDON_AFTER_FACTOR = 2;
     private static final int MAX_RETAINED = 1_000;
 
     private final long seed;
     private final Membership membership;
     private final LinkedHashMap<String, Operation> operations = new LinkedHashMap<>();
-    /** Instances out of service, by what they said last. */
+    /** Drained instances, according to their latest reports. */
     private final Set<String> drained = new TreeSet<>();
     private final List<Operation> toPersist = new ArrayList<>();
     private long now;
@@ -65,18 +71,20 @@
         this.now = now;
     }
 
-    /** One that was just asked for can't be written down: nobody was told that it was taken on. */
+    /** Removes a new operation that could not be persisted and that was not yet acknowledged. */
     public void withdraw(Operation operation) {
         operations.remove(operation.id);
         toPersist.removeIf(other -> other == operation);
     }
 
     /**
-     * An operation as it was kept before a restart: what was on its way may have arrived or not. Its time begins anew where
-     * it is open: the wall clock may have been stepped meanwhile, and does not say how much of it is left.
+     * Restores a persisted operation after a restart: commands that were in flight may or may not have arrived. The
+     * time budget of an open operation starts again, because the wall clock may have been stepped and does not tell
+     * how much of it is left.
      */
     public void restore(Operation persisted) {
-        Operation operation = Operation.restored(persisted.snapshot(), persisted.isOpen() ? now : now - DUPLICATE_WINDOW);
+        Operation operation = Operation.restored(persisted.snapshot(), persisted.isOpen() ? now
+                : now - DUPLICATE_WINDOW);
         operations.put(operation.id, operation);
         lastNumber = Math.max(lastNumber, operation.number);
         for (Step step : operation.steps) {
@@ -87,7 +95,7 @@
         }
     }
 
-    /** A command is asked for; the operation that it is from now on, or the one that stands in its way. */
+    /** Requests a command. Returns the new operation, or the existing one that equals it or conflicts with it. */
     public Operation request(String id, String action, String argument, List<String> instances, int maxConcurrent,
                            int failuresToPause, long timeout, boolean allowRepeat, Admission[] admission) {
         Operation existing = operations.get(id);
@@ -101,7 +109,7 @@
                 admission[0] = Admission.SAME;
                 return other;
             }
-            // Two operators at once: the first one's subjects are its own until it has ended.
+            // With two concurrent operators, instances belong to the first operation until it has ended.
             if (other.isOpen() && other.steps.stream().anyMatch(step -> step.state.isOpen()
                     && instances.contains(step.instance))) {
                 admission[0] = Admission.BUSY;
@@ -125,7 +133,7 @@
         }
     }
 
-    /** An operator calls it off: what is not sent is not, what is on its way is fenced. */
+    /** Cancels an operation: unsent commands are not sent, commands in flight are fenced. */
     public void cancel(Operation operation) {
         if (operation.state == Operation.State.RUNNING || operation.state == Operation.State.PAUSED) {
             operation.state = Operation.State.CANCELLING;
@@ -133,7 +141,7 @@
         }
     }
 
-    /** An operator lets a paused one go on. */
+    /** Resumes a paused operation. */
     public void resume(Operation operation) {
         if (operation.state == Operation.State.PAUSED) {
             operation.state = Operation.State.RUNNING;
@@ -141,7 +149,7 @@
         }
     }
 
-    /** An instance has said whether it is out of service. */
+    /** Records whether an instance is drained. */
     public void setDrained(String instance, boolean isDrained) {
         if (isDrained) {
             drained.add(instance);
@@ -150,7 +158,7 @@
         }
     }
 
-    /** An instance has answered what it was sent, or its ledger knows of it: applied, or turned down for good. */
+    /** Handles an instance's answer or its ledger entry: applied, or refused for good. */
     public void onAnswer(Operation operation, Step step, boolean isApplied, String detail) {
         if (!step.state.isOpen()) {
             return;
@@ -165,8 +173,8 @@
     }
 
     /**
-     * A ledger does not know of it. It may be sent again: the same process drops a second copy by its id, another one
-     * turns down what was meant for the one before.
+     * Handles a command that is missing in the ledger. It may be sent again: the same process drops duplicates by id,
+     * and another process refuses commands for the previous generation.
      */
     public void onNotInLedger(Operation operation, Step step) {
         if (step.state != Step.State.UNKNOWN) {
@@ -181,7 +189,7 @@
         }
     }
 
-    /** What was sent, or asked, has surely not arrived. */
+    /** Handles a command or query that definitely did not arrive. */
     public void onUnreachable(Operation operation, Step step) {
         if (step.state == Step.State.SENT) {
             step.state = Step.State.PLANNED;
@@ -192,7 +200,7 @@
         }
     }
 
-    /** No answer has come: it may have arrived. */
+    /** Handles a missing answer: the command may have arrived. */
     public void onNoAnswer(Operation operation, Step step) {
         if (step.state == Step.State.SENT) {
             step.state = Step.State.UNKNOWN;
@@ -203,7 +211,7 @@
         }
     }
 
-    /** Grows with each try, and is drawn, so that many do not come at once. */
+    /** Returns a delay that grows with each attempt, with jitter, so that retries do not coincide. */
     private long retryDelay(int attempts) {
         CRC32 crc = new CRC32();
         crc.update(java.nio.ByteBuffer.allocate(16).putLong(seed).putLong(randomDraws++).array());
@@ -211,12 +219,12 @@
         return (long) (maxDelay * (0.5 + crc.getValue() / 4294967296.0 / 2));
     }
 
-    /** Makes at most one call; false when there is nothing to decide now. */
+    /** Makes at most one decision; returns false when there is nothing to decide now. */
     public boolean decideNext(Actions actions) {
         if (!toPersist.isEmpty()) {
             Operation operation = toPersist.get(0);
             updateState(operation);
-            // Where it can't be written down it stays first in line, and nothing else goes out before it.
+            // If it cannot be persisted it stays first in the queue, and nothing else is sent before it.
             actions.persist(operation);
             toPersist.remove(0);
             return true;
@@ -229,7 +237,7 @@
         return false;
     }
 
-    /** Whether all its steps have ended, or it must stop. */
+    /** Pauses or ends the operation if its steps call for it. */
     private void updateState(Operation operation) {
         if (!operation.isOpen()) {
             return;
@@ -244,7 +252,7 @@
         for (Step step : operation.steps) {
             if (step.state == Step.State.PLANNED && (isCancelling || now >= operation.deadline)) {
                 if (step.attempts > 0) {
-                    // Guards against an earlier copy that is still on its way: it is fenced at the instance first.
+                    // An earlier copy may still be in flight: it is fenced at the instance first.
                     step.state = Step.State.UNKNOWN;
                     step.nextAttemptAt = now;
                     continue;
@@ -253,24 +261,24 @@
                 step.detail = isCancelling ? "cancelled before it was sent" : "not sent before the deadline";
             }
         }
-        // An instance that is gone for good would keep the operation for ever: its step stays unknown, and says so.
-        boolean isGivenUp = isGivenUp(operation)
+        // A permanently lost instance would keep the operation open forever: its step ends as unknown.
+        boolean isAbandoned = isAbandoned(operation)
                 && operation.steps.stream().noneMatch(step -> step.state == Step.State.PLANNED);
-        if (isGivenUp || operation.steps.stream().noneMatch(step -> step.state.isOpen())) {
+        if (isAbandoned || operation.steps.stream().noneMatch(step -> step.state.isOpen())) {
             boolean isAllApplied = operation.steps.stream().allMatch(step -> step.state == Step.State.APPLIED);
             operation.state = isCancelling ? Operation.State.CANCELLED : isAllApplied ? Operation.State.DONE
                     : Operation.State.FAILED;
         }
     }
 
-    private boolean isGivenUp(Operation operation) {
-        return now >= operation.deadline + GIVE_UP_FACTOR * (operation.deadline - operation.requestedAt);
+    private boolean isAbandoned(Operation operation) {
+        return now >= operation.deadline + ABANDON_AFTER_FACTOR * (operation.deadline - operation.requestedAt);
     }
 
     private boolean decideNext(Operation operation, Actions actions) {
         for (Step step : operation.steps) {
             boolean isPastDeadline = now >= operation.deadline;
-            if (isGivenUp(operation)) {
+            if (isAbandoned(operation)) {
                 updateState(operation);
                 actions.persist(operation);
                 return true;
@@ -293,14 +301,15 @@
                 }
                 return true;
             }
-            if (step.state == Step.State.PLANNED && operation.state == Operation.State.RUNNING && now >= step.nextAttemptAt
+            if (step.state == Step.State.PLANNED && operation.state == Operation.State.RUNNING
+                    && now >= step.nextAttemptAt
                     && maySend(operation, step)) {
                 Membership.Member member = membership.member(step.instance);
                 step.state = Step.State.SENT;
                 step.generation = member.generation;
                 step.attempts++;
                 step.answerDeadline = now + ANSWER_TIMEOUT;
-                // It is written down as sent before it is: after a restart it counts as unknown.
+                // Persisted as sent before it is sent: after a restart it counts as unknown.
                 persistSent(operation, step, actions);
                 actions.send(operation, step, member.generation);
                 return true;
@@ -309,7 +318,7 @@
         return false;
     }
 
-    /** Where it can't be written down as sent it is not sent, and is tried again later. */
+    /** If the state cannot be persisted the command is not sent, and is tried again later. */
     private void persistSent(Operation operation, Step step, Actions actions) {
         try {
             actions.persist(operation);
@@ -321,7 +330,9 @@
         }
     }
 
-    /** Known to be alive, and no more on their way or out of service than may be. */
+    /**
+     * Whether the instance is known to be alive and the limit on concurrent commands and drained instances allows it.
+     */
     private boolean maySend(Operation operation, Step step) {
         Membership.Member member = membership.member(step.instance);
         if (member == null || member.standing() != Membership.Standing.ALIVE || membership.isCutOff()) {
@@ -356,7 +367,7 @@
         return drained;
     }
 
-    /** For whoever waits: the next time at which something may be due; the greatest number where nothing is. */
+    /** Returns the next time at which a decision may be due; Long.MAX_VALUE if there is none. */
     public long nextDueAt() {
         long earliest = Long.MAX_VALUE;
         for (Operation operation : operations.values()) {
@@ -374,7 +385,7 @@
         return earliest;
     }
 
-    /** For the report: how many steps of each kind. */
+    /** Counts an operation's steps by state. */
     public static Map<Step.State, Integer> countByState(Operation operation) {
         Map<Step.State, Integer> counts = new java.util.EnumMap<>(Step.State.class);
         operation.steps.forEach(step -> counts.merge(step.state, 1, Integer::sum));
--- a/src/main/java/honeygap/manage/PhiAccrualDetector.java
+++ b/src/main/java/honeygap/manage/PhiAccrualDetector.java
@@ -1,14 +1,17 @@
 package honeygap.manage;
 
 /**
- * How much an instance is to be suspected, by how long it has given no sign against how long signs usually take: the
- * accrual detector of Hayashibara and others (2004), with a normal distribution of the times between signs. The level
- * is minus the common logarithm of the chance that a sign still comes: 1 is wrong once in ten, 8 once in 10^8.
+ * Phi accrual failure detector of Hayashibara and others (2004): rates the time since the last heartbeat against the
+ * normal distribution of the usual intervals. The suspicion level is minus the common logarithm of the probability
+ * that a heartbeat still arrives: level 1 is wrong once in 10 times, level 8 once in 10^8.
  */
 public final class PhiAccrualDetector {
 
     private static final int WINDOW = 64;
-    /** Of the mean: no distribution is taken for narrower, or one late sign would convict. */
+    /**
+     * Lower bound of the standard deviation relative to the mean; otherwise a single late heartbeat after very
+     * regular ones would suffice for suspicion.
+     */
     private static final double MIN_RELATIVE_DEVIATION = 0.25;
     private static final double MAX_LEVEL = 100;
 
@@ -18,7 +21,7 @@
     private double sumOfSquares;
     private long lastHeartbeatAt;
 
-    /** The first signs are expected so many tenths of a millisecond apart. */
+    /** The first heartbeats are expected at this interval, in units of 0.1 ms. */
     public PhiAccrualDetector(long now, long expectedInterval) {
         lastHeartbeatAt = now;
         addInterval(expectedInterval);
@@ -48,7 +51,8 @@
     public double suspicionLevel(long now) {
         int n = Math.min(count, WINDOW);
         double mean = sum / n;
-        double deviation = Math.max(MIN_RELATIVE_DEVIATION * mean, Math.sqrt(Math.max(0, sumOfSquares / n - mean * mean)));
+        double deviation = Math.max(MIN_RELATIVE_DEVIATION * mean,
+                Math.sqrt(Math.max(0, sumOfSquares / n - mean * mean)));
         double x = (now - lastHeartbeatAt - mean) / Math.max(1, deviation);
         // The tail of the normal distribution, by its logistic approximation (Bowling and others, 2009).
         double e = Math.exp(-x * (1.5976 + 0.070566 * x * x));
--- a/src/main/java/honeygap/manage/Step.java
+++ b/src/main/java/honeygap/manage/Step.java
@@ -1,19 +1,19 @@
 package honeygap.manage;
 
-/** What one operation does to one instance, and how far it is known to have come. */
+/** What an operation does to one instance, and its progress. */
 public final class Step {
 
-    /** How far. Planned, sent and unknown are open; the others are ends. */
+    /** Progress of the step. PLANNED, SENT and UNKNOWN are open states; the others are final. */
     public enum State {
-        /** Not sent. */
+        /** Not sent yet. */
         PLANNED,
-        /** On its way, or its answer is. */
+        /** The command or its answer is in flight. */
         SENT,
-        /** It may have been applied or not: the instance's ledger is asked. */
+        /** It may have been applied or not: the instance's ledger is queried. */
         UNKNOWN,
-        /** The instance said so. */
+        /** The instance confirmed it. */
         APPLIED,
-        /** Surely not, and will not be. */
+        /** Definitely not applied, and it will not be. */
         NOT_APPLIED;
 
         public boolean isOpen() {
@@ -23,11 +23,11 @@
 
     public final String instance;
     State state = State.PLANNED;
-    /** The generation that it was sent to; 0 before that. */
+    /** The generation that it was sent to; 0 before it is sent. */
     long generation;
     int attempts;
     long nextAttemptAt;
-    /** When what is on its way counts as unknown. */
+    /** When a command in flight counts as unknown. */
     long answerDeadline;
     String detail = "";
 
@@ -39,7 +39,7 @@
         return state;
     }
 
-    /** What the instance, or the manager for want of a word of it, said in the end. */
+    /** The final message of the instance, or of the manager if the instance sent none. */
     public String detail() {
         return detail;
     }
--- a/src/main/java/honeygap/manage/host/FleetSheet.java
+++ b/src/main/java/honeygap/manage/host/FleetSheet.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What an operator's own file says of the agents that are managed together; docs/manage.md has each field. */
+/** Settings of the managed agents, as read from the operator's file; docs/manage.md describes each field. */
 public final class FleetSheet {
 
-    /** An agent: where its door is, and labels by which it can be chosen. */
+    /** An agent: the address of its admin endpoint, and labels for selectors. */
     public record Instance(String name, InetSocketAddress adminEndpoint, Map<String, String> labels) { }
 
     public final InetSocketAddress listen;
@@ -35,7 +35,7 @@
             InetSocketAddress adminEndpoint = entry.address("door");
             entry.part("labels").each(labels::put);
             if (instances.stream().anyMatch(other -> other.name.equals(name))) {
-                entry.fault("name", "a name of its own");
+                entry.fault("name", "a unique name");
             }
             labels.put("name", name);
             instances.add(new Instance(name, adminEndpoint, labels));
@@ -44,7 +44,7 @@
         input.end();
     }
 
-    /** Reads the whole of it; all that is wrong is told at once, a line each. */
+    /** Reads all settings; reports all errors together, one per line. */
     public static FleetSheet of(Fields fields) throws Malformed {
         Sheet input = new Sheet(fields);
         FleetSheet settings = new FleetSheet(input);
--- a/src/main/java/honeygap/manage/host/Manager.java
+++ b/src/main/java/honeygap/manage/host/Manager.java
@@ -35,18 +35,18 @@
 import org.tinylog.Logger;
 
 /**
- * The managing agent: polls the doors of its agents, carries out operations, and answers the command line. One thread owns
- * the decisions; calls go out beside it and come back to it. Each operation is on the disk before anything of it goes
- * out, so that a manager that was killed goes on where it was.
+ * Manages many agents: polls their admin endpoints, executes operations, and serves the command line. A single thread
+ * makes all decisions; calls to agents run asynchronously and their results return to this thread. Each operation is
+ * on disk before any command of it is sent, so that a killed manager continues after a restart.
  */
 public final class Manager implements OperationScheduler.Actions, AutoCloseable {
 
     private static final int RETAINED_OPERATIONS = 1000;
-    /** Tries to write come every 50 ms while the disk fails. */
+    /** Failed writes per logged warning; while the disk fails, a write is tried every 50 ms. */
     private static final int FAILED_WRITES_PER_WARNING = 200;
     private static final long COMPACT_INTERVAL_S = 600;
 
-    /** What an agent said of itself last. */
+    /** Latest report of an agent, and the latest failure to get one. */
     private static final class AgentReport {
         Fields inspection;
         long receivedAtMs;
@@ -56,7 +56,7 @@
     private final FleetSheet settings;
     private final String token;
     private final OperationStore store;
-    /** The wall clock when it started, for people, and the monotonic clock then, by which all times go on. */
+    /** Wall clock at the start, and the monotonic clock at the same time, from which all later times are derived. */
     private final long startWallMs;
     private final long startNanos;
     private long failedWrites;
@@ -66,17 +66,17 @@
     private final HttpClient client;
     private final HttpServer server;
     private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread made = new Thread(task, "manager");
-        made.setDaemon(true);
-        return made;
+        Thread thread = new Thread(task, "manager");
+        thread.setDaemon(true);
+        return thread;
     });
 
-    /** The token opens the doors of agents, and this manager's own; it may be empty on loopback. */
+    /** The token authorizes calls to the agents' admin endpoints and to this manager; it may be empty on loopback. */
     public Manager(FleetSheet settings, String token) throws IOException, Malformed {
         this.settings = settings;
         this.token = token;
         if (token.isEmpty() && !settings.listen.getAddress().isLoopbackAddress()) {
-            throw new Malformed("a manager listens on loopback alone unless it has a token: " + settings.listen);
+            throw new Malformed("a manager without a token may only listen on loopback: " + settings.listen);
         }
         store = new OperationStore(settings.storeFile);
         startWallMs = System.currentTimeMillis();
@@ -104,9 +104,11 @@
 
     public void start() {
         server.start();
-        executor.scheduleWithFixedDelay(() -> runGuarded(this::poll), 0, settings.pollInterval / 10, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(() -> runGuarded(this::poll), 0, settings.pollInterval / 10,
+                TimeUnit.MILLISECONDS);
         executor.scheduleWithFixedDelay(() -> runGuarded(this::runDecisions), 10, 50, TimeUnit.MILLISECONDS);
-        executor.scheduleWithFixedDelay(() -> runGuarded(this::compact), COMPACT_INTERVAL_S, COMPACT_INTERVAL_S, TimeUnit.SECONDS);
+        executor.scheduleWithFixedDelay(() -> runGuarded(this::compact), COMPACT_INTERVAL_S, COMPACT_INTERVAL_S,
+                TimeUnit.SECONDS);
     }
 
     public InetSocketAddress address() {
@@ -117,9 +119,9 @@
         try {
             task.run();
         } catch (UncheckedIOException e) {
-            Logger.debug(e, "not written down, told where it happened");
+            Logger.debug(e, "write failed, already logged at its source");
         } catch (RuntimeException e) {
-            Logger.error(e, "a fault, gone on from");
+            Logger.error(e, "unexpected error; the manager continues");
         }
     }
 
@@ -127,11 +129,11 @@
         try {
             store.compact(RETAINED_OPERATIONS);
         } catch (IOException e) {
-            Logger.warn("the log can't be compacted: {}", e.getMessage());
+            Logger.warn("operation store cannot be compacted: {}", e.getMessage());
         }
     }
 
-    /** Milliseconds since 1970 as of the start; a step of the wall clock since then does not show. */
+    /** Milliseconds since 1970, from the wall clock at the start; later steps of the wall clock have no effect. */
     private long nowMs() {
         return startWallMs + (System.nanoTime() - startNanos) / 1_000_000;
     }
@@ -151,8 +153,12 @@
         void handle(int status, Fields response);
     }
 
-    /** Calls a door; what comes of it is told on this manager's thread: an answer, not reached, or no answer. */
-    private void call(String name, String method, String path, String body, ResponseHandler handler, Runnable onUnreachable,
+    /**
+     * Calls an agent's admin endpoint. The result is handled on the manager's thread: a response, a failure to
+     * connect, or no answer.
+     */
+    private void call(String name, String method, String path, String body, ResponseHandler handler,
+            Runnable onUnreachable,
                       Runnable onNoAnswer) {
         InetSocketAddress endpoint = instance(name).adminEndpoint();
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + endpoint.getHostString() + ":"
@@ -166,7 +172,7 @@
                 executor.execute(() -> runGuarded(() -> {
                     updateClock();
                     if (failure != null) {
-                        // Only a connection that was refused surely brought nothing there.
+                        // Only a refused connection guarantees that nothing arrived.
                         Throwable cause = failure.getCause() == null ? failure : failure.getCause();
                         reports.get(name).fault = String.valueOf(cause.getMessage());
                         (cause instanceof ConnectException ? onUnreachable : onNoAnswer).run();
@@ -174,7 +180,7 @@
                         try (JsonParser parser = new JsonFactory().createParser(response.body())) {
                             handler.handle(response.statusCode(), Fields.document(parser));
                         } catch (IOException | Malformed e) {
-                            reports.get(name).fault = "an answer that can't be read";
+                            reports.get(name).fault = "malformed response";
                             onNoAnswer.run();
                         }
                     }
@@ -196,11 +202,11 @@
                     report.receivedAtMs = nowMs();
                     report.fault = "";
                     if (membership.recordHeartbeat(instance.name(), Long.parseLong(inspection.text("generation")))) {
-                        Logger.info("{} is another process than before", instance.name());
+                        Logger.info("instance {} is now a different process", instance.name());
                     }
                     scheduler.setDrained(instance.name(), inspection.flag("drained"));
                 } catch (Malformed | NumberFormatException e) {
-                    report.fault = "an answer that makes no sense: " + e.getMessage();
+                    report.fault = "unexpected response: " + e.getMessage();
                 }
             }, () -> { }, () -> { });
         }
@@ -219,7 +225,7 @@
             store.save(operation.snapshot());
         } catch (IOException e) {
             if (failedWrites++ % FAILED_WRITES_PER_WARNING == 0) {
-                Logger.warn("operation {} can't be written down, tried again: {}; {} such so far", operation.id,
+                Logger.warn("operation {} cannot be persisted, will retry: {}; {} failed writes so far", operation.id,
                         e.getMessage(), failedWrites);
             }
             throw new UncheckedIOException(e);
@@ -243,7 +249,7 @@
                     if (answer.equals(Ledger.Answer.APPLY.name()) || answer.equals(Ledger.Answer.ALREADY.name())) {
                         scheduler.onAnswer(operation, step, true, textOrEmpty(response, "outcome"));
                     } else if (answer.equals(Ledger.Answer.TOO_LATE.name())) {
-                        scheduler.onAnswer(operation, step, false, "too late: a newer command was first");
+                        scheduler.onAnswer(operation, step, false, "too late: a newer command was executed first");
                     } else if (status >= 400 && status < 500) {
                         scheduler.onAnswer(operation, step, false, textOrEmpty(response, "error"));
                     } else {
@@ -283,27 +289,28 @@
         requestOutcome(operation, step, "/v1/calloff");
     }
 
-    /** An answer to the command line. */
+    /** A response to the command line. */
     private record Answer(int status, String body) { }
 
     private void handleRequest(HttpExchange exchange) throws IOException {
         byte[] body = exchange.getRequestBody().readNBytes(1 << 16);
         Answer answer;
         String authorization = exchange.getRequestHeaders().getFirst("Authorization");
-        if (!token.isEmpty() && !java.security.MessageDigest.isEqual(("Bearer " + token).getBytes(StandardCharsets.UTF_8),
+        if (!token.isEmpty() && !java.security.MessageDigest.isEqual(("Bearer "
+                + token).getBytes(StandardCharsets.UTF_8),
                 String.valueOf(authorization).getBytes(StandardCharsets.UTF_8))) {
-            answer = new Answer(401, "{\"error\":\"a token is wanted, and not this one\"}");
+            answer = new Answer(401, "{\"error\":\"missing or wrong token\"}");
         } else {
             CompletableFuture<Answer> result = new CompletableFuture<>();
             executor.execute(() -> {
                 try {
                     updateClock();
                     Answer routed = route(exchange.getRequestMethod(), exchange.getRequestURI().getPath(), body);
-                    // What is answered as done is on the disk.
+                    // What is acknowledged has to be on disk.
                     runDecisions();
                     result.complete(routed);
                 } catch (UncheckedIOException e) {
-                    result.complete(new Answer(507, "{\"error\":" + quoted("not written down yet, tried again: "
+                    result.complete(new Answer(507, "{\"error\":" + quoted("not persisted yet, will retry: "
                             + e.getCause().getMessage()) + "}"));
                 } catch (NotPersisted e) {
                     result.complete(new Answer(507, "{\"error\":" + quoted(e.getMessage()) + "}"));
@@ -361,22 +368,26 @@
         List<String> instances = new ArrayList<>();
         for (String name : request.text("instances").split(",")) {
             if (settings.instances.stream().noneMatch(one -> one.name().equals(name))) {
-                throw new Malformed("no instance goes by the name of " + name);
+                throw new Malformed("unknown instance: " + name);
             }
             instances.add(name);
         }
         OperationScheduler.Admission[] admission = new OperationScheduler.Admission[1];
-        Operation operation = scheduler.request(request.text("id"), request.text("action"), request.text("argument", ""), instances,
-                request.index("atOnce", 1), request.index("failuresToPause", 1), 10L * request.index("withinMs", 60_000),
+        Operation operation = scheduler.request(request.text("id"), request.text("action"),
+                request.text("argument", ""), instances,
+                request.index("atOnce", 1), request.index("failuresToPause", 1),
+                10L * request.index("withinMs", 60_000),
                 request.flag("again", false), admission);
         if (admission[0] == OperationScheduler.Admission.NEW) {
             persistNew(operation);
         }
-        String json = "{\"taken\":\"" + admission[0] + "\",\"operation\":" + OperationStore.toJson(operation.snapshot()) + "}";
-        return new Answer(admission[0] == OperationScheduler.Admission.BUSY || admission[0] == OperationScheduler.Admission.INVALID ? 409 : 200, json);
+        String json = "{\"taken\":\"" + admission[0] + "\",\"operation\":"
+                + OperationStore.toJson(operation.snapshot()) + "}";
+        return new Answer(admission[0] == OperationScheduler.Admission.BUSY
+                || admission[0] == OperationScheduler.Admission.INVALID ? 409 : 200, json);
     }
 
-    /** What is answered as taken on is on the disk; what can't be written down is not taken on. */
+    /** Persists a new operation before it is acknowledged; one that cannot be persisted is rejected. */
     private void persistNew(Operation operation) throws IOException {
         try {
             store.save(operation.snapshot());
@@ -386,13 +397,13 @@
         }
     }
 
-    /** What was asked for can't be written down: nothing of it will be done. */
+    /** A requested operation could not be persisted and will not be executed. */
     private static final class NotPersisted extends IOException {
 
         private static final long serialVersionUID = 1;
 
         NotPersisted(IOException cause) {
-            super("not taken on, it can't be written down: " + cause.getMessage(), cause);
+            super("operation rejected, it cannot be persisted: " + cause.getMessage(), cause);
         }
     }
 
@@ -407,7 +418,8 @@
                 AgentReport report = reports.get(instance.name());
                 out.writeStartObject();
                 out.writeStringField("name", instance.name());
-                out.writeStringField("door", instance.adminEndpoint().getHostString() + ":" + instance.adminEndpoint().getPort());
+                out.writeStringField("door", instance.adminEndpoint().getHostString() + ":"
+                        + instance.adminEndpoint().getPort());
                 out.writeStringField("standing", member.standing().name());
                 out.writeStringField("generation", Long.toString(member.generation));
                 out.writeNumberField("restarts", member.restarts);
@@ -439,7 +451,7 @@
     @Override
     public void close() {
         server.stop(0);
-        // No interrupt: it would close the store's file under a write.
+        // Does not interrupt the thread: an interrupt during a write would close the store's file.
         executor.shutdown();
         try {
             executor.awaitTermination(5, TimeUnit.SECONDS);
--- a/src/main/java/honeygap/manage/host/OperationStore.java
+++ b/src/main/java/honeygap/manage/host/OperationStore.java
@@ -16,7 +16,7 @@
 import org.h2.mvstore.MVStore;
 import org.h2.mvstore.MVStoreException;
 
-/** Operations on disk, by their numbers, in an embedded store: what is kept is there after any crash. */
+/** Operations on disk, keyed by number, in an embedded store. A saved operation survives any crash. */
 public final class OperationStore implements AutoCloseable {
 
     private final Path file;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Comes back once it is on the disk. A store closes itself when a write fails, and what was put into it would go with
-     * the next one: it is opened anew from what the disk has, at once or, while that fails too, at the next call.
+     * Saves an operation and returns when it is on disk. The store closes itself when a write fails, and the failed
+     * change would be written with the next one. It is therefore reopened from the disk's contents, at the next call.
      */
     public void save(Operation.Snapshot snapshot) throws IOException {
         try {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** All that is kept, oldest first. */
+    /** Returns all stored operations, oldest first. */
     public List<Operation.Snapshot> loadAll() throws IOException {
         reopen();
         List<Operation.Snapshot> snapshots = new ArrayList<>();
@@ -65,7 +65,7 @@
         return snapshots;
     }
 
-    /** Forgets what has ended and is older than the newest so many; the file shrinks. */
+    /** Removes ended operations beyond the newest that are retained, and shrinks the file. */
     public void compact(int retained) throws IOException {
         reopen();
         for (Long number : List.copyOf(operations.keySet())) {
@@ -119,7 +119,7 @@
                     fields.whole("askedAt"), fields.whole("deadline"),
                     Operation.State.valueOf(fields.text("state")), steps);
         } catch (Malformed | IllegalArgumentException e) {
-            throw new IOException("an operation that can't be read: " + e.getMessage(), e);
+            throw new IOException("malformed stored operation: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/honeygap/manage/host/Selector.java
+++ b/src/main/java/honeygap/manage/host/Selector.java
@@ -9,16 +9,19 @@
 import org.antlr.v4.runtime.RecognitionException;
 import org.antlr.v4.runtime.Recognizer;
 
-/** Chooses instances by labels: {@code location=east,build<43}; all parts must hold. Numbers compare as numbers. */
+/**
+ * Selects instances by labels, for example {@code location=east,build<43}; all conditions must match. Numbers are
+ * compared numerically.
+ */
 public final class Selector {
 
     private Selector() {
     }
 
     /**
-     * Reads a selector; an empty one takes all.
+     * Parses a selector; an empty one matches all instances.
      *
-     * @throws IllegalArgumentException with the column where it can't be read
+     * @throws IllegalArgumentException with the column of a syntax error
      */
     public static Predicate<Map<String, String>> of(String text) {
         BaseErrorListener errors = new BaseErrorListener() {
@@ -26,7 +29,7 @@
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
                                     RecognitionException cause) {
                 throw new IllegalArgumentException("selector, column " + (column + 1)
-                        + ": expected parts such as location=east, with commas between");
+                        + ": expected conditions such as location=east, separated by commas");
             }
         };
         SelectLexer lexer = new SelectLexer(CharStreams.fromString(text));
@@ -48,7 +51,8 @@
 
     private static boolean matches(String actual, String operator, String expected) {
         boolean areNumbers = actual.matches("-?[0-9]{1,15}") && expected.matches("-?[0-9]{1,15}");
-        int order = areNumbers ? Long.compare(Long.parseLong(actual), Long.parseLong(expected)) : actual.compareTo(expected);
+        int order = areNumbers ? Long.compare(Long.parseLong(actual), Long.parseLong(expected))
+                : actual.compareTo(expected);
         return Signs.holds(operator, order);
     }
 }
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -69,7 +69,8 @@
     private final PartnerSelector partnerSelector;
     private final WorkerPool workerPool;
     private final PeerClient peerClient;
-    private final ScheduledExecutorService roundExecutor = Executors.newSingleThreadScheduledExecutor(daemonThreads("rounds"));
+    private final ScheduledExecutorService roundExecutor = Executors.newSingleThreadScheduledExecutor(
+            daemonThreads("rounds"));
     private final ThreadPoolExecutor requestExecutor = new ThreadPoolExecutor(1, 1, 1, TimeUnit.MINUTES,
             new ArrayBlockingQueue<>(REQUEST_QUEUE_CAPACITY), daemonThreads("asked"));
     private final ArrayBlockingQueue<Map<String, Integer>> pendingLoads = new ArrayBlockingQueue<>(LOAD_QUEUE_CAPACITY);
