--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -52,7 +52,7 @@
         final int number;
         int port;
         Agent agent;
-        Door door;
+        Door adminEndpoint;
         int updates;
 
         Instance(int number) throws Exception {
@@ -65,100 +65,100 @@
             Flags flags = new Flags(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0','servers':[{'name':'s',"
                     + "'address':'127.0.0.1:9'}]}")), 1);
             agent = new Agent(loop, List.of(flags));
-            door = new Door(loop, agent, "a" + number, folder.resolve("ledger" + number), "open", generation,
+            adminEndpoint = new Door(loop, agent, "a" + number, folder.resolve("ledger" + number), "open", generation,
                     () -> updates++);
             agent.start();
-            door.listen(new InetSocketAddress("127.0.0.1", port));
-            port = door.address().getPort();
+            adminEndpoint.listen(new InetSocketAddress("127.0.0.1", port));
+            port = adminEndpoint.address().getPort();
         }
 
-        void kill() {
+        void stop() {
             agent.end();
         }
 
         String ledger() throws Exception {
-            return ask(port, "GET", "/v1/ledger", "", "open");
+            return send(port, "GET", "/v1/ledger", "", "open");
         }
     }
 
-    private static Fields fields(String words) throws Exception {
-        try (JsonParser parser = new JsonFactory().createParser(words.replace('\'', '"'))) {
+    private static Fields fields(String json) throws Exception {
+        try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
             return Fields.document(parser);
         }
     }
 
-    private String ask(int port, String method, String path, String body, String token) throws Exception {
+    private String send(int port, String method, String path, String body, String token) throws Exception {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
                 .version(HttpClient.Version.HTTP_1_1).method(method, body.isEmpty()
                         ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body));
         if (!token.isEmpty()) {
             request.header("Authorization", "Bearer " + token);
         }
-        HttpResponse<String> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
-        return answer.statusCode() + " " + answer.body();
+        HttpResponse<String> response = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
+        return response.statusCode() + " " + response.body();
     }
 
-    private void agents(int many) throws Exception {
-        for (int i = 0; i < many; i++) {
+    private void startAgents(int agentCount) throws Exception {
+        for (int i = 0; i < agentCount; i++) {
             instances.add(new Instance(i));
         }
     }
 
-    private void manage() throws Exception {
-        StringBuilder all = new StringBuilder();
-        for (Instance one : instances) {
-            all.append(all.length() > 0 ? "," : "").append("{'name':'a").append(one.number).append("','door':'127.0.0.1:")
-                    .append(one.port).append("','labels':{'location':'").append(one.number % 2 == 0 ? "east" : "west")
-                    .append("','build':").append(40 + one.number).append("}}");
+    private void startManager() throws Exception {
+        StringBuilder instancesJson = new StringBuilder();
+        for (Instance instance : instances) {
+            instancesJson.append(instancesJson.length() > 0 ? "," : "").append("{'name':'a").append(instance.number).append("','door':'127.0.0.1:")
+                    .append(instance.port).append("','labels':{'location':'").append(instance.number % 2 == 0 ? "east" : "west")
+                    .append("','build':").append(40 + instance.number).append("}}");
         }
         manager = new Manager(FleetSheet.of(fields("{'listen':'127.0.0.1:0','store':'" + folder.resolve("store")
-                + "','every':'100ms','answerWithin':'500ms','instances':[" + all + "]}")), "open");
+                + "','every':'100ms','answerWithin':'500ms','instances':[" + instancesJson + "]}")), "open");
         manager.start();
     }
 
     @AfterEach
-    void end() {
+    void closeAll() {
         if (manager != null) {
             manager.close();
         }
-        instances.forEach(Instance::kill);
+        instances.forEach(Instance::stop);
     }
 
-    private String manager(String method, String path, String body) throws Exception {
-        return ask(manager.address().getPort(), method, path, body, "open");
+    private String sendToManager(String method, String path, String body) throws Exception {
+        return send(manager.address().getPort(), method, path, body, "open");
     }
 
-    private String operation(String id, String action, String names, int atOnce) throws Exception {
-        return manager("POST", "/v1/operations", "{\"id\":\"" + id + "\",\"action\":\"" + action + "\",\"instances\":\""
-                + names + "\",\"atOnce\":" + atOnce + ",\"failuresToPause\":0,\"withinMs\":4000}");
+    private String startOperation(String id, String action, String names, int maxConcurrent) throws Exception {
+        return sendToManager("POST", "/v1/operations", "{\"id\":\"" + id + "\",\"action\":\"" + action + "\",\"instances\":\""
+                + names + "\",\"atOnce\":" + maxConcurrent + ",\"failuresToPause\":0,\"withinMs\":4000}");
     }
 
-    private Fields report(String id) throws Exception {
-        return fields(manager("GET", "/v1/operations/" + id, "").substring(4));
+    private Fields operationReport(String id) throws Exception {
+        return fields(sendToManager("GET", "/v1/operations/" + id, "").substring(4));
     }
 
-    private Fields ended(String id) throws Exception {
-        Fields report = report(id);
+    private Fields awaitEnd(String id) throws Exception {
+        Fields report = operationReport(id);
         while (Set.of("RUNNING", "CANCELLING").contains(report.text("state"))) {
             Thread.sleep(20);
-            report = report(id);
+            report = operationReport(id);
         }
         return report;
     }
 
-    private String names(int many) {
+    private String names(int count) {
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             names.add("a" + i);
         }
         return String.join(",", names);
     }
 
     /** The report against what each agent's own ledger says: none mixed, none doubled. */
-    private void assertTrueToLedgers(String id, Fields report) throws Exception {
+    private void assertMatchesLedgers(String id, Fields report) throws Exception {
         for (Fields step : report.objects("steps")) {
-            Instance one = instances.get(Integer.parseInt(step.text("instance").substring(1)));
-            String ledger = Files.readString(folder.resolve("ledger" + one.number));
+            Instance instance = instances.get(Integer.parseInt(step.text("instance").substring(1)));
+            String ledger = Files.readString(folder.resolve("ledger" + instance.number));
             int times = ledger.split("\"id\":\"" + id + "\",\"number\":\\d+,\"action\":\"(drain|update|undrain)\"", -1).length - 1;
             if (step.text("state").equals("UNKNOWN")) {
                 // The report says that it does not know, and only of one that is gone.
@@ -174,11 +174,11 @@
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void killedMidCommand(boolean comesBack) throws Exception {
-        agents(AGENTS);
-        manage();
+        startAgents(AGENTS);
+        startManager();
         Thread killer = new Thread(() -> {
             try {
-                while (!report("op").objects("steps").stream().anyMatch(step -> {
+                while (!operationReport("op").objects("steps").stream().anyMatch(step -> {
                     try {
                         return step.text("state").equals("APPLIED");
                     } catch (Exception e) {
@@ -187,7 +187,7 @@
                 })) {
                     Thread.sleep(1);
                 }
-                instances.get(7).kill();
+                instances.get(7).stop();
                 if (comesBack) {
                     instances.get(7).start(1007);
                 }
@@ -195,11 +195,11 @@
                 throw new IllegalStateException(e);
             }
         });
-        assertTrue(operation("op", "update", names(AGENTS), 1).startsWith("200"));
+        assertTrue(startOperation("op", "update", names(AGENTS), 1).startsWith("200"));
         killer.start();
-        Fields report = ended("op");
+        Fields report = awaitEnd("op");
         killer.join();
-        assertTrueToLedgers("op", report);
+        assertMatchesLedgers("op", report);
         int applied = 0;
         for (Fields step : report.objects("steps")) {
             applied += step.text("state").equals("APPLIED") ? 1 : 0;
@@ -210,81 +210,81 @@
 
     /** The same command typed twice, by one operator or two, is one operation; another one waits its turn. */
     @Test
-    void twice() throws Exception {
-        agents(3);
-        manage();
-        assertTrue(operation("x", "update", names(3), 1).contains("\"taken\":\"NEW\""));
-        assertTrue(operation("x", "update", names(3), 1).contains("\"taken\":\"SAME\""));
-        assertTrue(operation("y", "update", names(3), 1).contains("\"id\":\"x\""));
-        String busy = operation("z", "drain", "a2", 1);
+    void repeatedCommandIsOneOperation() throws Exception {
+        startAgents(3);
+        startManager();
+        assertTrue(startOperation("x", "update", names(3), 1).contains("\"taken\":\"NEW\""));
+        assertTrue(startOperation("x", "update", names(3), 1).contains("\"taken\":\"SAME\""));
+        assertTrue(startOperation("y", "update", names(3), 1).contains("\"id\":\"x\""));
+        String busy = startOperation("z", "drain", "a2", 1);
         assertTrue(busy.startsWith("409") && busy.contains("BUSY") || busy.contains("NEW"), busy);
-        assertEquals("DONE", ended("x").text("state"));
-        for (Instance one : instances) {
-            assertEquals(1, one.updates);
+        assertEquals("DONE", awaitEnd("x").text("state"));
+        for (Instance instance : instances) {
+            assertEquals(1, instance.updates);
         }
-        assertTrueToLedgers("x", report("x"));
+        assertMatchesLedgers("x", operationReport("x"));
     }
 
     /** Drained one after another, never more than the bound at once; clients see it; taken back again. */
     @Test
-    void drained() throws Exception {
-        agents(4);
-        manage();
-        operation("d", "drain", names(4), 2);
+    void drainsWithinLimit() throws Exception {
+        startAgents(4);
+        startManager();
+        startOperation("d", "drain", names(4), 2);
         // Two are out of service; the bound lets no third one go.
-        while (!manager("GET", "/v1/fleet", "").matches("(?s).*(\"drained\":true.*){2}")) {
+        while (!sendToManager("GET", "/v1/fleet", "").matches("(?s).*(\"drained\":true.*){2}")) {
             Thread.sleep(10);
         }
         // The manager hears of all of them, and decides, several times more.
         for (int polls = 0; polls < 5; polls++) {
-            long age = age();
-            for (long next = age(); next >= age; next = age()) {
+            long age = reportAgeMs();
+            for (long next = reportAgeMs(); next >= age; next = reportAgeMs()) {
                 age = next;
             }
         }
         // Which two depends on who is heard of first.
-        List<Instance> out = new ArrayList<>();
-        for (Instance one : instances) {
-            if (ask(one.port, "GET", "/v1/inspect", "", "open").contains("\"drained\":true")) {
-                out.add(one);
+        List<Instance> drained = new ArrayList<>();
+        for (Instance instance : instances) {
+            if (send(instance.port, "GET", "/v1/inspect", "", "open").contains("\"drained\":true")) {
+                drained.add(instance);
             }
         }
-        assertEquals(2, out.size());
-        Instance first = out.get(0);
-        String answer = ask(first.agent.address(0).getPort(), "POST", "/ofrep/v1/evaluate/flags/a",
+        assertEquals(2, drained.size());
+        Instance first = drained.get(0);
+        String response = send(first.agent.address(0).getPort(), "POST", "/ofrep/v1/evaluate/flags/a",
                 "{\"context\":{}}", "");
-        assertTrue(answer.startsWith("503"), answer);
-        manager("POST", "/v1/operations/d/cancel", "");
-        Fields report = ended("d");
+        assertTrue(response.startsWith("503"), response);
+        sendToManager("POST", "/v1/operations/d/cancel", "");
+        Fields report = awaitEnd("d");
         assertEquals("CANCELLED", report.text("state"));
-        assertTrueToLedgers("d", report);
-        operation("u", "undrain", "a" + first.number + ",a" + out.get(1).number, 2);
-        assertEquals("DONE", ended("u").text("state"));
-        answer = ask(first.agent.address(0).getPort(), "POST", "/ofrep/v1/evaluate/flags/a", "{\"context\":{}}", "");
-        assertTrue(answer.startsWith("429"), "taken again, though no server answers: " + answer);
+        assertMatchesLedgers("d", report);
+        startOperation("u", "undrain", "a" + first.number + ",a" + drained.get(1).number, 2);
+        assertEquals("DONE", awaitEnd("u").text("state"));
+        response = send(first.agent.address(0).getPort(), "POST", "/ofrep/v1/evaluate/flags/a", "{\"context\":{}}", "");
+        assertTrue(response.startsWith("429"), "taken again, though no server answers: " + response);
     }
 
     /** How long ago, in ms, the manager last heard of the first agent. */
-    private long age() throws Exception {
-        return fields(manager("GET", "/v1/fleet", "").substring(4)).objects("instances").get(0).whole("ageMs");
+    private long reportAgeMs() throws Exception {
+        return fields(sendToManager("GET", "/v1/fleet", "").substring(4)).objects("instances").get(0).whole("ageMs");
     }
 
     /** A manager that is gone in the middle and started again goes on where it was. */
     @Test
-    void managerRestarted() throws Exception {
-        agents(6);
-        manage();
-        operation("op", "update", names(6), 1);
+    void managerContinuesAfterRestart() throws Exception {
+        startAgents(6);
+        startManager();
+        startOperation("op", "update", names(6), 1);
         while (instances.get(0).updates == 0) {
             Thread.sleep(1);
         }
         manager.close();
-        manage();
-        Fields report = ended("op");
+        startManager();
+        Fields report = awaitEnd("op");
         assertEquals("DONE", report.text("state"));
-        assertTrueToLedgers("op", report);
-        for (Instance one : instances) {
-            assertEquals(1, one.updates, "a" + one.number);
+        assertMatchesLedgers("op", report);
+        for (Instance instance : instances) {
+            assertEquals(1, instance.updates, "a" + instance.number);
         }
     }
 
@@ -298,47 +298,47 @@
         "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"99\",\"action\":\"drain\",\"argument\":\"\"}|open|200 OTHER_GENERATION",
         "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"1\",\"action\":\"drain\",\"argument\":\"\"}|open|200 APPLY",
         "POST /v1/calloff {\"id\":\"b\",\"number\":\"2\"}|open|200 called off", "POST /v1/look {\"id\":\"c\"}|open|200"})
-    void door(String request, String token, String answer) throws Exception {
-        agents(1);
+    void adminEndpointStatus(String request, String token, String expected) throws Exception {
+        startAgents(1);
         String[] parts = request.split(" ", 3);
-        String heard = ask(instances.get(0).port, parts[0], parts[1], parts.length > 2 ? parts[2] : "",
+        String response = send(instances.get(0).port, parts[0], parts[1], parts.length > 2 ? parts[2] : "",
                 token == null ? "" : token);
-        for (String word : answer.split(" ")) {
-            assertTrue(heard.contains(word), heard);
+        for (String part : expected.split(" ")) {
+            assertTrue(response.contains(part), response);
         }
     }
 
     /** A last line that was torn is dropped; one in the middle ends the start with a clear word. */
     @ParameterizedTest
     @CsvSource({"torn,true", "middle,false"})
-    void ledgerFile(String what, boolean starts) throws Exception {
+    void damagedLedgerFile(String damage, boolean isAccepted) throws Exception {
         Path file = folder.resolve("ledger0");
         String line = "{\"id\":\"a\",\"number\":3,\"action\":\"drain\",\"outcome\":\"done\"}\n";
-        Files.writeString(file, what.equals("torn") ? line + "{\"id\":\"b\",\"num" : "{\"id\n" + line);
+        Files.writeString(file, damage.equals("torn") ? line + "{\"id\":\"b\",\"num" : "{\"id\n" + line);
         try {
-            agents(1);
-            assertTrue(starts);
-            String heard = instances.get(0).ledger();
-            assertTrue(heard.contains("\"id\":\"a\"") && !heard.contains("\"id\":\"b\""), heard);
+            startAgents(1);
+            assertTrue(isAccepted);
+            String ledger = instances.get(0).ledger();
+            assertTrue(ledger.contains("\"id\":\"a\"") && !ledger.contains("\"id\":\"b\""), ledger);
         } catch (IOException e) {
-            assertTrue(!starts && e.getMessage().contains("can't be read"), e.getMessage());
+            assertTrue(!isAccepted && e.getMessage().contains("can't be read"), e.getMessage());
         }
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"''|01234", "location=east|024", "build<42|01", "build>=42,location=east|24",
         "name!=a3|0124", "owner=x|''", "owner!=x|01234", "location=east,,|24!", "location|!"})
-    void selectors(String words, String names) {
-        StringBuilder taken = new StringBuilder();
+    void selectors(String selector, String expected) {
+        StringBuilder selected = new StringBuilder();
         try {
             for (int i = 0; i < 5; i++) {
-                taken.append(Selector.of(words).test(Map.of("name", "a" + i, "build", "" + (40 + i), "location",
+                selected.append(Selector.of(selector).test(Map.of("name", "a" + i, "build", "" + (40 + i), "location",
                         i % 2 == 0 ? "east" : "west")) ? "" + i : "");
             }
         } catch (IllegalArgumentException e) {
-            assertTrue(names.endsWith("!") && e.getMessage().contains("column"), e.getMessage());
+            assertTrue(expected.endsWith("!") && e.getMessage().contains("column"), e.getMessage());
             return;
         }
-        assertEquals(names, taken.toString());
+        assertEquals(expected, selected.toString());
     }
 }
--- a/src/test/java/honeygap/manage/ModelTest.java
+++ b/src/test/java/honeygap/manage/ModelTest.java
@@ -30,9 +30,9 @@
         "a/1/7 a/1/7,APPLY ALREADY", "a/2/7 b/1/7,APPLY TOO_LATE", "a/1/7 b/2/0,APPLY APPLY", "a/1/6,OTHER_GENERATION",
         "-a/1 a/1/7,TOO_LATE", "a/1/7 -a/1 a/1/7,APPLY ALREADY", "-a/5 b/4/7,APPLY",
         "a/1/7 b/2/7 c/3/7 d/4/7 a/1/7 c/3/7,APPLY APPLY APPLY APPLY TOO_LATE ALREADY"})
-    void ledger(String commands, String answers) {
+    void ledger(String commands, String expected) {
         Ledger ledger = new Ledger(3, 7);
-        StringBuilder said = new StringBuilder();
+        StringBuilder actual = new StringBuilder();
         for (String command : commands.split(" ")) {
             String[] parts = command.split("/");
             if (command.startsWith("-")) {
@@ -40,12 +40,12 @@
                 continue;
             }
             Ledger.Answer answer = ledger.asked(parts[0], Long.parseLong(parts[1]), Long.parseLong(parts[2]));
-            said.append(said.length() > 0 ? " " : "").append(answer);
+            actual.append(actual.length() > 0 ? " " : "").append(answer);
             if (answer == Ledger.Answer.APPLY) {
                 ledger.applied(parts[0], Long.parseLong(parts[1]), "drain", "drained");
             }
         }
-        assertEquals(answers, said.toString());
+        assertEquals(expected, actual.toString());
     }
 
     /** Suspicion grows with silence; many at once tell of this end; another process is no sign of the one before. */
@@ -60,7 +60,7 @@
                 membership.recordHeartbeat("a" + j, 1);
             }
         }
-        assertTrue(membership.members().stream().allMatch(one -> one.standing() == Membership.Standing.ALIVE));
+        assertTrue(membership.members().stream().allMatch(member -> member.standing() == Membership.Standing.ALIVE));
         for (int i = 0; i < 10; i++) {
             now += SECOND;
             membership.advanceTo(now);
@@ -84,22 +84,22 @@
 
     /** Asked again, asked twice, asked by two: which operation it is. */
     @Test
-    void asked() {
-        OperationScheduler operations = new OperationScheduler(1, new Membership(SECOND));
-        OperationScheduler.Admission[] taken = new OperationScheduler.Admission[1];
+    void repeatedRequests() {
+        OperationScheduler scheduler = new OperationScheduler(1, new Membership(SECOND));
+        OperationScheduler.Admission[] admission = new OperationScheduler.Admission[1];
         List<String> two = List.of("a", "b");
-        Operation first = operations.request("x", "drain", "", two, 1, 0, SECOND, false, taken);
-        assertEquals(OperationScheduler.Admission.NEW, taken[0]);
-        assertEquals(first, operations.request("x", "drain", "", two, 1, 0, SECOND, false, taken));
-        assertEquals(OperationScheduler.Admission.SAME, taken[0]);
-        assertEquals(first, operations.request("y", "drain", "", two, 1, 0, SECOND, false, taken));
-        assertEquals(OperationScheduler.Admission.SAME, taken[0]);
-        operations.request("x", "undrain", "", two, 1, 0, SECOND, false, taken);
-        assertEquals(OperationScheduler.Admission.INVALID, taken[0]);
-        assertEquals(first, operations.request("z", "undrain", "", List.of("b"), 1, 0, SECOND, false, taken));
-        assertEquals(OperationScheduler.Admission.BUSY, taken[0]);
-        operations.request("z", "undrain", "", List.of("c"), 1, 0, SECOND, false, taken);
-        assertEquals(OperationScheduler.Admission.NEW, taken[0]);
+        Operation first = scheduler.request("x", "drain", "", two, 1, 0, SECOND, false, admission);
+        assertEquals(OperationScheduler.Admission.NEW, admission[0]);
+        assertEquals(first, scheduler.request("x", "drain", "", two, 1, 0, SECOND, false, admission));
+        assertEquals(OperationScheduler.Admission.SAME, admission[0]);
+        assertEquals(first, scheduler.request("y", "drain", "", two, 1, 0, SECOND, false, admission));
+        assertEquals(OperationScheduler.Admission.SAME, admission[0]);
+        scheduler.request("x", "undrain", "", two, 1, 0, SECOND, false, admission);
+        assertEquals(OperationScheduler.Admission.INVALID, admission[0]);
+        assertEquals(first, scheduler.request("z", "undrain", "", List.of("b"), 1, 0, SECOND, false, admission));
+        assertEquals(OperationScheduler.Admission.BUSY, admission[0]);
+        scheduler.request("z", "undrain", "", List.of("c"), 1, 0, SECOND, false, admission);
+        assertEquals(OperationScheduler.Admission.NEW, admission[0]);
     }
 
     /** An instance of the model: what it has done outlives its processes, what stands in memory does not. */
@@ -125,7 +125,7 @@
         }
     }
 
-    private record Event(long at, long number, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
@@ -139,14 +139,14 @@
         private final Random random;
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final Map<String, Instance> instances = new LinkedHashMap<>();
-        private final Map<String, Operation.Snapshot> log = new LinkedHashMap<>();
+        private final Map<String, Operation.Snapshot> persisted = new LinkedHashMap<>();
         private Membership membership;
-        private OperationScheduler operations;
+        private OperationScheduler scheduler;
         private long now;
-        private long numbers;
-        private long generations = 100;
+        private long eventCount;
+        private long lastGeneration = 100;
         private long steps;
-        private int managers;
+        private int managerNumber;
         private boolean isCalm;
         private boolean crashesNext;
 
@@ -154,63 +154,63 @@
             this.seed = seed;
             random = new Random(seed);
             for (int i = 0; i < count; i++) {
-                instances.put("a" + i, new Instance("a" + i, ++generations));
+                instances.put("a" + i, new Instance("a" + i, ++lastGeneration));
             }
-            manager();
+            startManager();
         }
 
-        private void manager() {
-            int number = ++managers;
+        private void startManager() {
+            int number = ++managerNumber;
             membership = new Membership(SECOND);
             membership.advanceTo(now);
             instances.keySet().forEach(membership::join);
-            operations = new OperationScheduler(seed * 31 + number, membership);
-            operations.setNow(now);
-            log.values().forEach(written -> operations.restore(Operation.of(written)));
+            scheduler = new OperationScheduler(seed * 31 + number, membership);
+            scheduler.setNow(now);
+            persisted.values().forEach(written -> scheduler.restore(Operation.of(written)));
             poll(number);
         }
 
         private void poll(int number) {
-            if (number != managers) {
+            if (number != managerNumber) {
                 return;
             }
-            for (Instance one : instances.values()) {
+            for (Instance instance : instances.values()) {
                 // A poll and its answer: how it stands, and which process it is.
                 message(() -> {
-                    if (one.isUp && !one.isStopped) {
-                        long generation = one.ledger.generation();
-                        boolean isDrained = one.isDrained;
+                    if (instance.isUp && !instance.isStopped) {
+                        long generation = instance.ledger.generation();
+                        boolean isDrained = instance.isDrained;
                         message(() -> {
-                            if (number == managers) {
-                                membership.recordHeartbeat(one.name, generation);
-                                operations.setDrained(one.name, isDrained);
+                            if (number == managerNumber) {
+                                membership.recordHeartbeat(instance.name, generation);
+                                scheduler.setDrained(instance.name, isDrained);
                             }
                         });
                     }
                 });
             }
-            at(SECOND / 2, () -> poll(number));
+            schedule(SECOND / 2, () -> poll(number));
         }
 
-        private void at(long after, Runnable what) {
-            events.add(new Event(now + after, numbers++, what));
+        private void schedule(long delay, Runnable action) {
+            events.add(new Event(now + delay, eventCount++, action));
         }
 
         /** On its way: lost, once, twice, soon or late. */
-        private void message(Runnable arrives) {
+        private void message(Runnable delivery) {
             int copies = isCalm || random.nextInt(20) > 1 ? 1 : random.nextInt(3);
             for (int i = 0; i < copies; i++) {
-                at(1 + random.nextInt(isCalm || random.nextInt(10) > 0 ? 200 : 60_000), arrives);
+                schedule(1 + random.nextInt(isCalm || random.nextInt(10) > 0 ? 200 : 60_000), delivery);
             }
         }
 
-        private void check(boolean holds, String what) {
-            assertTrue(holds, "seed " + seed + ", step " + steps + ": " + what);
+        private void check(boolean condition, String description) {
+            assertTrue(condition, "seed " + seed + ", step " + steps + ": " + description);
         }
 
         @Override
         public void persist(Operation operation) {
-            log.put(operation.id, operation.snapshot());
+            persisted.put(operation.id, operation.snapshot());
             // The manager may die just after anything was written, before what rests on it was done.
             crashesNext |= !isCalm && random.nextInt(60) == 0;
             if (crashesNext) {
@@ -222,145 +222,145 @@
             private static final long serialVersionUID = 1;
         }
 
-        private void gone(int number, Operation operation, Step step, boolean isSent) {
+        private void scheduleNoAnswer(int number, Operation operation, Step step, boolean isSent) {
             // No answer within the host's own patience.
-            at(15_000, () -> {
-                if (number == managers) {
-                    operations.onNoAnswer(operation, step);
+            schedule(15_000, () -> {
+                if (number == managerNumber) {
+                    scheduler.onNoAnswer(operation, step);
                 }
             });
         }
 
         @Override
         public void send(Operation operation, Step step, long generation) {
-            int number = managers;
-            Instance one = instances.get(step.instance);
+            int number = managerNumber;
+            Instance instance = instances.get(step.instance);
             String id = operation.id;
             long fence = operation.number;
             message(() -> {
-                if (!one.isUp) {
+                if (!instance.isUp) {
                     return;
                 }
-                if (one.isStopped) {
+                if (instance.isStopped) {
                     // It lies in its socket until the process goes on.
-                    at(5_000, () -> arrive(one, operation, step, id, fence, generation, number));
+                    schedule(5_000, () -> executeCommand(instance, operation, step, id, fence, generation, number));
                     return;
                 }
-                arrive(one, operation, step, id, fence, generation, number);
+                executeCommand(instance, operation, step, id, fence, generation, number);
             });
-            gone(number, operation, step, true);
+            scheduleNoAnswer(number, operation, step, true);
         }
 
-        private void arrive(Instance one, Operation operation, Step step, String id, long fence, long generation,
+        private void executeCommand(Instance instance, Operation operation, Step step, String id, long fence, long generation,
                             int number) {
-            if (!one.isUp || one.isStopped) {
+            if (!instance.isUp || instance.isStopped) {
                 return;
             }
-            Ledger.Answer answer = one.ledger.asked(id, fence, generation);
+            Ledger.Answer answer = instance.ledger.asked(id, fence, generation);
             if (answer == Ledger.Answer.APPLY) {
-                one.effects.merge(id, 1, Integer::sum);
-                one.isDrained = operation.action.equals("drain");
-                one.disk.add(one.ledger.applied(id, fence, operation.action, "done"));
-                bound();
+                instance.effects.merge(id, 1, Integer::sum);
+                instance.isDrained = operation.action.equals("drain");
+                instance.disk.add(instance.ledger.applied(id, fence, operation.action, "done"));
+                checkDrainedLimit();
                 if (!isCalm && random.nextInt(25) == 0) {
                     // It dies after it has applied, before it answers.
-                    die(one);
+                    killInstance(instance);
                     return;
                 }
             }
             message(() -> {
-                if (number != managers) {
+                if (number != managerNumber) {
                     return;
                 }
                 switch (answer) {
-                    case APPLY, ALREADY -> operations.onAnswer(operation, step, true, "done");
-                    case TOO_LATE -> operations.onAnswer(operation, step, false, "too late");
-                    default -> operations.onNoAnswer(operation, step);
+                    case APPLY, ALREADY -> scheduler.onAnswer(operation, step, true, "done");
+                    case TOO_LATE -> scheduler.onAnswer(operation, step, false, "too late");
+                    default -> scheduler.onNoAnswer(operation, step);
                 }
             });
         }
 
-        private void die(Instance one) {
-            one.isUp = false;
-            at(1_000 + random.nextInt(50_000), () -> one.start(++generations));
+        private void killInstance(Instance instance) {
+            instance.isUp = false;
+            schedule(1_000 + random.nextInt(50_000), () -> instance.start(++lastGeneration));
         }
 
-        private void look(Operation operation, Step step, boolean isCallOff) {
-            int number = managers;
-            Instance one = instances.get(step.instance);
+        private void requestOutcome(Operation operation, Step step, boolean isCallOff) {
+            int number = managerNumber;
+            Instance instance = instances.get(step.instance);
             message(() -> {
-                if (!one.isUp || one.isStopped) {
+                if (!instance.isUp || instance.isStopped) {
                     return;
                 }
-                Ledger.Entry known = one.ledger.entry(operation.id);
-                if (isCallOff && known == null) {
-                    known = one.ledger.calledOff(operation.id, operation.number);
-                    one.disk.add(known);
+                Ledger.Entry found = instance.ledger.entry(operation.id);
+                if (isCallOff && found == null) {
+                    found = instance.ledger.calledOff(operation.id, operation.number);
+                    instance.disk.add(found);
                 }
-                Ledger.Entry entry = known;
+                Ledger.Entry entry = found;
                 message(() -> {
-                    if (number != managers) {
+                    if (number != managerNumber) {
                         return;
                     }
                     if (entry == null) {
-                        operations.onNotInLedger(operation, step);
+                        scheduler.onNotInLedger(operation, step);
                     } else {
                         boolean isApplied = !entry.outcome().equals(Ledger.CALLED_OFF);
-                        operations.onAnswer(operation, step, isApplied, entry.outcome());
+                        scheduler.onAnswer(operation, step, isApplied, entry.outcome());
                     }
                 });
             });
-            gone(number, operation, step, false);
+            scheduleNoAnswer(number, operation, step, false);
         }
 
         @Override
         public void queryLedger(Operation operation, Step step) {
-            look(operation, step, false);
+            requestOutcome(operation, step, false);
         }
 
         @Override
         public void callOff(Operation operation, Step step) {
-            look(operation, step, true);
+            requestOutcome(operation, step, true);
         }
 
-        private int bound = Integer.MAX_VALUE;
+        private int maxDrained = Integer.MAX_VALUE;
 
         /** Never more out of service by command than the bound. */
-        private void bound() {
-            long out = instances.values().stream().filter(one -> one.isUp && one.isDrained).count();
-            check(out <= bound, out + " drained, at most " + bound);
+        private void checkDrainedLimit() {
+            long drained = instances.values().stream().filter(instance -> instance.isUp && instance.isDrained).count();
+            check(drained <= maxDrained, drained + " drained, at most " + maxDrained);
         }
 
-        private void pull() {
+        private void runDecisions() {
             try {
-                operations.setNow(now);
+                scheduler.setNow(now);
                 membership.advanceTo(now);
-                for (int i = 0; operations.decideNext(this); i++) {
+                for (int i = 0; scheduler.decideNext(this); i++) {
                     check(i < 10_000, "no end of decisions");
                 }
             } catch (Died e) {
                 crashesNext = false;
-                managers++;
-                at(random.nextInt(20_000), this::manager);
+                managerNumber++;
+                schedule(random.nextInt(20_000), this::startManager);
             }
         }
 
         private boolean isManaged() {
-            return operations != null;
+            return scheduler != null;
         }
 
-        void run(long until, Runnable each) {
-            while (!events.isEmpty() && events.peek().at <= until) {
+        void runUntil(long endTime, Runnable afterEvent) {
+            while (!events.isEmpty() && events.peek().at <= endTime) {
                 Event event = events.poll();
                 now = Math.max(now, event.at);
                 steps++;
-                operations.setNow(now);
+                scheduler.setNow(now);
                 membership.advanceTo(now);
-                event.what.run();
-                pull();
-                each.run();
+                event.action.run();
+                runDecisions();
+                afterEvent.run();
             }
-            now = Math.max(now, until);
+            now = Math.max(now, endTime);
         }
     }
 
@@ -372,57 +372,57 @@
         LongStream.rangeClosed(1, SCHEDULES).parallel().forEach(seed -> {
             Model model = new Model(seed, 3 + (int) (seed % 8));
             Random random = new Random(seed * 7);
-            model.bound = 1 + (int) (seed % 3);
-            model.run(5 * SECOND, () -> { });
-            OperationScheduler.Admission[] taken = new OperationScheduler.Admission[1];
-            List<String> all = List.copyOf(model.instances.keySet());
+            model.maxDrained = 1 + (int) (seed % 3);
+            model.runUntil(5 * SECOND, () -> { });
+            OperationScheduler.Admission[] admission = new OperationScheduler.Admission[1];
+            List<String> names = List.copyOf(model.instances.keySet());
             String[] ids = {"op1"};
             boolean isUpdate = seed % 4 == 0;
-            model.operations.request("op1", isUpdate ? "update" : "drain", "", all.subList(0, Math.min(all.size(),
-                    isUpdate ? all.size() : model.bound)), model.bound, 0, 60 * SECOND, false, taken);
-            model.pull();
+            model.scheduler.request("op1", isUpdate ? "update" : "drain", "", names.subList(0, Math.min(names.size(),
+                    isUpdate ? names.size() : model.maxDrained)), model.maxDrained, 0, 60 * SECOND, false, admission);
+            model.runDecisions();
             // The same command typed twice, and an operator who changes his mind.
             if (random.nextInt(3) == 0) {
-                model.at(random.nextInt(30_000), () -> model.operations.request("op1", isUpdate ? "update" : "drain", "",
-                        all.subList(0, Math.min(all.size(), isUpdate ? all.size() : model.bound)), model.bound, 0,
-                        60 * SECOND, false, taken));
+                model.schedule(random.nextInt(30_000), () -> model.scheduler.request("op1", isUpdate ? "update" : "drain", "",
+                        names.subList(0, Math.min(names.size(), isUpdate ? names.size() : model.maxDrained)), model.maxDrained, 0,
+                        60 * SECOND, false, admission));
             }
             if (random.nextInt(4) == 0) {
-                model.at(random.nextInt(random.nextBoolean() ? 4_000 : 100_000), () -> {
-                    Operation running = model.operations.operation("op1");
+                model.schedule(random.nextInt(random.nextBoolean() ? 4_000 : 100_000), () -> {
+                    Operation running = model.scheduler.operation("op1");
                     if (running != null) {
-                        model.operations.cancel(running);
+                        model.scheduler.cancel(running);
                     }
                 });
             }
-            for (Instance one : model.instances.values()) {
+            for (Instance instance : model.instances.values()) {
                 if (random.nextInt(3) == 0) {
-                    model.at(random.nextInt(100_000), () -> model.die(one));
+                    model.schedule(random.nextInt(100_000), () -> model.killInstance(instance));
                 } else if (random.nextInt(4) == 0) {
-                    model.at(random.nextInt(100_000), () -> one.isStopped = true);
-                    model.at(100_000 + random.nextInt(100_000), () -> one.isStopped = false);
+                    model.schedule(random.nextInt(100_000), () -> instance.isStopped = true);
+                    model.schedule(100_000 + random.nextInt(100_000), () -> instance.isStopped = false);
                 }
             }
-            model.run(70 * SECOND, () -> { });
+            model.runUntil(70 * SECOND, () -> { });
             // From now on nothing fails: what is open must end.
             model.isCalm = true;
-            model.instances.values().forEach(one -> one.isStopped = false);
-            model.run(150 * SECOND, () -> { });
+            model.instances.values().forEach(instance -> instance.isStopped = false);
+            model.runUntil(150 * SECOND, () -> { });
             for (String id : ids) {
-                Operation.Snapshot written = model.log.get(id);
+                Operation.Snapshot written = model.persisted.get(id);
                 if (written == null) {
                     continue;
                 }
                 model.check(written.state() != Operation.State.RUNNING && written.state() != Operation.State.CANCELLING,
                         "has not ended: " + written);
-                Set<String> seen = new HashSet<>();
+                Set<String> reported = new HashSet<>();
                 for (Operation.StepSnapshot step : written.steps()) {
-                    model.check(seen.add(step.instance()), "twice in the report");
-                    int times = model.instances.get(step.instance()).effects.getOrDefault(id, 0);
-                    model.check(times <= 1, step.instance() + " applied it " + times + " times");
-                    model.check((step.state() == Step.State.APPLIED) == (times == 1), step + ", but applied " + times);
-                    applied.addAndGet(times);
-                    notApplied.addAndGet(1 - times);
+                    model.check(reported.add(step.instance()), "twice in the report");
+                    int timesApplied = model.instances.get(step.instance()).effects.getOrDefault(id, 0);
+                    model.check(timesApplied <= 1, step.instance() + " applied it " + timesApplied + " times");
+                    model.check((step.state() == Step.State.APPLIED) == (timesApplied == 1), step + ", but applied " + timesApplied);
+                    applied.addAndGet(timesApplied);
+                    notApplied.addAndGet(1 - timesApplied);
                 }
             }
         });
--- a/src/test/java/honeygap/share/SitesTest.java
+++ b/src/test/java/honeygap/share/SitesTest.java
@@ -42,17 +42,17 @@
     private final List<Member> members = new ArrayList<>();
     /** By caller and called, as "p0>p3". */
     private final Map<String, Fault> faults = new ConcurrentHashMap<>();
-    private final Map<Integer, String> names = new ConcurrentHashMap<>();
+    private final Map<Integer, String> namesByPort = new ConcurrentHashMap<>();
 
-    private void start(int many) throws IOException, InterruptedException {
+    private void start(int memberCount) throws IOException, InterruptedException {
         List<InetSocketAddress> seeds = new ArrayList<>();
         List<CompletableFuture<Void>> starting = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < memberCount; i++) {
             String name = "p" + i;
-            Gate gate = new Gate(to -> faults.getOrDefault(name + ">" + names.get(to.getPort()), Fault.NONE));
+            Gate gate = new Gate(to -> faults.getOrDefault(name + ">" + namesByPort.get(to.getPort()), Fault.NONE));
             Member member = new Member(name, "s" + i % 2, folder.resolve(name), gate, JAVA, List.copyOf(seeds));
             members.add(member);
-            starting.add(CompletableFuture.runAsync(() -> begin(member)));
+            starting.add(CompletableFuture.runAsync(() -> startMember(member)));
             if (i < 2) {
                 // The first two are whom the others ask.
                 starting.get(i).join();
@@ -62,50 +62,50 @@
         starting.forEach(CompletableFuture::join);
     }
 
-    private void begin(Member member) {
+    private void startMember(Member member) {
         try {
             member.start();
-            names.put(member.door().getPort(), member.name);
+            namesByPort.put(member.door().getPort(), member.name);
         } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
     @AfterEach
-    void end() throws IOException {
+    void closeMembers() throws IOException {
         for (Member member : members) {
             member.close();
         }
     }
 
-    private Map<String, String> seenBy(Member member) {
-        Map<String, String> seen = new TreeMap<>();
+    private Map<String, String> standingsSeenBy(Member member) {
+        Map<String, String> standings = new TreeMap<>();
         try {
             Matcher matcher = STANDING.matcher(member.ask("/v1/share/members"));
             while (matcher.find()) {
-                seen.put(matcher.group(1), matcher.group(2));
+                standings.put(matcher.group(1), matcher.group(2));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return seen;
+        return standings;
     }
 
-    private boolean allSee(List<Member> by, Member of, String standing) {
-        return by.stream().allMatch(member -> member == of || standing.equals(seenBy(member).get(of.name)));
+    private boolean allObserve(List<Member> observers, Member observed, String standing) {
+        return observers.stream().allMatch(member -> member == observed || standing.equals(standingsSeenBy(member).get(observed.name)));
     }
 
-    private boolean allWell() {
-        return members.stream().allMatch(of -> allSee(members, of, "ALIVE"));
+    private boolean allAlive() {
+        return members.stream().allMatch(observed -> allObserve(members, observed, "ALIVE"));
     }
 
-    private void until(String what, BooleanSupplier holds) throws InterruptedException, IOException {
+    private void awaitCondition(String description, BooleanSupplier condition) throws InterruptedException, IOException {
         long end = System.nanoTime() + 40_000_000_000L;
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                StringBuilder seen = new StringBuilder(what + " has not come about: ");
-                members.forEach(member -> seen.append(member.name).append(' ').append(seenBy(member)).append("; "));
-                throw new AssertionError(seen + members.get(0).log("WARN") + members.get(0).log("ERROR"));
+                StringBuilder report = new StringBuilder(description + " has not come about: ");
+                members.forEach(member -> report.append(member.name).append(' ').append(standingsSeenBy(member)).append("; "));
+                throw new AssertionError(report + members.get(0).log("WARN") + members.get(0).log("ERROR"));
             }
             Thread.sleep(50);
         }
@@ -116,7 +116,7 @@
         return matcher.find() ? Long.parseLong(matcher.group(1)) : -1;
     }
 
-    private long raised(Member member) {
+    private long generationsRaised(Member member) {
         try {
             return Math.max(0, counter(member, "generations raised"));
         } catch (InterruptedException e) {
@@ -125,10 +125,10 @@
         }
     }
 
-    private void cut(Fault fault, boolean bothWays) {
+    private void cutSites(Fault fault, boolean isBidirectional) {
         for (int i = 0; i < members.size(); i++) {
             for (int j = 0; j < members.size(); j++) {
-                if (i % 2 != j % 2 && (bothWays || i % 2 == 0)) {
+                if (i % 2 != j % 2 && (isBidirectional || i % 2 == 0)) {
                     faults.put("p" + i + ">p" + j, fault);
                 }
             }
@@ -137,24 +137,24 @@
 
     /** Killed, back in another life at the same address, stopped and continued: each is told apart by all others. */
     @Test
-    void killedStoppedAndBack() throws Exception {
+    void killedAndStoppedProcessesReturn() throws Exception {
         start(6);
-        until("all know all", this::allWell);
+        awaitCondition("all know all", this::allAlive);
         Member killed = members.get(4);
         List<Member> others = members.stream().filter(member -> member != killed).toList();
         killed.kill();
-        until("the killed one is held for dead", () -> allSee(others, killed, "DEAD"));
-        assertTrue(others.stream().allMatch(of -> others.stream().allMatch(by -> by == of
-                || !"DEAD".equals(seenBy(by).get(of.name)))));
+        awaitCondition("the killed one is held for dead", () -> allObserve(others, killed, "DEAD"));
+        assertTrue(others.stream().allMatch(observed -> others.stream().allMatch(observer -> observer == observed
+                || !"DEAD".equals(standingsSeenBy(observer).get(observed.name)))));
         killed.start();
-        until("it is back", this::allWell);
+        awaitCondition("it is back", this::allAlive);
         Member stopped = members.get(3);
         List<Member> running = members.stream().filter(member -> member != stopped).toList();
         stopped.signal("STOP");
-        until("the stopped one is missed", () -> running.stream().allMatch(by ->
-                !"ALIVE".equals(seenBy(by).get(stopped.name))));
+        awaitCondition("the stopped one is missed", () -> running.stream().allMatch(observer ->
+                !"ALIVE".equals(standingsSeenBy(observer).get(stopped.name))));
         stopped.signal("CONT");
-        until("it goes on", this::allWell);
+        awaitCondition("it goes on", this::allAlive);
         for (Member member : members) {
             assertEquals(0, counter(member, "locks out of order") + counter(member, "locks held over waits")
                     + counter(member, "workers died") + counter(member, "work failed"), member.name);
@@ -164,23 +164,23 @@
     /** Sites that can't hear each other, each kind of fault; within itself each goes on, and after the cut all is well. */
     @ParameterizedTest
     @EnumSource(value = Fault.class, names = {"RESET", "ANSWER_LOST", "SPOILT"})
-    void cutAndHealed(Fault fault) throws Exception {
+    void partitionHeals(Fault fault) throws Exception {
         start(6);
-        until("all know all", this::allWell);
-        cut(fault, fault != Fault.ANSWER_LOST);
+        awaitCondition("all know all", this::allAlive);
+        cutSites(fault, fault != Fault.ANSWER_LOST);
         // Without any word of the other site its load is let go of, and here all stay well for each other.
-        until("the cut is felt", () -> members.stream().anyMatch(member -> seenBy(member).containsValue("SUSPECT")
-                || seenBy(member).containsValue("DEAD") || member(member, "cutOff\":true")));
-        assertFalse(members.stream().anyMatch(by -> members.stream().anyMatch(of -> of != by
-                && of.site.equals(by.site) && "DEAD".equals(seenBy(by).get(of.name)))), "dead within a site");
+        awaitCondition("the cut is felt", () -> members.stream().anyMatch(member -> standingsSeenBy(member).containsValue("SUSPECT")
+                || standingsSeenBy(member).containsValue("DEAD") || membersContain(member, "cutOff\":true")));
+        assertFalse(members.stream().anyMatch(observer -> members.stream().anyMatch(observed -> observed != observer
+                && observed.site.equals(observer.site) && "DEAD".equals(standingsSeenBy(observer).get(observed.name)))), "dead within a site");
         faults.clear();
-        until("all is well again", this::allWell);
+        awaitCondition("all is well again", this::allAlive);
         assertTrue(fault != Fault.SPOILT || counter(members.get(0), "spoilt") > 0);
     }
 
-    private static boolean member(Member member, String part) {
+    private static boolean membersContain(Member member, String expected) {
         try {
-            return member.ask("/v1/share/members").contains(part);
+            return member.ask("/v1/share/members").contains(expected);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -189,33 +189,33 @@
 
     /** Two processes with one name: neither is believed over the other, and it is said. */
     @Test
-    void oneNameTwice() throws Exception {
+    void duplicateNameIsDetected() throws Exception {
         start(2);
-        until("both know each other", this::allWell);
-        Member other = new Member("p1", "s1", folder.resolve("other"), new Gate(to -> Fault.NONE), JAVA,
+        awaitCondition("both know each other", this::allAlive);
+        Member duplicate = new Member("p1", "s1", folder.resolve("other"), new Gate(to -> Fault.NONE), JAVA,
                 List.of(members.get(0).door()));
-        members.add(other);
-        other.start();
-        until("the name is doubted", () -> "DOUBTED".equals(seenBy(members.get(0)).get("p1")));
-        until("one of them has met the other", () -> raised(members.get(1)) + raised(other) > 0);
+        members.add(duplicate);
+        duplicate.start();
+        awaitCondition("the name is doubted", () -> "DOUBTED".equals(standingsSeenBy(members.get(0)).get("p1")));
+        awaitCondition("one of them has met the other", () -> generationsRaised(members.get(1)) + generationsRaised(duplicate) > 0);
     }
 
     /** Bodies that are no message, too long, or of a newer form: said, counted, and nobody else is harmed. */
     @Test
-    void badBodies() throws Exception {
+    void invalidBodiesAreRejected() throws Exception {
         start(2);
-        until("both know each other", this::allWell);
-        Member one = members.get(0);
+        awaitCondition("both know each other", this::allAlive);
+        Member receiver = members.get(0);
         String[][] bodies = {
             {"{", "400"}, {"{\"from\":\"x\",\"version\":1,\"tables\":{\"load\":{\"digest\":[[1,2,3]]}}}", "400"},
             {"{\"from\":\"x\",\"version\":1,\"tables\":{\"load\":{\"digest\":[[\"a\",\"b\",\"3\"]]}}}", "400"},
             {"{\"from\":\"x\",\"version\":9,\"more\":[1],\"tables\":{\"trips\":{\"digest\":[]}}}", "200"},
             {"x".repeat(500_000), "413"}};
         for (String[] body : bodies) {
-            assertEquals(body[1], post(one, body[0]), body[0].substring(0, 1));
+            assertEquals(body[1], post(receiver, body[0]), body[0].substring(0, 1));
         }
-        assertTrue(counter(one, "spoilt") >= 3 && counter(one, "newer form") >= 1);
-        until("both still know each other", this::allWell);
+        assertTrue(counter(receiver, "spoilt") >= 3 && counter(receiver, "newer form") >= 1);
+        awaitCondition("both still know each other", this::allAlive);
     }
 
     /** A body that is announced as too long is turned down by its head: it is not sent, or its answer might get lost. */
--- a/src/test/java/honeygap/share/TableTest.java
+++ b/src/test/java/honeygap/share/TableTest.java
@@ -29,25 +29,25 @@
 class TableTest {
 
     private static final long TTL = 1000;
-    private static final TableLimits BOUNDS = new TableLimits(8, 4, 20, 40, TTL);
+    private static final TableLimits LIMITS = new TableLimits(8, 4, 20, 40, TTL);
 
     private static ReplicatedTable table(String name, long generation) {
-        return new ReplicatedTable("load", new ProcessIdentity(name, generation), 0, BOUNDS);
+        return new ReplicatedTable("load", new ProcessIdentity(name, generation), 0, LIMITS);
     }
 
-    private static void exchange(ReplicatedTable from, ReplicatedTable to, int bytes) {
-        to.merge(from.deltasFor(to.digest(), bytes), 0);
+    private static void exchange(ReplicatedTable from, ReplicatedTable to, int maxBytes) {
+        to.merge(from.deltasFor(to.digest(), maxBytes), 0);
     }
 
     private static String value(ReplicatedTable table, String owner, String name) {
-        StoredEntry held = table.get(owner, name);
-        return held == null ? null : held.entry().value();
+        StoredEntry stored = table.get(owner, name);
+        return stored == null ? null : stored.entry().value();
     }
 
     /** Only what the other lacks goes out, in bytes at most, and goes on where it stopped. */
     @ParameterizedTest
     @CsvSource({"10000,1,3", "110,2,3", "55,3,3"})
-    void onlyWhatIsLacking(int bytes, int rounds, int entries) {
+    void sendsOnlyMissingEntries(int maxBytes, int rounds, int entries) {
         ReplicatedTable a = table("a", 5);
         ReplicatedTable b = table("b", 5);
         for (int i = 0; i < entries; i++) {
@@ -55,7 +55,7 @@
         }
         for (int i = 0; i < rounds; i++) {
             assertTrue(b.isBehind(a.digest()));
-            exchange(a, b, bytes);
+            exchange(a, b, maxBytes);
         }
         assertFalse(b.isBehind(a.digest()));
         assertEquals(List.of(), a.deltasFor(b.digest(), 10000));
@@ -64,7 +64,7 @@
 
     /** What an owner wrote in an earlier life, and what it took back, comes back by no old copy. */
     @Test
-    void noOldCopyComesBack() {
+    void oldCopiesDoNotReturn() {
         ReplicatedTable a = table("a", 5);
         a.put("x", "1", TTL);
         a.put("y", "2", TTL);
@@ -90,26 +90,26 @@
     /** Ages travel, so entries end everywhere together, whatever the clocks and however they went round. */
     @ParameterizedTest
     @CsvSource({"0,0,999,true", "0,0,1000,false", "600000,0,999,true", "600000,500,499,true", "-600000,500,500,false"})
-    void endsByAge(long clock, long later, long after, boolean holds) {
+    void entriesExpireByAge(long clock, long sentAt, long transitTime, boolean isLive) {
         ReplicatedTable a = table("a", 1);
         a.put("x", "1", TTL);
-        ReplicatedTable b = new ReplicatedTable("load", new ProcessIdentity("b", 1), clock, BOUNDS);
-        a.setNow(later);
+        ReplicatedTable b = new ReplicatedTable("load", new ProcessIdentity("b", 1), clock, LIMITS);
+        a.setNow(sentAt);
         exchange(a, b, 1000);
-        b.setNow(clock + after);
-        assertEquals(holds, value(b, "a", "x") != null);
+        b.setNow(clock + transitTime);
+        assertEquals(isLive, value(b, "a", "x") != null);
         b.expire();
         ReplicatedTable c = table("c", 1);
         exchange(b, c, 1000);
-        assertEquals(holds, value(c, "a", "x") != null);
+        assertEquals(isLive, value(c, "a", "x") != null);
     }
 
     /** A process that meets its own name in a life that is not its own goes on in a later one. */
     @ParameterizedTest
     @CsvSource({"7,1,8", "5,3,6", "5,1,5", "4,9,5"})
-    void ownNameElsewhere(long generation, int writes, long then) {
-        ProcessIdentity life = new ProcessIdentity("a", 5);
-        ReplicatedTable a = new ReplicatedTable("load", life, 0, BOUNDS);
+    void ownNameRaisesGeneration(long generation, int writes, long expectedGeneration) {
+        ProcessIdentity identity = new ProcessIdentity("a", 5);
+        ReplicatedTable a = new ReplicatedTable("load", identity, 0, LIMITS);
         a.put("x", "mine", TTL);
         a.put("y", "mine", TTL);
         ReplicatedTable other = table("a", generation);
@@ -119,8 +119,8 @@
         ReplicatedTable b = table("b", 1);
         exchange(other, b, 1000);
         a.merge(b.deltasFor(List.of(), 1000), 0);
-        assertEquals(then, life.generation());
-        if (then > 5) {
+        assertEquals(expectedGeneration, identity.generation());
+        if (expectedGeneration > 5) {
             exchange(a, b, 1000);
             assertEquals("mine", value(b, "a", "x"));
         }
@@ -129,83 +129,83 @@
     /** Whatever comes, the bounds hold, it is counted by kind, and what was held stays. */
     @ParameterizedTest
     @CsvSource({"owners,TOO_MANY", "names,TOO_MANY", "name,TOO_LONG", "value,TOO_LONG", "ttl,OVER"})
-    void bounded(String what, MergeCounts.Outcome kind) {
+    void limitsHold(String exceeded, MergeCounts.Outcome outcome) {
         ReplicatedTable b = table("b", 1);
-        b.merge(List.of(parcel("a", "n", 1, "v", TTL)), 0);
-        List<Delta> parcels = new ArrayList<>();
+        b.merge(List.of(delta("a", "n", 1, "v", TTL)), 0);
+        List<Delta> deltas = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            String name = what.equals("name") ? "n".repeat(21) : "n" + i;
-            parcels.add(parcel(what.equals("owners") ? "o" + i : "a", name, what.equals("owners") ? 1 : 2 + i,
-                    what.equals("value") ? "v".repeat(41) : "v", what.equals("ttl") ? TTL + 1 : TTL));
+            String name = exceeded.equals("name") ? "n".repeat(21) : "n" + i;
+            deltas.add(delta(exceeded.equals("owners") ? "o" + i : "a", name, exceeded.equals("owners") ? 1 : 2 + i,
+                    exceeded.equals("value") ? "v".repeat(41) : "v", exceeded.equals("ttl") ? TTL + 1 : TTL));
         }
-        b.merge(parcels, 0);
-        assertTrue(b.mergeCounts().count(kind) >= 14, what + ": " + b.mergeCounts().count(kind));
+        b.merge(deltas, 0);
+        assertTrue(b.mergeCounts().count(outcome) >= 14, exceeded + ": " + b.mergeCounts().count(outcome));
         assertTrue(b.owners().size() <= 8);
         assertEquals("v", value(b, "a", "n"));
         // What was turned away is not asked for again and again.
-        assertFalse(what.equals("names") && b.isBehind(List.of(new honeygap.share.table.DigestEntry("a", 1, 21))));
+        assertFalse(exceeded.equals("names") && b.isBehind(List.of(new honeygap.share.table.DigestEntry("a", 1, 21))));
     }
 
-    private static Delta parcel(String owner, String name, long counter, String value, long ttl) {
+    private static Delta delta(String owner, String name, long counter, String value, long ttl) {
         return new Delta(owner, 1, counter - 1, List.of(new Delta.AgedEntry(new Entry(name, counter, ttl, value), 0)));
     }
 
     /** Whatever was lost, came twice or late on the way: after enough rounds all hold the same, and no ghost. */
     @Property(tries = 60)
-    void allComeToTheSame(@ForAll @IntRange(min = 0, max = 1 << 30) int seed) {
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create((long) seed);
-        int many = 3 + chance.nextInt(5);
+    void tablesConverge(@ForAll @IntRange(min = 0, max = 1 << 30) int seed) {
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create((long) seed);
+        int tableCount = 3 + random.nextInt(5);
         List<ReplicatedTable> tables = new ArrayList<>();
-        Map<String, String> truth = new TreeMap<>();
-        Map<Integer, Long> lives = new HashMap<>();
-        for (int i = 0; i < many; i++) {
+        Map<String, String> expected = new TreeMap<>();
+        Map<Integer, Long> generations = new HashMap<>();
+        for (int i = 0; i < tableCount; i++) {
             tables.add(table("p" + i, 1));
-            lives.put(i, 1L);
+            generations.put(i, 1L);
         }
-        List<List<Delta>> late = new ArrayList<>();
+        List<List<Delta>> delayed = new ArrayList<>();
         for (int step = 0; step < 200; step++) {
-            int i = chance.nextInt(many);
-            int j = chance.nextInt(many);
-            switch (chance.nextInt(6)) {
+            int i = random.nextInt(tableCount);
+            int j = random.nextInt(tableCount);
+            switch (random.nextInt(6)) {
                 case 0 -> {
-                    String name = "n" + chance.nextInt(4);
+                    String name = "n" + random.nextInt(4);
                     tables.get(i).put(name, "s" + step, TTL);
-                    truth.put("p" + i + "/" + name, "s" + step);
+                    expected.put("p" + i + "/" + name, "s" + step);
                 }
                 case 1 -> {
-                    String name = "n" + chance.nextInt(4);
+                    String name = "n" + random.nextInt(4);
                     tables.get(i).delete(name);
-                    truth.remove("p" + i + "/" + name);
+                    expected.remove("p" + i + "/" + name);
                 }
                 case 2 -> {
-                    if (chance.nextInt(8) == 0) {
-                        lives.merge(i, 1L, Long::sum);
-                        tables.set(i, table("p" + i, lives.get(i)));
-                        String gone = "p" + i + "/";
-                        truth.keySet().removeIf(key -> key.startsWith(gone));
+                    if (random.nextInt(8) == 0) {
+                        generations.merge(i, 1L, Long::sum);
+                        tables.set(i, table("p" + i, generations.get(i)));
+                        String ownerPrefix = "p" + i + "/";
+                        expected.keySet().removeIf(key -> key.startsWith(ownerPrefix));
                         tables.get(i).put("n0", "new" + step, TTL);
-                        truth.put(gone + "n0", "new" + step);
+                        expected.put(ownerPrefix + "n0", "new" + step);
                     }
                 }
-                case 3 -> late.add(tables.get(i).deltasFor(tables.get(j).digest(), 200));
+                case 3 -> delayed.add(tables.get(i).deltasFor(tables.get(j).digest(), 200));
                 case 4 -> {
-                    if (!late.isEmpty()) {
-                        tables.get(j).merge(late.get(chance.nextInt(late.size())), 0);
+                    if (!delayed.isEmpty()) {
+                        tables.get(j).merge(delayed.get(random.nextInt(delayed.size())), 0);
                     }
                 }
-                default -> exchange(tables.get(i), tables.get(j), 50 + chance.nextInt(500));
+                default -> exchange(tables.get(i), tables.get(j), 50 + random.nextInt(500));
             }
         }
-        for (int round = 0; round < 6 * many; round++) {
-            for (int i = 0; i < many; i++) {
-                exchange(tables.get(i), tables.get((i + 1) % many), 10_000);
-                exchange(tables.get((i + 1) % many), tables.get(i), 10_000);
+        for (int round = 0; round < 6 * tableCount; round++) {
+            for (int i = 0; i < tableCount; i++) {
+                exchange(tables.get(i), tables.get((i + 1) % tableCount), 10_000);
+                exchange(tables.get((i + 1) % tableCount), tables.get(i), 10_000);
             }
         }
         for (ReplicatedTable table : tables) {
-            Map<String, String> held = new TreeMap<>();
-            table.forEachLive((owner, entry) -> held.put(owner.name + "/" + entry.entry().name(), entry.entry().value()));
-            assertEquals(truth, held, "seed " + seed);
+            Map<String, String> actual = new TreeMap<>();
+            table.forEachLive((owner, entry) -> actual.put(owner.name + "/" + entry.entry().name(), entry.entry().value()));
+            assertEquals(expected, actual, "seed " + seed);
         }
     }
 }
--- a/src/test/java/honeygap/share/WorkTest.java
+++ b/src/test/java/honeygap/share/WorkTest.java
@@ -25,12 +25,12 @@
 
     private static final long NEVER = Long.MAX_VALUE / 2;
 
-    private static Map<WorkKind, WorkLimits> budgets(int running, int waiting, long ages, long stale) {
-        Map<WorkKind, WorkLimits> budgets = new EnumMap<>(WorkKind.class);
+    private static Map<WorkKind, WorkLimits> limits(int maxRunning, int maxQueued, long agingInterval, long maxWait) {
+        Map<WorkKind, WorkLimits> limits = new EnumMap<>(WorkKind.class);
         for (WorkKind kind : WorkKind.values()) {
-            budgets.put(kind, new WorkLimits(running, waiting, ages, stale));
+            limits.put(kind, new WorkLimits(maxRunning, maxQueued, agingInterval, maxWait));
         }
-        return budgets;
+        return limits;
     }
 
     /** Offers as kind:partner:time; which are begun at the end, in their order. */
@@ -44,57 +44,57 @@
         "PROBE:a:0 EXCHANGE:a:0 EXCHANGE:c:0, 1, PROBE:a EXCHANGE:c",
         "PROBE:a:0 PROBE:b:900, 1001, PROBE:b",
         "PROBE:a:0 PROBE:a:1 EXCHANGE:b:1, 2, PROBE:a EXCHANGE:b"})
-    void order(String offers, long at, String begun) {
-        WorkQueue line = new WorkQueue(budgets(2, 3, 100, 1000));
+    void selectionOrder(String offers, long now, String expected) {
+        WorkQueue queue = new WorkQueue(limits(2, 3, 100, 1000));
         for (String offer : offers.split(" ")) {
             String[] parts = offer.split(":");
-            line.offer(WorkKind.valueOf(parts[0]), parts[1], () -> { }, Long.parseLong(parts[2]));
+            queue.offer(WorkKind.valueOf(parts[0]), parts[1], () -> { }, Long.parseLong(parts[2]));
         }
-        StringBuilder said = new StringBuilder();
-        for (var piece = line.poll(at); piece != null; piece = line.poll(at)) {
-            said.append(said.length() > 0 ? " " : "").append(piece);
+        StringBuilder actual = new StringBuilder();
+        for (var piece = queue.poll(now); piece != null; piece = queue.poll(now)) {
+            actual.append(actual.length() > 0 ? " " : "").append(piece);
         }
-        assertEquals(begun, said.toString());
+        assertEquals(expected, actual.toString());
     }
 
     /** What is too much, or the same once more, is dropped and counted by its kind. */
     @Test
-    void droppedByKind() {
-        WorkQueue line = new WorkQueue(budgets(1, 2, 100, 1000));
+    void excessItemsAreDropped() {
+        WorkQueue queue = new WorkQueue(limits(1, 2, 100, 1000));
         for (String partner : new String[] {"a", "b", "c", "a"}) {
-            line.offer(WorkKind.EXCHANGE, partner, () -> { }, 0);
+            queue.offer(WorkKind.EXCHANGE, partner, () -> { }, 0);
         }
-        assertEquals(2, line.droppedCount(WorkKind.EXCHANGE));
-        assertEquals(0, line.droppedCount(WorkKind.PROBE));
-        assertEquals(null, line.poll(2000));
-        assertEquals(2, line.staleCount(WorkKind.EXCHANGE));
+        assertEquals(2, queue.droppedCount(WorkKind.EXCHANGE));
+        assertEquals(0, queue.droppedCount(WorkKind.PROBE));
+        assertEquals(null, queue.poll(2000));
+        assertEquals(2, queue.staleCount(WorkKind.EXCHANGE));
     }
 
     /** Wrong orders and waits under a lock fail where assertions are on, and are counted always. */
     @ParameterizedTest
     @CsvSource({"MEMBERS,LOAD,true", "LOAD,MEMBERS,false", "LOAD,LOAD,false", "QUEUE,PARTNERS,false"})
-    void lockOrder(Rank first, Rank then, boolean may) {
-        LockMonitor discipline = new LockMonitor(NEVER);
-        RankedLock outer = new RankedLock(first, discipline);
-        RankedLock inner = new RankedLock(then, discipline);
-        Runnable both = () -> outer.runLocked(() -> inner.runLocked(() -> { }));
-        if (may) {
-            both.run();
+    void lockOrder(Rank first, Rank second, boolean isAllowed) {
+        LockMonitor monitor = new LockMonitor(NEVER);
+        RankedLock outer = new RankedLock(first, monitor);
+        RankedLock inner = new RankedLock(second, monitor);
+        Runnable nested = () -> outer.runLocked(() -> inner.runLocked(() -> { }));
+        if (isAllowed) {
+            nested.run();
         } else {
-            assertThrows(AssertionError.class, both::run);
+            assertThrows(AssertionError.class, nested::run);
         }
-        assertEquals(may ? 0 : 1, discipline.orderViolations());
-        assertThrows(AssertionError.class, () -> outer.runLocked(() -> discipline.beforeBlocking("a socket")));
-        assertEquals(1, discipline.holdsWhileBlocking());
-        discipline.beforeBlocking("a socket");
-        assertEquals(1, discipline.holdsWhileBlocking());
+        assertEquals(isAllowed ? 0 : 1, monitor.orderViolations());
+        assertThrows(AssertionError.class, () -> outer.runLocked(() -> monitor.beforeBlocking("a socket")));
+        assertEquals(1, monitor.holdsWhileBlocking());
+        monitor.beforeBlocking("a socket");
+        assertEquals(1, monitor.holdsWhileBlocking());
     }
 
     /** A worker that dies is replaced, its partner is free again; a fault of the work ends the work alone. */
     @Test
     @Timeout(20)
-    void workersDie() throws InterruptedException {
-        try (WorkerPool workers = new WorkerPool(2, budgets(2, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
+    void deadWorkersAreReplaced() throws InterruptedException {
+        try (WorkerPool workers = new WorkerPool(2, limits(2, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
             CountDownLatch done = new CountDownLatch(6);
             for (int i = 0; i < 6; i++) {
                 int number = i;
@@ -125,24 +125,24 @@
     /** Never two at once with one partner, however many workers there are. */
     @Test
     @Timeout(20)
-    void oneAtATimeWithAPartner() throws InterruptedException {
-        try (WorkerPool workers = new WorkerPool(4, budgets(4, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
-            AtomicInteger inside = new AtomicInteger();
-            AtomicInteger most = new AtomicInteger();
+    void oneItemPerPartner() throws InterruptedException {
+        try (WorkerPool workers = new WorkerPool(4, limits(4, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
+            AtomicInteger running = new AtomicInteger();
+            AtomicInteger maxRunning = new AtomicInteger();
             CountDownLatch done = new CountDownLatch(200);
             for (int i = 0; i < 200; i++) {
                 WorkKind kind = WorkKind.values()[i % 4];
                 while (!workers.offer(kind, "one", () -> {
-                    most.accumulateAndGet(inside.incrementAndGet(), Math::max);
+                    maxRunning.accumulateAndGet(running.incrementAndGet(), Math::max);
                     Thread.yield();
-                    inside.decrementAndGet();
+                    running.decrementAndGet();
                     done.countDown();
                 })) {
                     Thread.yield();
                 }
             }
             assertTrue(done.await(10, TimeUnit.SECONDS));
-            assertEquals(1, most.get());
+            assertEquals(1, maxRunning.get());
         }
     }
 }
