--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Ten agents with doors, and a manager, on loopback. */
+/** Ten agents with admin endpoints and a manager, on loopback. */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FleetTest {
 
-    private static final int AGENTS = 10;
+    private static final int AGENT_COUNT = 10;
 
     @TempDir
     private Path folder;
@@ -46,7 +46,7 @@
     private final HttpClient http = HttpClient.newHttpClient();
     private Manager manager;
 
-    /** An agent in this process, which can be ended at once and started anew at the same door. */
+    /** An agent in this process that can be stopped abruptly and restarted on the same port. */
     private final class Instance {
 
         final int number;
@@ -107,8 +107,10 @@
     private void startManager() throws Exception {
         StringBuilder instancesJson = new StringBuilder();
         for (Instance instance : instances) {
-            instancesJson.append(instancesJson.length() > 0 ? "," : "").append("{'name':'a").append(instance.number).append("','door':'127.0.0.1:")
-                    .append(instance.port).append("','labels':{'location':'").append(instance.number % 2 == 0 ? "east" : "west")
+            instancesJson.append(instancesJson.length() > 0 ? "," : "")
+                    .append("{'name':'a").append(instance.number)
+                    .append("','door':'127.0.0.1:").append(instance.port)
+                    .append("','labels':{'location':'").append(instance.number % 2 == 0 ? "east" : "west")
                     .append("','build':").append(40 + instance.number).append("}}");
         }
         manager = new Manager(FleetSheet.of(fields("{'listen':'127.0.0.1:0','store':'" + folder.resolve("store")
@@ -129,7 +131,8 @@
     }
 
     private String startOperation(String id, String action, String names, int maxConcurrent) throws Exception {
-        return sendToManager("POST", "/v1/operations", "{\"id\":\"" + id + "\",\"action\":\"" + action + "\",\"instances\":\""
+        return sendToManager("POST", "/v1/operations", "{\"id\":\"" + id + "\",\"action\":\"" + action
+                + "\",\"instances\":\""
                 + names + "\",\"atOnce\":" + maxConcurrent + ",\"failuresToPause\":0,\"withinMs\":4000}");
     }
 
@@ -154,14 +157,15 @@
         return String.join(",", names);
     }
 
-    /** The report against what each agent's own ledger says: none mixed, none doubled. */
+    /** Checks the report against each agent's own ledger: no command is attributed wrongly or applied twice. */
     private void assertMatchesLedgers(String id, Fields report) throws Exception {
         for (Fields step : report.objects("steps")) {
             Instance instance = instances.get(Integer.parseInt(step.text("instance").substring(1)));
             String ledger = Files.readString(folder.resolve("ledger" + instance.number));
-            int times = ledger.split("\"id\":\"" + id + "\",\"number\":\\d+,\"action\":\"(drain|update|undrain)\"", -1).length - 1;
+            int times = ledger.split("\"id\":\"" + id + "\",\"number\":\\d+,\"action\":\"(drain|update|undrain)\"",
+                    -1).length - 1;
             if (step.text("state").equals("UNKNOWN")) {
-                // The report says that it does not know, and only of one that is gone.
+                // Only the step of the killed agent may end as unknown.
                 assertEquals("a7", step.text("instance"));
                 continue;
             }
@@ -170,11 +174,14 @@
         }
     }
 
-    /** Ten agents, one killed in the middle of the command and back later: the report is what each did. */
+    /**
+     * One of ten agents is killed during the command and, in one case, restarted: the report matches what each agent
+     * did.
+     */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void killedMidCommand(boolean comesBack) throws Exception {
-        startAgents(AGENTS);
+        startAgents(AGENT_COUNT);
         startManager();
         Thread killer = new Thread(() -> {
             try {
@@ -195,7 +202,7 @@
                 throw new IllegalStateException(e);
             }
         });
-        assertTrue(startOperation("op", "update", names(AGENTS), 1).startsWith("200"));
+        assertTrue(startOperation("op", "update", names(AGENT_COUNT), 1).startsWith("200"));
         killer.start();
         Fields report = awaitEnd("op");
         killer.join();
@@ -204,11 +211,14 @@
         for (Fields step : report.objects("steps")) {
             applied += step.text("state").equals("APPLIED") ? 1 : 0;
         }
-        assertTrue(applied >= AGENTS - 1, "applied " + applied);
-        assertEquals(comesBack || applied == AGENTS ? "DONE" : "FAILED", report.text("state"));
+        assertTrue(applied >= AGENT_COUNT - 1, "applied " + applied);
+        assertEquals(comesBack || applied == AGENT_COUNT ? "DONE" : "FAILED", report.text("state"));
     }
 
-    /** The same command typed twice, by one operator or two, is one operation; another one waits its turn. */
+    /**
+     * A command repeated by the same or another operator is a single operation; a conflicting one is refused
+     * meanwhile.
+     */
     @Test
     void repeatedCommandIsOneOperation() throws Exception {
         startAgents(3);
@@ -225,24 +235,27 @@
         assertMatchesLedgers("x", operationReport("x"));
     }
 
-    /** Drained one after another, never more than the bound at once; clients see it; taken back again. */
+    /**
+     * Agents are drained within the limit on concurrent drains; clients are refused meanwhile, and accepted after
+     * undrain.
+     */
     @Test
     void drainsWithinLimit() throws Exception {
         startAgents(4);
         startManager();
         startOperation("d", "drain", names(4), 2);
-        // Two are out of service; the bound lets no third one go.
+        // Two agents are drained; the limit allows no third.
         while (!sendToManager("GET", "/v1/fleet", "").matches("(?s).*(\"drained\":true.*){2}")) {
             Thread.sleep(10);
         }
-        // The manager hears of all of them, and decides, several times more.
+        // Waits until the manager has polled all agents, and made decisions, several times more.
         for (int polls = 0; polls < 5; polls++) {
             long age = reportAgeMs();
             for (long next = reportAgeMs(); next >= age; next = reportAgeMs()) {
                 age = next;
             }
         }
-        // Which two depends on who is heard of first.
+        // Which two depends on the order of the polls.
         List<Instance> drained = new ArrayList<>();
         for (Instance instance : instances) {
             if (send(instance.port, "GET", "/v1/inspect", "", "open").contains("\"drained\":true")) {
@@ -261,15 +274,15 @@
         startOperation("u", "undrain", "a" + first.number + ",a" + drained.get(1).number, 2);
         assertEquals("DONE", awaitEnd("u").text("state"));
         response = send(first.agent.address(0).getPort(), "POST", "/ofrep/v1/evaluate/flags/a", "{\"context\":{}}", "");
-        assertTrue(response.startsWith("429"), "taken again, though no server answers: " + response);
+        assertTrue(response.startsWith("429"), "accepted again, though no flag server responds: " + response);
     }
 
-    /** How long ago, in ms, the manager last heard of the first agent. */
+    /** Age in ms of the manager's latest report of the first agent. */
     private long reportAgeMs() throws Exception {
         return fields(sendToManager("GET", "/v1/fleet", "").substring(4)).objects("instances").get(0).whole("ageMs");
     }
 
-    /** A manager that is gone in the middle and started again goes on where it was. */
+    /** A manager that is closed during an operation continues it after a restart. */
     @Test
     void managerContinuesAfterRestart() throws Exception {
         startAgents(6);
@@ -288,7 +301,10 @@
         }
     }
 
-    /** What the door turns down: no token, a wrong one, what can't be read, other actions, other generations. */
+    /**
+     * Responses of the admin endpoint: missing and wrong tokens, malformed commands, unknown actions, and other
+     * generations.
+     */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '\0', value = {
         "GET /v1/inspect||401", "GET /v1/inspect|wrong|401", "GET /v1/inspect|open|200", "GET /v2/inspect|open|404",
@@ -297,7 +313,8 @@
         "POST /v1/command {\"id\":\"a\",\"number\":\"x\",\"generation\":\"1\",\"action\":\"drain\",\"argument\":\"\"}|open|400",
         "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"99\",\"action\":\"drain\",\"argument\":\"\"}|open|200 OTHER_GENERATION",
         "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"1\",\"action\":\"drain\",\"argument\":\"\"}|open|200 APPLY",
-        "POST /v1/calloff {\"id\":\"b\",\"number\":\"2\"}|open|200 called off", "POST /v1/look {\"id\":\"c\"}|open|200"})
+        "POST /v1/calloff {\"id\":\"b\",\"number\":\"2\"}|open|200 called off",
+        "POST /v1/look {\"id\":\"c\"}|open|200"})
     void adminEndpointStatus(String request, String token, String expected) throws Exception {
         startAgents(1);
         String[] parts = request.split(" ", 3);
@@ -308,7 +325,10 @@
         }
     }
 
-    /** A last line that was torn is dropped; one in the middle ends the start with a clear word. */
+    /**
+     * A truncated last line of the ledger file is dropped; a malformed line before others fails the start with a
+     * clear error.
+     */
     @ParameterizedTest
     @CsvSource({"torn,true", "middle,false"})
     void damagedLedgerFile(String damage, boolean isAccepted) throws Exception {
--- a/src/test/java/honeygap/manage/ModelTest.java
+++ b/src/test/java/honeygap/manage/ModelTest.java
@@ -18,13 +18,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The managing side's decisions: alone, and in thousands of schedules with loss, delay, copies, deaths and restarts. */
+/**
+ * Tests the manager's decisions: single cases, and thousands of random schedules with message loss, delay and
+ * duplication, crashes and restarts.
+ */
 class ModelTest {
 
     private static final int SCHEDULES = Integer.getInteger("schedules", 2000);
     private static final long SECOND = 10_000;
 
-    /** What becomes of commands at a ledger, one after another: id, number, generation; what it says of each. */
+    /**
+     * A sequence of commands as id/number/generation, or -id/number for one that is called off, and the ledger's
+     * answer to each command.
+     */
     @ParameterizedTest
     @CsvSource({
         "a/1/7 a/1/7,APPLY ALREADY", "a/2/7 b/1/7,APPLY TOO_LATE", "a/1/7 b/2/0,APPLY APPLY", "a/1/6,OTHER_GENERATION",
@@ -48,7 +54,10 @@
         assertEquals(expected, actual.toString());
     }
 
-    /** Suspicion grows with silence; many at once tell of this end; another process is no sign of the one before. */
+    /**
+     * Suspicion grows with silence; a simultaneous silence of many counts as a cut-off manager; a new process starts
+     * without the history of the previous one.
+     */
     @Test
     void membership() {
         Membership membership = new Membership(SECOND);
@@ -72,7 +81,7 @@
         now += 30 * SECOND;
         membership.advanceTo(now);
         assertTrue(membership.isCutOff());
-        assertEquals(Membership.Standing.ALIVE, membership.member("a1").standing(), "judgement rests");
+        assertEquals(Membership.Standing.ALIVE, membership.member("a1").standing(), "decisions are suspended");
         assertTrue(membership.recordHeartbeat("a0", 2));
         assertEquals(1, membership.member("a0").restarts);
         for (int j = 1; j < 5; j++) {
@@ -82,7 +91,7 @@
         assertTrue(!membership.isCutOff());
     }
 
-    /** Asked again, asked twice, asked by two: which operation it is. */
+    /** Repeated, duplicate and conflicting requests: which operation results. */
     @Test
     void repeatedRequests() {
         OperationScheduler scheduler = new OperationScheduler(1, new Membership(SECOND));
@@ -102,12 +111,12 @@
         assertEquals(OperationScheduler.Admission.NEW, admission[0]);
     }
 
-    /** An instance of the model: what it has done outlives its processes, what stands in memory does not. */
+    /** An instance of the model: applied commands and the ledger on disk survive its processes, memory does not. */
     private static final class Instance {
         final String name;
         Ledger ledger;
         final List<Ledger.Entry> disk = new ArrayList<>();
-        final Map<String, Integer> effects = new HashMap<>();
+        final Map<String, Integer> appliedCounts = new HashMap<>();
         boolean isDrained;
         boolean isUp = true;
         boolean isStopped;
@@ -132,7 +141,7 @@
         }
     }
 
-    /** One schedule: a manager, instances, and a network that loses, delays, and copies. */
+    /** One schedule: a manager, instances, and a network that loses, delays and duplicates messages. */
     private static final class Model implements OperationScheduler.Actions {
 
         private final long seed;
@@ -166,7 +175,7 @@
             instances.keySet().forEach(membership::join);
             scheduler = new OperationScheduler(seed * 31 + number, membership);
             scheduler.setNow(now);
-            persisted.values().forEach(written -> scheduler.restore(Operation.of(written)));
+            persisted.values().forEach(snapshot -> scheduler.restore(Operation.of(snapshot)));
             poll(number);
         }
 
@@ -175,12 +184,12 @@
                 return;
             }
             for (Instance instance : instances.values()) {
-                // A poll and its answer: how it stands, and which process it is.
-                message(() -> {
+                // A poll and its answer: whether the instance is drained, and its generation.
+                sendMessage(() -> {
                     if (instance.isUp && !instance.isStopped) {
                         long generation = instance.ledger.generation();
                         boolean isDrained = instance.isDrained;
-                        message(() -> {
+                        sendMessage(() -> {
                             if (number == managerNumber) {
                                 membership.recordHeartbeat(instance.name, generation);
                                 scheduler.setDrained(instance.name, isDrained);
@@ -196,8 +205,8 @@
             events.add(new Event(now + delay, eventCount++, action));
         }
 
-        /** On its way: lost, once, twice, soon or late. */
-        private void message(Runnable delivery) {
+        /** Sends a message: it may be lost, duplicated or delayed. */
+        private void sendMessage(Runnable delivery) {
             int copies = isCalm || random.nextInt(20) > 1 ? 1 : random.nextInt(3);
             for (int i = 0; i < copies; i++) {
                 schedule(1 + random.nextInt(isCalm || random.nextInt(10) > 0 ? 200 : 60_000), delivery);
@@ -211,19 +220,19 @@
         @Override
         public void persist(Operation operation) {
             persisted.put(operation.id, operation.snapshot());
-            // The manager may die just after anything was written, before what rests on it was done.
+            // The manager may crash right after a write, before it acts on it.
             crashesNext |= !isCalm && random.nextInt(60) == 0;
             if (crashesNext) {
-                throw new Died();
+                throw new ManagerCrash();
             }
         }
 
-        private static final class Died extends RuntimeException {
+        private static final class ManagerCrash extends RuntimeException {
             private static final long serialVersionUID = 1;
         }
 
         private void scheduleNoAnswer(int number, Operation operation, Step step, boolean isSent) {
-            // No answer within the host's own patience.
+            // No answer within the host's timeout.
             schedule(15_000, () -> {
                 if (number == managerNumber) {
                     scheduler.onNoAnswer(operation, step);
@@ -237,12 +246,12 @@
             Instance instance = instances.get(step.instance);
             String id = operation.id;
             long fence = operation.number;
-            message(() -> {
+            sendMessage(() -> {
                 if (!instance.isUp) {
                     return;
                 }
                 if (instance.isStopped) {
-                    // It lies in its socket until the process goes on.
+                    // The command waits in the socket until the process continues.
                     schedule(5_000, () -> executeCommand(instance, operation, step, id, fence, generation, number));
                     return;
                 }
@@ -251,24 +260,24 @@
             scheduleNoAnswer(number, operation, step, true);
         }
 
-        private void executeCommand(Instance instance, Operation operation, Step step, String id, long fence, long generation,
-                            int number) {
+        private void executeCommand(Instance instance, Operation operation, Step step, String id, long fence,
+                                    long generation, int number) {
             if (!instance.isUp || instance.isStopped) {
                 return;
             }
             Ledger.Answer answer = instance.ledger.asked(id, fence, generation);
             if (answer == Ledger.Answer.APPLY) {
-                instance.effects.merge(id, 1, Integer::sum);
+                instance.appliedCounts.merge(id, 1, Integer::sum);
                 instance.isDrained = operation.action.equals("drain");
                 instance.disk.add(instance.ledger.applied(id, fence, operation.action, "done"));
                 checkDrainedLimit();
                 if (!isCalm && random.nextInt(25) == 0) {
-                    // It dies after it has applied, before it answers.
+                    // The instance crashes after it applied the command and before it answers.
                     killInstance(instance);
                     return;
                 }
             }
-            message(() -> {
+            sendMessage(() -> {
                 if (number != managerNumber) {
                     return;
                 }
@@ -288,7 +297,7 @@
         private void requestOutcome(Operation operation, Step step, boolean isCallOff) {
             int number = managerNumber;
             Instance instance = instances.get(step.instance);
-            message(() -> {
+            sendMessage(() -> {
                 if (!instance.isUp || instance.isStopped) {
                     return;
                 }
@@ -298,7 +307,7 @@
                     instance.disk.add(found);
                 }
                 Ledger.Entry entry = found;
-                message(() -> {
+                sendMessage(() -> {
                     if (number != managerNumber) {
                         return;
                     }
@@ -325,7 +334,7 @@
 
         private int maxDrained = Integer.MAX_VALUE;
 
-        /** Never more out of service by command than the bound. */
+        /** Checks that no more instances are drained by commands than the limit allows. */
         private void checkDrainedLimit() {
             long drained = instances.values().stream().filter(instance -> instance.isUp && instance.isDrained).count();
             check(drained <= maxDrained, drained + " drained, at most " + maxDrained);
@@ -336,9 +345,9 @@
                 scheduler.setNow(now);
                 membership.advanceTo(now);
                 for (int i = 0; scheduler.decideNext(this); i++) {
-                    check(i < 10_000, "no end of decisions");
+                    check(i < 10_000, "decisions do not end");
                 }
-            } catch (Died e) {
+            } catch (ManagerCrash e) {
                 crashesNext = false;
                 managerNumber++;
                 schedule(random.nextInt(20_000), this::startManager);
@@ -364,7 +373,10 @@
         }
     }
 
-    /** Applied at most once, never more drained than the bound, every operation ends, and what is reported is true. */
+    /**
+     * Commands are applied at most once, the drain limit holds, every operation ends, and the reported states are
+     * true.
+     */
     @Test
     void schedules() {
         AtomicInteger applied = new AtomicInteger();
@@ -381,11 +393,12 @@
             model.scheduler.request("op1", isUpdate ? "update" : "drain", "", names.subList(0, Math.min(names.size(),
                     isUpdate ? names.size() : model.maxDrained)), model.maxDrained, 0, 60 * SECOND, false, admission);
             model.runDecisions();
-            // The same command typed twice, and an operator who changes his mind.
+            // The same command is sent twice, or an operator cancels it.
             if (random.nextInt(3) == 0) {
-                model.schedule(random.nextInt(30_000), () -> model.scheduler.request("op1", isUpdate ? "update" : "drain", "",
-                        names.subList(0, Math.min(names.size(), isUpdate ? names.size() : model.maxDrained)), model.maxDrained, 0,
-                        60 * SECOND, false, admission));
+                model.schedule(random.nextInt(30_000), () -> model.scheduler.request("op1",
+                        isUpdate ? "update" : "drain", "",
+                        names.subList(0, Math.min(names.size(), isUpdate ? names.size() : model.maxDrained)),
+                        model.maxDrained, 0, 60 * SECOND, false, admission));
             }
             if (random.nextInt(4) == 0) {
                 model.schedule(random.nextInt(random.nextBoolean() ? 4_000 : 100_000), () -> {
@@ -404,23 +417,25 @@
                 }
             }
             model.runUntil(70 * SECOND, () -> { });
-            // From now on nothing fails: what is open must end.
+            // From now on nothing fails: open operations must end.
             model.isCalm = true;
             model.instances.values().forEach(instance -> instance.isStopped = false);
             model.runUntil(150 * SECOND, () -> { });
             for (String id : ids) {
-                Operation.Snapshot written = model.persisted.get(id);
-                if (written == null) {
+                Operation.Snapshot snapshot = model.persisted.get(id);
+                if (snapshot == null) {
                     continue;
                 }
-                model.check(written.state() != Operation.State.RUNNING && written.state() != Operation.State.CANCELLING,
-                        "has not ended: " + written);
+                model.check(snapshot.state() != Operation.State.RUNNING
+                        && snapshot.state() != Operation.State.CANCELLING,
+                        "has not ended: " + snapshot);
                 Set<String> reported = new HashSet<>();
-                for (Operation.StepSnapshot step : written.steps()) {
-                    model.check(reported.add(step.instance()), "twice in the report");
-                    int timesApplied = model.instances.get(step.instance()).effects.getOrDefault(id, 0);
+                for (Operation.StepSnapshot step : snapshot.steps()) {
+                    model.check(reported.add(step.instance()), "instance reported twice");
+                    int timesApplied = model.instances.get(step.instance()).appliedCounts.getOrDefault(id, 0);
                     model.check(timesApplied <= 1, step.instance() + " applied it " + timesApplied + " times");
-                    model.check((step.state() == Step.State.APPLIED) == (timesApplied == 1), step + ", but applied " + timesApplied);
+                    model.check((step.state() == Step.State.APPLIED) == (timesApplied == 1),
+                            step + ", but applied " + timesApplied);
                     applied.addAndGet(timesApplied);
                     notApplied.addAndGet(1 - timesApplied);
                 }
--- a/src/test/java/honeygap/share/MembersTest.java
+++ b/src/test/java/honeygap/share/MembersTest.java
@@ -12,21 +12,23 @@
 
     private static final long SECOND = SimulatedCluster.SECOND;
 
-    /** A third falls silent for good: all that are left hold them for dead, and none of each other. */
+    /** A third of the processes is killed for good: all survivors declare them dead, and none of each other. */
     @ParameterizedTest
     @CsvSource({"12,1", "30,2", "60,3"})
     void killedThirdIsDeclaredDead(int processCount, long seed) {
         SimulatedCluster cluster = new SimulatedCluster(processCount, 2, seed);
         cluster.runUntil(20 * SECOND);
-        assertEquals(0, cluster.countPairs(Peer.Standing.SUSPECT, false) + cluster.countPairs(Peer.Standing.DEAD, false));
+        assertEquals(0, cluster.countPairs(Peer.Standing.SUSPECT, false)
+                + cluster.countPairs(Peer.Standing.DEAD, false));
         cluster.processes.stream().filter(p -> p.number % 3 == 0).forEach(p -> p.downUntil = Long.MAX_VALUE);
         cluster.runUntil((20 + 90) * SECOND);
         int downCount = (processCount + 2) / 3;
-        assertEquals(downCount * (processCount - downCount), cluster.countPairs(Peer.Standing.DEAD, true), "seed " + seed);
+        assertEquals(downCount * (processCount - downCount), cluster.countPairs(Peer.Standing.DEAD, true),
+                "seed " + seed);
         assertEquals(0, cluster.countPairs(Peer.Standing.DEAD, false), "seed " + seed);
     }
 
-    /** A third is killed and back within a second, as other processes: nobody is held for dead. */
+    /** A third of the processes restarts within a second, with new generations: none is declared dead. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void restartedThirdStaysAlive(long seed) {
@@ -41,13 +43,17 @@
         for (SimulatedCluster.SimulatedProcess observer : cluster.processes) {
             for (SimulatedCluster.SimulatedProcess other : cluster.processes) {
                 if (observer != other) {
-                    assertEquals(other.identity.generation(), observer.detector.peer(other.name).generation, "seed " + seed);
+                    assertEquals(other.identity.generation(), observer.detector.peer(other.name).generation,
+                            "seed " + seed);
                 }
             }
         }
     }
 
-    /** One is stopped for ten seconds and goes on with its old picture: it refutes, and holds nobody for dead. */
+    /**
+     * A process is stopped for ten seconds and continues with an outdated view: it refutes suspicions and declares
+     * nobody dead.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void stoppedProcessRecovers(long seed) {
@@ -57,11 +63,15 @@
         cluster.runUntil(cluster.now + 12 * SECOND);
         assertEquals(0, cluster.processes.get(3).detector.peers().stream().filter(p -> p.standing() == Peer.Standing.DEAD).count());
         cluster.runUntil(cluster.now + 30 * SECOND);
-        assertEquals(0, cluster.countPairs(Peer.Standing.SUSPECT, false) + cluster.countPairs(Peer.Standing.DEAD, false),
+        assertEquals(0, cluster.countPairs(Peer.Standing.SUSPECT, false)
+                + cluster.countPairs(Peer.Standing.DEAD, false),
                 "seed " + seed);
     }
 
-    /** Sites that are cut off from each other, in one direction or both or every other second, and healed again. */
+    /**
+     * Network partitions between sites, bidirectional, one-way or flapping, a total partition and a slow network:
+     * after each heals, all processes recover.
+     */
     @ParameterizedTest
     @CsvSource({"both,1", "one way,2", "flapping,3", "all,4", "slow,5"})
     void partitionHeals(String partition, long seed) {
@@ -81,13 +91,14 @@
         };
         cluster.runUntil(50 * SECOND);
         if (partition.equals("all")) {
-            // Whoever hears nobody judges nobody.
+            // A process that reaches nobody must not judge others.
             assertEquals(0, cluster.countPairs(Peer.Standing.DEAD, false), "seed " + seed);
             assertTrue(cluster.processes.stream().allMatch(p -> p.detector.isCutOff()), "seed " + seed);
         }
         cluster.network = healthyNetwork;
         cluster.runUntil(100 * SECOND);
-        assertEquals(0, cluster.countPairs(Peer.Standing.SUSPECT, false) + cluster.countPairs(Peer.Standing.DEAD, false),
+        assertEquals(0, cluster.countPairs(Peer.Standing.SUSPECT, false)
+                + cluster.countPairs(Peer.Standing.DEAD, false),
                 partition + ", seed " + seed);
     }
 }
--- a/src/test/java/honeygap/share/SimulatedCluster.java
+++ b/src/test/java/honeygap/share/SimulatedCluster.java
@@ -11,16 +11,19 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Processes of several sites in one, on a clock and links of the test's own; a seed decides all. */
+/**
+ * Simulates processes of several sites in a single process, with a virtual clock and network; all random decisions
+ * follow from the seed.
+ */
 final class SimulatedCluster {
 
     static final long SECOND = 10_000;
-    /** A round, and how long an answer may take. */
+    /** Interval of rounds, and timeout of a direct probe, in units of 0.1 ms. */
     static final long ROUND_INTERVAL = SECOND;
     static final long ANSWER_TIMEOUT = SECOND / 2;
     private static final TableLimits LIMITS = new TableLimits(2000, 2000, 40, 200, 60 * SECOND);
 
-    /** Time from one process to another just now, in tenths of a millisecond; a negative one is never. */
+    /** One-way network delay, in units of 0.1 ms; negative if the message is lost. */
     interface Network {
 
         long delay(int from, int to, long now);
@@ -37,7 +40,7 @@
         FailureDetector detector;
         PartnerSelector partnerSelector;
         long nextRoundAt;
-        /** Stopped, or killed, until then; a killed one begins anew. */
+        /** The process is stopped or killed until then; after a kill it restarts with a new generation. */
         long downUntil = Long.MIN_VALUE;
         boolean isKilled;
         long bytes;
@@ -58,7 +61,7 @@
     SimulatedCluster(int processCount, int siteCount, long seed) {
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         for (int i = 0; i < processCount; i++) {
-            // Clocks that are minutes apart.
+            // The clocks differ by minutes.
             SimulatedProcess process = new SimulatedProcess(i, "s" + i % siteCount, random.nextLong(120 * SECOND));
             processes.add(process);
             startProcess(process, 1);
@@ -85,7 +88,7 @@
         return now < process.downUntil;
     }
 
-    /** Whether a question gets there and its answer back within so long. */
+    /** Whether a request and its response arrive within the timeout. */
     boolean isReachable(SimulatedProcess from, SimulatedProcess to, long timeout) {
         long requestDelay = network.delay(from.number, to.number, now);
         long responseDelay = network.delay(to.number, from.number, now);
@@ -100,7 +103,8 @@
                     process.nextRoundAt = now + ROUND_INTERVAL;
                     if (process.isKilled) {
                         startProcess(process, process.identity.generation() + 1);
-                        processes.forEach(other -> process.detector.memberAnnounced(other.name, 1, 1, "at" + other.number, other.site));
+                        processes.forEach(other -> process.detector.memberAnnounced(other.name, 1, 1,
+                                "at" + other.number, other.site));
                     }
                     runRound(process);
                 }
@@ -147,7 +151,7 @@
         process.detector.evaluate();
     }
 
-    /** What this process says of itself and of those that it suspects. */
+    /** Publishes the process's announcement and the peers that it suspects. */
     private void publishMembership(SimulatedProcess process) {
         long localTime = now + process.clockOffset;
         process.detector.setNow(localTime);
@@ -166,14 +170,15 @@
         }
     }
 
-    private void exchange(SimulatedProcess a, ReplicatedTable tableA, SimulatedProcess b, ReplicatedTable tableB) {
-        long localTimeB = now + b.clockOffset;
+    private void exchange(SimulatedProcess processA, ReplicatedTable tableA, SimulatedProcess processB,
+            ReplicatedTable tableB) {
+        long localTimeB = now + processB.clockOffset;
         tableB.setNow(localTimeB);
         var deltasForB = tableA.deltasFor(tableB.digest(), 1 << 20);
         var deltasForA = tableB.deltasFor(tableA.digest(), 1 << 20);
         tableB.merge(deltasForB, 0);
         tableA.merge(deltasForA, 0);
-        updateMembership(b);
+        updateMembership(processB);
     }
 
     private void updateMembership(SimulatedProcess process) {
@@ -184,18 +189,20 @@
                 var stored = process.membersTable.get(owner.name, "self");
                 if (stored != null) {
                     String[] parts = stored.entry().value().split(" ");
-                    process.detector.memberAnnounced(owner.name, owner.generation, Long.parseLong(parts[0]), parts[1], parts[2]);
+                    process.detector.memberAnnounced(owner.name, owner.generation, Long.parseLong(parts[0]), parts[1],
+                            parts[2]);
                     process.detector.updateReceived(owner.name, stored.writtenAt());
                 }
             }
         }
         process.suspectsTable.forEachLive((owner, stored) -> {
             String[] parts = stored.entry().value().split(" ");
-            process.detector.suspicionReceived(owner.name, stored.entry().name(), Long.parseLong(parts[0]), Long.parseLong(parts[1]));
+            process.detector.suspicionReceived(owner.name, stored.entry().name(), Long.parseLong(parts[0]),
+                    Long.parseLong(parts[1]));
         });
     }
 
-    /** Pairs in which one that is there holds another for this. */
+    /** Counts pairs in which a running observer has this view of a target that is down or not, as selected. */
     int countPairs(Peer.Standing standing, boolean targetIsDown) {
         int pairs = 0;
         for (SimulatedProcess observer : processes) {
--- a/src/test/java/honeygap/share/SitesTest.java
+++ b/src/test/java/honeygap/share/SitesTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Six processes of the program in two sites, on loopback, with faults between them. */
+/** Six real processes in two sites, on loopback, with faults injected between them. */
 @Timeout(120)
 class SitesTest {
 
@@ -40,7 +40,7 @@
     @TempDir
     private Path folder;
     private final List<Member> members = new ArrayList<>();
-    /** By caller and called, as "p0>p3". */
+    /** Faults by caller and callee, as "p0>p3". */
     private final Map<String, Fault> faults = new ConcurrentHashMap<>();
     private final Map<Integer, String> namesByPort = new ConcurrentHashMap<>();
 
@@ -54,7 +54,7 @@
             members.add(member);
             starting.add(CompletableFuture.runAsync(() -> startMember(member)));
             if (i < 2) {
-                // The first two are whom the others ask.
+                // The first two are the seeds of the others.
                 starting.get(i).join();
                 seeds.add(member.door());
             }
@@ -92,18 +92,20 @@
     }
 
     private boolean allObserve(List<Member> observers, Member observed, String standing) {
-        return observers.stream().allMatch(member -> member == observed || standing.equals(standingsSeenBy(member).get(observed.name)));
+        return observers.stream().allMatch(member -> member == observed
+                || standing.equals(standingsSeenBy(member).get(observed.name)));
     }
 
     private boolean allAlive() {
         return members.stream().allMatch(observed -> allObserve(members, observed, "ALIVE"));
     }
 
-    private void awaitCondition(String description, BooleanSupplier condition) throws InterruptedException, IOException {
+    private void awaitCondition(String description, BooleanSupplier condition)
+            throws InterruptedException, IOException {
         long end = System.nanoTime() + 40_000_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                StringBuilder report = new StringBuilder(description + " has not come about: ");
+                StringBuilder report = new StringBuilder(description + ", not reached in time: ");
                 members.forEach(member -> report.append(member.name).append(' ').append(standingsSeenBy(member)).append("; "));
                 throw new AssertionError(report + members.get(0).log("WARN") + members.get(0).log("ERROR"));
             }
@@ -135,46 +137,54 @@
         }
     }
 
-    /** Killed, back in another life at the same address, stopped and continued: each is told apart by all others. */
+    /**
+     * A process is killed and restarted with a new generation at the same address, another is stopped and continued:
+     * all others notice each of these changes.
+     */
     @Test
     void killedAndStoppedProcessesReturn() throws Exception {
         start(6);
-        awaitCondition("all know all", this::allAlive);
+        awaitCondition("all see each other alive", this::allAlive);
         Member killed = members.get(4);
         List<Member> others = members.stream().filter(member -> member != killed).toList();
         killed.kill();
-        awaitCondition("the killed one is held for dead", () -> allObserve(others, killed, "DEAD"));
+        awaitCondition("the killed process is considered dead", () -> allObserve(others, killed, "DEAD"));
         assertTrue(others.stream().allMatch(observed -> others.stream().allMatch(observer -> observer == observed
                 || !"DEAD".equals(standingsSeenBy(observer).get(observed.name)))));
         killed.start();
-        awaitCondition("it is back", this::allAlive);
+        awaitCondition("the restarted process is alive", this::allAlive);
         Member stopped = members.get(3);
         List<Member> running = members.stream().filter(member -> member != stopped).toList();
         stopped.signal("STOP");
-        awaitCondition("the stopped one is missed", () -> running.stream().allMatch(observer ->
+        awaitCondition("the stopped process is suspected", () -> running.stream().allMatch(observer ->
                 !"ALIVE".equals(standingsSeenBy(observer).get(stopped.name))));
         stopped.signal("CONT");
-        awaitCondition("it goes on", this::allAlive);
+        awaitCondition("the continued process is alive", this::allAlive);
         for (Member member : members) {
             assertEquals(0, counter(member, "locks out of order") + counter(member, "locks held over waits")
                     + counter(member, "workers died") + counter(member, "work failed"), member.name);
         }
     }
 
-    /** Sites that can't hear each other, each kind of fault; within itself each goes on, and after the cut all is well. */
+    /**
+     * The sites are separated by each kind of fault: peers within a site stay alive for each other, and after the
+     * partition heals all do.
+     */
     @ParameterizedTest
     @EnumSource(value = Fault.class, names = {"RESET", "ANSWER_LOST", "SPOILT"})
     void partitionHeals(Fault fault) throws Exception {
         start(6);
-        awaitCondition("all know all", this::allAlive);
+        awaitCondition("all see each other alive", this::allAlive);
         cutSites(fault, fault != Fault.ANSWER_LOST);
-        // Without any word of the other site its load is let go of, and here all stay well for each other.
-        awaitCondition("the cut is felt", () -> members.stream().anyMatch(member -> standingsSeenBy(member).containsValue("SUSPECT")
+        // Without contact the other site's entries expire; peers of the same site have to stay alive for each other.
+        awaitCondition("the partition is detected",
+                () -> members.stream().anyMatch(member -> standingsSeenBy(member).containsValue("SUSPECT")
                 || standingsSeenBy(member).containsValue("DEAD") || membersContain(member, "cutOff\":true")));
         assertFalse(members.stream().anyMatch(observer -> members.stream().anyMatch(observed -> observed != observer
-                && observed.site.equals(observer.site) && "DEAD".equals(standingsSeenBy(observer).get(observed.name)))), "dead within a site");
+                && observed.site.equals(observer.site)
+                && "DEAD".equals(standingsSeenBy(observer).get(observed.name)))), "dead within a site");
         faults.clear();
-        awaitCondition("all is well again", this::allAlive);
+        awaitCondition("all are alive again", this::allAlive);
         assertTrue(fault != Fault.SPOILT || counter(members.get(0), "spoilt") > 0);
     }
 
@@ -187,24 +197,28 @@
         }
     }
 
-    /** Two processes with one name: neither is believed over the other, and it is said. */
+    /** Two processes use the same name: both are reported as in doubt, and one of them raises its generation. */
     @Test
     void duplicateNameIsDetected() throws Exception {
         start(2);
-        awaitCondition("both know each other", this::allAlive);
+        awaitCondition("both see each other alive", this::allAlive);
         Member duplicate = new Member("p1", "s1", folder.resolve("other"), new Gate(to -> Fault.NONE), JAVA,
                 List.of(members.get(0).door()));
         members.add(duplicate);
         duplicate.start();
-        awaitCondition("the name is doubted", () -> "DOUBTED".equals(standingsSeenBy(members.get(0)).get("p1")));
-        awaitCondition("one of them has met the other", () -> generationsRaised(members.get(1)) + generationsRaised(duplicate) > 0);
+        awaitCondition("the name is in doubt", () -> "DOUBTED".equals(standingsSeenBy(members.get(0)).get("p1")));
+        awaitCondition("one of them raises its generation",
+                () -> generationsRaised(members.get(1)) + generationsRaised(duplicate) > 0);
     }
 
-    /** Bodies that are no message, too long, or of a newer form: said, counted, and nobody else is harmed. */
+    /**
+     * Malformed or oversized bodies are rejected and counted, bodies of newer format versions accepted; exchanges
+     * continue.
+     */
     @Test
     void invalidBodiesAreRejected() throws Exception {
         start(2);
-        awaitCondition("both know each other", this::allAlive);
+        awaitCondition("both see each other alive", this::allAlive);
         Member receiver = members.get(0);
         String[][] bodies = {
             {"{", "400"}, {"{\"from\":\"x\",\"version\":1,\"tables\":{\"load\":{\"digest\":[[1,2,3]]}}}", "400"},
@@ -215,15 +229,20 @@
             assertEquals(body[1], post(receiver, body[0]), body[0].substring(0, 1));
         }
         assertTrue(counter(receiver, "spoilt") >= 3 && counter(receiver, "newer form") >= 1);
-        awaitCondition("both still know each other", this::allAlive);
+        awaitCondition("both still see each other alive", this::allAlive);
     }
 
-    /** A body that is announced as too long is turned down by its head: it is not sent, or its answer might get lost. */
+    /**
+     * Sends a request and returns the status. A body that is announced as too long is rejected by its header and
+     * therefore not sent, as the response could get lost otherwise.
+     */
     private static String post(Member to, String body) throws IOException {
         try (Socket socket = new Socket(to.door().getAddress(), to.door().getPort())) {
             socket.setSoTimeout(20_000);
-            String head = "POST /v1/share/exchange HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n";
-            socket.getOutputStream().write((head + (body.length() > 400_000 ? "" : body)).getBytes(StandardCharsets.UTF_8));
+            String head = "POST /v1/share/exchange HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
+                    + "\r\n\r\n";
+            socket.getOutputStream().write((head + (body.length() > 400_000 ? "" : body))
+                    .getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readNBytes(12), StandardCharsets.UTF_8).substring(9);
         }
     }
--- a/src/test/java/honeygap/share/TableTest.java
+++ b/src/test/java/honeygap/share/TableTest.java
@@ -44,7 +44,7 @@
         return stored == null ? null : stored.entry().value();
     }
 
-    /** Only what the other lacks goes out, in bytes at most, and goes on where it stopped. */
+    /** Only missing entries are sent, up to a size limit, and the next round continues where the last one stopped. */
     @ParameterizedTest
     @CsvSource({"10000,1,3", "110,2,3", "55,3,3"})
     void sendsOnlyMissingEntries(int maxBytes, int rounds, int entries) {
@@ -62,7 +62,7 @@
         assertEquals("v2", value(b, "a", "n2"));
     }
 
-    /** What an owner wrote in an earlier life, and what it took back, comes back by no old copy. */
+    /** Old copies must not restore entries that an owner wrote in an earlier generation or deleted. */
     @Test
     void oldCopiesDoNotReturn() {
         ReplicatedTable a = table("a", 5);
@@ -87,7 +87,7 @@
         assertNull(value(old, "a", "y"));
     }
 
-    /** Ages travel, so entries end everywhere together, whatever the clocks and however they went round. */
+    /** Messages carry ages, so entries expire everywhere at the same time, whatever the clocks and the path. */
     @ParameterizedTest
     @CsvSource({"0,0,999,true", "0,0,1000,false", "600000,0,999,true", "600000,500,499,true", "-600000,500,500,false"})
     void entriesExpireByAge(long clock, long sentAt, long transitTime, boolean isLive) {
@@ -104,7 +104,7 @@
         assertEquals(isLive, value(c, "a", "x") != null);
     }
 
-    /** A process that meets its own name in a life that is not its own goes on in a later one. */
+    /** A process that receives entries under its own name that it did not write raises its generation. */
     @ParameterizedTest
     @CsvSource({"7,1,8", "5,3,6", "5,1,5", "4,9,5"})
     void ownNameRaisesGeneration(long generation, int writes, long expectedGeneration) {
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Whatever comes, the bounds hold, it is counted by kind, and what was held stays. */
+    /** The limits hold whatever is received; rejected entries are counted by outcome and stored entries stay. */
     @ParameterizedTest
     @CsvSource({"owners,TOO_MANY", "names,TOO_MANY", "name,TOO_LONG", "value,TOO_LONG", "ttl,OVER"})
     void limitsHold(String exceeded, MergeCounts.Outcome outcome) {
@@ -142,7 +142,7 @@
         assertTrue(b.mergeCounts().count(outcome) >= 14, exceeded + ": " + b.mergeCounts().count(outcome));
         assertTrue(b.owners().size() <= 8);
         assertEquals("v", value(b, "a", "n"));
-        // What was turned away is not asked for again and again.
+        // Rejected entries are not requested again.
         assertFalse(exceeded.equals("names") && b.isBehind(List.of(new honeygap.share.table.DigestEntry("a", 1, 21))));
     }
 
@@ -150,7 +150,10 @@
         return new Delta(owner, 1, counter - 1, List.of(new Delta.AgedEntry(new Entry(name, counter, ttl, value), 0)));
     }
 
-    /** Whatever was lost, came twice or late on the way: after enough rounds all hold the same, and no ghost. */
+    /**
+     * Messages are lost, duplicated and delayed: after enough rounds all tables are equal and no deleted entry
+     * returns.
+     */
     @Property(tries = 60)
     void tablesConverge(@ForAll @IntRange(min = 0, max = 1 << 30) int seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create((long) seed);
@@ -204,7 +207,8 @@
         }
         for (ReplicatedTable table : tables) {
             Map<String, String> actual = new TreeMap<>();
-            table.forEachLive((owner, entry) -> actual.put(owner.name + "/" + entry.entry().name(), entry.entry().value()));
+            table.forEachLive((owner, entry) -> actual.put(owner.name + "/" + entry.entry().name(),
+                    entry.entry().value()));
             assertEquals(expected, actual, "seed " + seed);
         }
     }
--- a/src/test/java/honeygap/share/WorkTest.java
+++ b/src/test/java/honeygap/share/WorkTest.java
@@ -33,7 +33,7 @@
         return limits;
     }
 
-    /** Offers as kind:partner:time; which are begun at the end, in their order. */
+    /** Items are offered as kind:partner:time; the expected order is that in which they start. */
     @ParameterizedTest
     @CsvSource({
         "EXCHANGE:a:0 PROBE:b:0, 10, PROBE:b EXCHANGE:a",
@@ -57,7 +57,7 @@
         assertEquals(expected, actual.toString());
     }
 
-    /** What is too much, or the same once more, is dropped and counted by its kind. */
+    /** Items beyond the limit and duplicates are dropped and counted by kind. */
     @Test
     void excessItemsAreDropped() {
         WorkQueue queue = new WorkQueue(limits(1, 2, 100, 1000));
@@ -70,7 +70,7 @@
         assertEquals(2, queue.staleCount(WorkKind.EXCHANGE));
     }
 
-    /** Wrong orders and waits under a lock fail where assertions are on, and are counted always. */
+    /** Lock order violations and blocking under a lock are counted, and fail with assertions enabled. */
     @ParameterizedTest
     @CsvSource({"MEMBERS,LOAD,true", "LOAD,MEMBERS,false", "LOAD,LOAD,false", "QUEUE,PARTNERS,false"})
     void lockOrder(Rank first, Rank second, boolean isAllowed) {
@@ -90,7 +90,7 @@
         assertEquals(1, monitor.holdsWhileBlocking());
     }
 
-    /** A worker that dies is replaced, its partner is free again; a fault of the work ends the work alone. */
+    /** A worker thread that dies is replaced and its partner is free again; an exception ends only the item. */
     @Test
     @Timeout(20)
     void deadWorkersAreReplaced() throws InterruptedException {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Never two at once with one partner, however many workers there are. */
+    /** At most one item per partner runs at a time, whatever the number of workers. */
     @Test
     @Timeout(20)
     void oneItemPerPartner() throws InterruptedException {
