--- a/src/main/java/honeygap/manage/OperationScheduler.java
+++ b/src/main/java/honeygap/manage/OperationScheduler.java
@@ -74,7 +74,7 @@
     /** Removes a new operation that could not be persisted and that was not yet acknowledged. */
     public void withdraw(Operation operation) {
         operations.remove(operation.id);
-        toPersist.removeIf(other -> other == operation);
+        toPersist.removeIf(queued -> queued == operation);
     }
 
     /**
--- a/src/main/java/honeygap/manage/host/FleetSheet.java
+++ b/src/main/java/honeygap/manage/host/FleetSheet.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Settings of the managed agents, as read from the operator's file; docs/manage.md describes each field. */
+/**
+ * Settings of the managed agents, as read from the operator's file; docs/manage.md describes each field. Times are in
+ * units of 0.1 ms.
+ */
 public final class FleetSheet {
 
     /** An agent: the address of its admin endpoint, and labels for selectors. */
--- a/src/main/java/honeygap/manage/host/Manager.java
+++ b/src/main/java/honeygap/manage/host/Manager.java
@@ -145,7 +145,7 @@
     }
 
     private FleetSheet.Instance instance(String name) {
-        return settings.instances.stream().filter(one -> one.name().equals(name)).findFirst().orElseThrow();
+        return settings.instances.stream().filter(instance -> instance.name().equals(name)).findFirst().orElseThrow();
     }
 
     private interface ResponseHandler {
@@ -367,7 +367,7 @@
         }
         List<String> instances = new ArrayList<>();
         for (String name : request.text("instances").split(",")) {
-            if (settings.instances.stream().noneMatch(one -> one.name().equals(name))) {
+            if (settings.instances.stream().noneMatch(instance -> instance.name().equals(name))) {
                 throw new Malformed("unknown instance: " + name);
             }
             instances.add(name);
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -96,12 +96,12 @@
         var random = RandomSource.XO_RO_SHI_RO_128_PP.create(generation);
         failureDetector = new FailureDetector(settings.name, settings.roundInterval, now, random);
         partnerSelector = new PartnerSelector(settings.site, RandomSource.XO_RO_SHI_RO_128_PP.create(generation + 1));
-        Map<WorkKind, WorkLimits> budgets = new EnumMap<>(WorkKind.class);
+        Map<WorkKind, WorkLimits> limitsByKind = new EnumMap<>(WorkKind.class);
         for (WorkKind kind : WorkKind.values()) {
-            budgets.put(kind, new WorkLimits(Math.max(1, settings.workerThreads - 1), 2 * settings.workerThreads,
+            limitsByKind.put(kind, new WorkLimits(Math.max(1, settings.workerThreads - 1), 2 * settings.workerThreads,
                     settings.roundInterval, 2 * settings.roundInterval));
         }
-        workerPool = new WorkerPool(settings.workerThreads, budgets, Sites::monotonicTime, lockMonitor);
+        workerPool = new WorkerPool(settings.workerThreads, limitsByKind, Sites::monotonicTime, lockMonitor);
         peerClient = new PeerClient(token, settings.answerTimeout, BODY_SIZE_FACTOR * settings.maxRoundBytes,
                 settings.proxy);
     }
--- a/src/main/java/honeygap/share/host/SitesSheet.java
+++ b/src/main/java/honeygap/share/host/SitesSheet.java
@@ -10,7 +10,7 @@
 
 /**
  * Settings of the sites whose processes share tables, as read from the operator's file; docs/sites.md describes each
- * field.
+ * field. Times are in units of 0.1 ms.
  */
 public final class SitesSheet {
 
