--- a/src/main/java/honeygap/manage/Operation.java
+++ b/src/main/java/honeygap/manage/Operation.java
@@ -76,11 +76,11 @@
     }
 
     public static Operation of(Snapshot snapshot) {
-        return restored(snapshot, snapshot.requestedAt);
+        return restore(snapshot, snapshot.requestedAt);
     }
 
     /** Restores an operation with its full time budget from requestedAt on. */
-    static Operation restored(Snapshot snapshot, long requestedAt) {
+    static Operation restore(Snapshot snapshot, long requestedAt) {
         Operation operation = new Operation(snapshot.id, snapshot.number, snapshot.action, snapshot.argument,
                 snapshot.steps.stream().map(step -> step.instance).toList(), snapshot.maxConcurrent,
                 snapshot.failuresToPause,
--- a/src/main/java/honeygap/manage/OperationScheduler.java
+++ b/src/main/java/honeygap/manage/OperationScheduler.java
@@ -83,7 +83,7 @@
      * how much of it is left.
      */
     public void restore(Operation persisted) {
-        Operation operation = Operation.restored(persisted.snapshot(), persisted.isOpen() ? now
+        Operation operation = Operation.restore(persisted.snapshot(), persisted.isOpen() ? now
                 : now - DUPLICATE_WINDOW);
         operations.put(operation.id, operation);
         lastNumber = Math.max(lastNumber, operation.number);
@@ -97,7 +97,7 @@
 
     /** Requests a command. Returns the new operation, or the existing one that equals it or conflicts with it. */
     public Operation request(String id, String action, String argument, List<String> instances, int maxConcurrent,
-                           int failuresToPause, long timeout, boolean allowRepeat, Admission[] admission) {
+                             int failuresToPause, long timeout, boolean allowRepeat, Admission[] admission) {
         Operation existing = operations.get(id);
         if (existing != null) {
             admission[0] = existing.isSameCommand(action, argument, instances) ? Admission.SAME : Admission.INVALID;
@@ -126,9 +126,9 @@
     }
 
     private void evictEnded() {
-        for (var all = operations.values().iterator(); operations.size() > MAX_RETAINED && all.hasNext();) {
-            if (!all.next().isOpen()) {
-                all.remove();
+        for (var iterator = operations.values().iterator(); operations.size() > MAX_RETAINED && iterator.hasNext();) {
+            if (!iterator.next().isOpen()) {
+                iterator.remove();
             }
         }
     }
--- a/src/main/java/honeygap/share/exchange/MessageCodec.java
+++ b/src/main/java/honeygap/share/exchange/MessageCodec.java
@@ -34,10 +34,10 @@
             out.writeNumberField("version", message.version());
             out.writeStringField("from", message.from());
             out.writeObjectFieldStart("tables");
-            for (Map.Entry<String, Message.TableSection> part : message.sections().entrySet()) {
-                out.writeObjectFieldStart(part.getKey());
+            for (Map.Entry<String, Message.TableSection> section : message.sections().entrySet()) {
+                out.writeObjectFieldStart(section.getKey());
                 out.writeArrayFieldStart("digest");
-                for (DigestEntry entry : part.getValue().digest()) {
+                for (DigestEntry entry : section.getValue().digest()) {
                     out.writeStartArray();
                     out.writeString(entry.owner());
                     out.writeString(Long.toString(entry.generation()));
@@ -46,7 +46,7 @@
                 }
                 out.writeEndArray();
                 out.writeArrayFieldStart("parcels");
-                for (Delta delta : part.getValue().deltas()) {
+                for (Delta delta : section.getValue().deltas()) {
                     delta(out, delta);
                 }
                 out.writeEndArray();
@@ -64,13 +64,13 @@
         out.writeStringField("generation", Long.toString(delta.generation()));
         out.writeStringField("from", Long.toString(delta.afterSequence()));
         out.writeArrayFieldStart("entries");
-        for (Delta.AgedEntry aged : delta.entries()) {
-            Entry entry = aged.entry();
+        for (Delta.AgedEntry agedEntry : delta.entries()) {
+            Entry entry = agedEntry.entry();
             out.writeStartArray();
             out.writeString(entry.name());
             out.writeString(Long.toString(entry.sequence()));
             out.writeNumber(entry.ttl());
-            out.writeNumber(aged.age());
+            out.writeNumber(agedEntry.age());
             out.writeString(entry.value());
             out.writeEndArray();
         }
@@ -88,7 +88,7 @@
                 Fields section = tables.object(name);
                 List<DigestEntry> digest = new ArrayList<>();
                 for (Object item : listField(section, name, "digest")) {
-                    List<?> values = requireRow(item, 3, name + ".digest");
+                    List<?> values = requireArray(item, 3, name + ".digest");
                     digest.add(new DigestEntry(textAt(values, 0, name + ".digest"),
                             nonNegativeAt(values, 1, name + ".digest"),
                             nonNegativeAt(values, 2, name + ".digest")));
@@ -105,52 +105,52 @@
         }
     }
 
-    private static Delta delta(Fields delta, String place) throws Malformed {
+    private static Delta delta(Fields delta, String location) throws Malformed {
         List<Delta.AgedEntry> entries = new ArrayList<>();
-        long last = 0;
-        for (Object item : listField(delta, place, "entries")) {
-            List<?> values = requireRow(item, 5, place);
-            Entry entry = new Entry(textAt(values, 0, place), nonNegativeAt(values, 1, place),
-                    nonNegativeAt(values, 2, place),
-                    values.get(4) == null ? null : textAt(values, 4, place));
-            if (entry.sequence() <= last) {
-                throw new Malformed(place + ": sequence numbers are not increasing");
+        long lastSequence = 0;
+        for (Object item : listField(delta, location, "entries")) {
+            List<?> values = requireArray(item, 5, location);
+            Entry entry = new Entry(textAt(values, 0, location), nonNegativeAt(values, 1, location),
+                    nonNegativeAt(values, 2, location),
+                    values.get(4) == null ? null : textAt(values, 4, location));
+            if (entry.sequence() <= lastSequence) {
+                throw new Malformed(location + ": sequence numbers are not increasing");
             }
-            last = entry.sequence();
-            entries.add(new Delta.AgedEntry(entry, nonNegativeAt(values, 3, place)));
+            lastSequence = entry.sequence();
+            entries.add(new Delta.AgedEntry(entry, nonNegativeAt(values, 3, location)));
         }
         try {
             return new Delta(delta.text("owner"), Long.parseLong(delta.text("generation")),
                     Long.parseLong(delta.text("from")), entries);
         } catch (NumberFormatException e) {
-            throw new Malformed(place + ": generation or from is not an integer");
+            throw new Malformed(location + ": generation or from is not an integer");
         }
     }
 
-    private static List<?> listField(Fields fields, String place, String name) throws Malformed {
+    private static List<?> listField(Fields fields, String location, String name) throws Malformed {
         Object list = fields.value(name);
         if (list != null && !(list instanceof List)) {
-            throw new Malformed(place + "." + name + ": not a list");
+            throw new Malformed(location + "." + name + ": not a list");
         }
         return list == null ? List.of() : (List<?>) list;
     }
 
-    private static List<?> requireRow(Object value, int minSize, String place) throws Malformed {
+    private static List<?> requireArray(Object value, int minSize, String location) throws Malformed {
         if (!(value instanceof List<?> values) || values.size() < minSize) {
-            throw new Malformed(place + ": expected an array with a minimum length of " + minSize);
+            throw new Malformed(location + ": expected an array with a minimum length of " + minSize);
         }
         return values;
     }
 
-    private static String textAt(List<?> values, int index, String place) throws Malformed {
+    private static String textAt(List<?> values, int index, String location) throws Malformed {
         if (!(values.get(index) instanceof String text)) {
-            throw new Malformed(place + ": expected a string at array index " + index + " of an item");
+            throw new Malformed(location + ": expected a string at array index " + index + " of an item");
         }
         return text;
     }
 
     /** Reads a non-negative integer, written as a string or as a number. */
-    private static long nonNegativeAt(List<?> values, int index, String place) throws Malformed {
+    private static long nonNegativeAt(List<?> values, int index, String location) throws Malformed {
         Object value = values.get(index);
         try {
             long number = value instanceof Long integer ? integer : Long.parseLong(String.valueOf(value));
@@ -160,6 +160,6 @@
         } catch (NumberFormatException e) {
             // Falls through to the error below.
         }
-        throw new Malformed(place + ": expected a non-negative integer at array index " + index + " of an item");
+        throw new Malformed(location + ": expected a non-negative integer at array index " + index + " of an item");
     }
 }
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -80,7 +80,7 @@
             newerVersionMessages = new AtomicLong();
     private final AtomicLong failedCalls = new AtomicLong(), completedExchanges = new AtomicLong(),
             rejectedRequests = new AtomicLong();
-    private final AtomicLong loadsOutOfBounds = new AtomicLong(), answeredBytes = new AtomicLong();
+    private final AtomicLong loadsOutOfBounds = new AtomicLong(), responseBytes = new AtomicLong();
 
     /**
      * The generation distinguishes this process from earlier processes of the same name. The token authorizes calls
@@ -200,10 +200,10 @@
         for (Peer helper : helpers) {
             try {
                 lockMonitor.beforeBlocking("a relayed probe");
-                Message answer = peerClient.call(helper.address, RELAY + target.address, Message.of(settings.name),
+                Message response = peerClient.call(helper.address, RELAY + target.address, Message.of(settings.name),
                         2 * timeout);
                 helperAnswered = true;
-                if (answer.sections().containsKey("reached")) {
+                if (response.sections().containsKey("reached")) {
                     membersLock.runLocked(() -> updateDetector(
                             () -> failureDetector.probeSucceeded(target.name, false)));
                     return;
@@ -259,11 +259,11 @@
         try {
             lockMonitor.beforeBlocking("an exchange");
             long startedAt = monotonicTime();
-            Message answer = peerClient.call(partnerAddress, EXCHANGE, digests, 2 * settings.answerTimeout);
+            Message response = peerClient.call(partnerAddress, EXCHANGE, digests, 2 * settings.answerTimeout);
             long roundTrip = monotonicTime() - startedAt;
-            newerVersionMessages.addAndGet(answer.hasNewerVersion() ? 1 : 0);
+            newerVersionMessages.addAndGet(response.hasNewerVersion() ? 1 : 0);
             Message reply = Message.of(settings.name);
-            for (Map.Entry<String, Message.TableSection> section : answer.sections().entrySet()) {
+            for (Map.Entry<String, Message.TableSection> section : response.sections().entrySet()) {
                 if (tables.containsKey(section.getKey())) {
                     List<Delta> deltas = withTable(section.getKey(), () -> {
                         ReplicatedTable table = tables.get(section.getKey());
@@ -401,12 +401,12 @@
     }
 
     private void relay(String target, Reply reply) {
-        Message answer = Message.of(settings.name);
+        Message response = Message.of(settings.name);
         if (target.matches("[0-9.]{7,15}:[0-9]{1,5}") && isReachable(target, PROBE, settings.answerTimeout)) {
-            answer.sections().put("reached", new Message.TableSection(List.of(), List.of()));
+            response.sections().put("reached", new Message.TableSection(List.of(), List.of()));
         }
         try {
-            reply.reply(200, MessageCodec.write(answer));
+            reply.reply(200, MessageCodec.write(response));
         } catch (IOException e) {
             reply.refuse(new Refusal(500, "fault", String.valueOf(e.getMessage())));
         }
@@ -419,11 +419,11 @@
             case "POST " + EXCHANGE:
                 Message request = MessageCodec.read(body);
                 newerVersionMessages.addAndGet(request.hasNewerVersion() ? 1 : 0);
-                Message answer = Message.of(settings.name);
+                Message response = Message.of(settings.name);
                 for (Map.Entry<String, Message.TableSection> section : request.sections().entrySet()) {
                     ReplicatedTable table = tables.get(section.getKey());
                     if (table != null) {
-                        answer.sections().put(section.getKey(), withTable(section.getKey(), () -> {
+                        response.sections().put(section.getKey(), withTable(section.getKey(), () -> {
                             table.merge(section.getValue().deltas(), 0);
                             List<DigestEntry> digest = section.getValue().digest();
                             return new Message.TableSection(table.staleOwners(digest), digest.isEmpty() ? List.of()
@@ -432,8 +432,8 @@
                     }
                 }
                 updateMembership();
-                byte[] bytes = MessageCodec.write(answer);
-                answeredBytes.addAndGet(bytes.length);
+                byte[] bytes = MessageCodec.write(response);
+                responseBytes.addAndGet(bytes.length);
                 return bytes;
             case "GET /v1/share/members":
                 return membersJson();
@@ -467,7 +467,7 @@
         counters.count("turned away", rejectedRequests.get());
         counters.count("box full", droppedLoads.get());
         counters.count("load out of bounds", loadsOutOfBounds.get());
-        counters.count("bytes answered", answeredBytes.get());
+        counters.count("bytes answered", responseBytes.get());
         counters.count("workers died", workerPool.deadWorkers());
         counters.count("work failed", workerPool.failedItems());
         counters.count("locks out of order", lockMonitor.orderViolations());
--- a/src/main/java/honeygap/share/member/Peer.java
+++ b/src/main/java/honeygap/share/member/Peer.java
@@ -14,7 +14,8 @@
     public String address = "";
     public String site = "";
     /**
-     * A peer raises its incarnation to refute a suspicion; a suspicion applies only to the incarnation that it names.
+     * Generation of the peer's process, and its incarnation, which it raises to refute a suspicion; a suspicion
+     * applies only to the incarnation that it names.
      */
     public long generation;
     public long incarnation;
--- a/src/main/java/honeygap/share/work/WorkQueue.java
+++ b/src/main/java/honeygap/share/work/WorkQueue.java
@@ -47,7 +47,7 @@
     /** Removes and returns the next item, which counts as running from now on; null if none may run. */
     public WorkItem poll(long now) {
         WorkItem selected = null;
-        double selectedPriority = 0;
+        double selectedOrder = 0;
         for (Iterator<WorkItem> iterator = queued.iterator(); iterator.hasNext();) {
             WorkItem item = iterator.next();
             WorkLimits kindLimits = limits.get(item.kind);
@@ -57,13 +57,13 @@
                 iterator.remove();
                 continue;
             }
-            // Each kind is one priority level below the previous; each aging interval of waiting raises it by one.
-            double priority = item.kind.ordinal() - (double) waitTime / kindLimits.agingInterval();
+            // The lowest value runs first: the kind's position, less one for each aging interval of waiting.
+            double order = item.kind.ordinal() - (double) waitTime / kindLimits.agingInterval();
             boolean isEligible = running.getOrDefault(item.kind, 0) < kindLimits.maxRunning()
                     && !busy.contains(item.partner);
-            if (isEligible && (selected == null || priority < selectedPriority)) {
+            if (isEligible && (selected == null || order < selectedOrder)) {
                 selected = item;
-                selectedPriority = priority;
+                selectedOrder = order;
             }
         }
         if (selected != null) {
