--- a/src/main/java/honeygap/manage/OperationScheduler.java
+++ b/src/main/java/honeygap/manage/OperationScheduler.java
@@ -83,8 +83,8 @@
      * how much of it is left.
      */
     public void restore(Operation persisted) {
-        Operation operation = Operation.restore(persisted.snapshot(), persisted.isOpen() ? now
-                : now - DUPLICATE_WINDOW);
+        Operation operation = Operation.restore(persisted.snapshot(),
+                persisted.isOpen() ? now : now - DUPLICATE_WINDOW);
         operations.put(operation.id, operation);
         lastNumber = Math.max(lastNumber, operation.number);
         for (Step step : operation.steps) {
@@ -302,8 +302,7 @@
                 return true;
             }
             if (step.state == Step.State.PLANNED && operation.state == Operation.State.RUNNING
-                    && now >= step.nextAttemptAt
-                    && maySend(operation, step)) {
+                    && now >= step.nextAttemptAt && maySend(operation, step)) {
                 Membership.Member member = membership.member(step.instance);
                 step.state = Step.State.SENT;
                 step.generation = member.generation;
--- a/src/main/java/honeygap/manage/host/Manager.java
+++ b/src/main/java/honeygap/manage/host/Manager.java
@@ -296,8 +296,8 @@
         byte[] body = exchange.getRequestBody().readNBytes(1 << 16);
         Answer answer;
         String authorization = exchange.getRequestHeaders().getFirst("Authorization");
-        if (!token.isEmpty() && !java.security.MessageDigest.isEqual(("Bearer "
-                + token).getBytes(StandardCharsets.UTF_8),
+        if (!token.isEmpty() && !java.security.MessageDigest.isEqual(
+                ("Bearer " + token).getBytes(StandardCharsets.UTF_8),
                 String.valueOf(authorization).getBytes(StandardCharsets.UTF_8))) {
             answer = new Answer(401, "{\"error\":\"missing or wrong token\"}");
         } else {
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -164,8 +164,8 @@
             }
             for (InetSocketAddress seed : settings.seeds) {
                 String seedAddress = seed.getAddress().getHostAddress() + ":" + seed.getPort();
-                if (!seedAddress.equals(ownAddress) && peers.stream().noneMatch(peer -> peer.address.equals(seedAddress)
-                        && peer.standing() == Peer.Standing.ALIVE)) {
+                if (!seedAddress.equals(ownAddress) && peers.stream().noneMatch(
+                        peer -> peer.address.equals(seedAddress) && peer.standing() == Peer.Standing.ALIVE)) {
                     workerPool.offer(WorkKind.EXCHANGE, seedAddress, () -> exchange(seedAddress, seedAddress));
                 }
             }
--- a/src/main/java/honeygap/share/table/ReplicatedTable.java
+++ b/src/main/java/honeygap/share/table/ReplicatedTable.java
@@ -208,8 +208,8 @@
         OwnerState owner = owners.get(delta.owner());
         int entryCount = delta.entries().size();
         if (owner == null && (owners.size() >= limits.maxOwners() || delta.owner().length() > limits.maxNameLength())) {
-            mergeCounts.add(owners.size() >= limits.maxOwners() ? MergeCounts.Outcome.TOO_MANY
-                    : MergeCounts.Outcome.TOO_LONG, entryCount);
+            mergeCounts.add(owners.size() >= limits.maxOwners()
+                    ? MergeCounts.Outcome.TOO_MANY : MergeCounts.Outcome.TOO_LONG, entryCount);
             return;
         }
         if (owner == null) {
