--- a/src/main/java/honeygap/manage/Membership.java
+++ b/src/main/java/honeygap/manage/Membership.java
@@ -5,29 +5,32 @@
 import java.util.Map;
 
 /**
- * Which instances there are and how they stand. An instance is its name and the generation of its process: one that has
- * been restarted is never taken for the one before. Where many become suspect at once, it is the manager that was cut
- * off, and judgement rests. No I/O; times are tenths of a millisecond.
+ * The managed instances and their standing. An instance is identified by its name and the generation of its process,
+ * so a restarted process is never mistaken for the previous one. Where many instances become suspect at once, the
+ * manager assumes that it is cut off itself and suspends its decisions. The class does no I/O; times are in units of
+ * 0.1 ms.
  */
 public final class Membership {
 
-    /** How an instance stands. */
+    /** The standing of an instance. */
     public enum Standing { UNHEARD, ALIVE, SUSPECT }
 
-    /** Suspicion beyond which an instance counts as silent. */
-    private static final double SUSPECT = 8;
-    /** Part of those heard of whose silence, begun together, tells of the manager rather than of them. */
-    private static final double CUT_OFF = 0.5;
-    private static final int CUT_OFF_LEAST = 3;
+    /** Suspicion level above which an instance counts as silent. */
+    private static final double SUSPICION_THRESHOLD = 8;
+    /**
+     * If more than this share of the known instances falls silent together, the manager is cut off rather than they.
+     */
+    private static final double CUT_OFF_SHARE = 0.5;
+    private static final int CUT_OFF_MIN_MEMBERS = 3;
 
-    /** One instance. */
+    /** A managed instance. */
     public static final class Member {
 
         public final String name;
         public long generation;
-        Suspicion suspicion;
+        PhiAccrualDetector heartbeats;
         private Standing standing = Standing.UNHEARD;
-        /** Times that another process came under the name. */
+        /** How often another process appeared under this name. */
         public int restarts;
 
         Member(String name) {
@@ -39,75 +42,76 @@
         }
     }
 
-    private final long every;
+    private final long heartbeatInterval;
     private final Map<String, Member> members = new LinkedHashMap<>();
     private boolean isCutOff;
     private long now;
 
-    /** Signs are asked for so often. */
-    public Membership(long every) {
-        this.every = every;
+    /** Heartbeats are expected at this interval. */
+    public Membership(long heartbeatInterval) {
+        this.heartbeatInterval = heartbeatInterval;
     }
 
-    public void now(long now) {
+    public void advanceTo(long now) {
         this.now = now;
-        judge();
+        evaluate();
     }
 
-    public Member joined(String name) {
+    public Member join(String name) {
         return members.computeIfAbsent(name, Member::new);
     }
 
-    public void left(String name) {
+    public void leave(String name) {
         members.remove(name);
     }
 
-    /** An instance has given a sign. Whether it is another process than before. */
-    public boolean sign(String name, long generation) {
-        Member member = joined(name);
-        boolean isAnother = member.generation != 0 && member.generation != generation;
-        if (isAnother || member.suspicion == null) {
-            member.suspicion = new Suspicion(now, every);
-            member.restarts += isAnother ? 1 : 0;
+    /** Records a heartbeat. Returns whether it came from another process than the previous ones. */
+    public boolean recordHeartbeat(String name, long generation) {
+        Member member = join(name);
+        boolean isNewProcess = member.generation != 0 && member.generation != generation;
+        if (isNewProcess || member.heartbeats == null) {
+            member.heartbeats = new PhiAccrualDetector(now, heartbeatInterval);
+            member.restarts += isNewProcess ? 1 : 0;
         } else if (isCutOff) {
-            // The time in which nobody could be heard says nothing of this one.
-            member.suspicion = new Suspicion(now, every);
+            // While the manager was cut off, silence says nothing about a single instance.
+            member.heartbeats = new PhiAccrualDetector(now, heartbeatInterval);
         } else {
-            member.suspicion.sign(now);
+            member.heartbeats.recordHeartbeat(now);
         }
         member.generation = generation;
         member.standing = Standing.ALIVE;
-        return isAnother;
+        return isNewProcess;
     }
 
-    private void judge() {
-        int heard = 0;
+    private void evaluate() {
+        int known = 0;
         int silent = 0;
         for (Member member : members.values()) {
-            if (member.suspicion != null) {
-                heard++;
-                silent += member.suspicion.level(now) > SUSPECT ? 1 : 0;
+            if (member.heartbeats != null) {
+                known++;
+                silent += member.heartbeats.suspicionLevel(now) > SUSPICION_THRESHOLD ? 1 : 0;
             }
         }
-        long before = members.values().stream().filter(member -> member.standing == Standing.SUSPECT).count();
-        // Those suspected before do not count: only what falls silent together tells of this end.
-        isCutOff = heard - before >= CUT_OFF_LEAST && silent - before > CUT_OFF * (heard - before);
+        long alreadySuspect = members.values().stream().filter(member -> member.standing == Standing.SUSPECT).count();
+        // Earlier suspects do not count: only a simultaneous silence indicates that the manager is cut off.
+        isCutOff = known - alreadySuspect >= CUT_OFF_MIN_MEMBERS
+                && silent - alreadySuspect > CUT_OFF_SHARE * (known - alreadySuspect);
         if (isCutOff) {
             return;
         }
         for (Member member : members.values()) {
-            if (member.suspicion != null && member.suspicion.level(now) > SUSPECT) {
+            if (member.heartbeats != null && member.heartbeats.suspicionLevel(now) > SUSPICION_THRESHOLD) {
                 member.standing = Standing.SUSPECT;
             }
         }
     }
 
-    /** This manager hears of too few to judge any. */
+    /** Whether this manager reaches too few instances to judge any. */
     public boolean isCutOff() {
         return isCutOff;
     }
 
-    /** Null for a name that is not known. */
+    /** Returns null for an unknown name. */
     public Member member(String name) {
         return members.get(name);
     }
--- a/src/main/java/honeygap/manage/host/Selector.java
+++ b/src/main/java/honeygap/manage/host/Selector.java
@@ -9,46 +9,50 @@
 import org.antlr.v4.runtime.RecognitionException;
 import org.antlr.v4.runtime.Recognizer;
 
-/** Chooses instances by labels: {@code location=east,build<43}; all parts must hold. Numbers compare as numbers. */
+/**
+ * Selects instances by labels, for example {@code location=east,build<43}; all conditions must match. Numbers are
+ * compared numerically.
+ */
 public final class Selector {
 
     private Selector() {
     }
 
     /**
-     * Reads a selector; an empty one takes all.
+     * Parses a selector; an empty one matches all instances.
      *
-     * @throws IllegalArgumentException with the column where it can't be read
+     * @throws IllegalArgumentException with the column of a syntax error
      */
-    public static Predicate<Map<String, String>> of(String words) {
+    public static Predicate<Map<String, String>> of(String text) {
         BaseErrorListener errors = new BaseErrorListener() {
             @Override
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
                                     RecognitionException cause) {
                 throw new IllegalArgumentException("selector, column " + (column + 1)
-                        + ": expected parts such as location=east, with commas between");
+                        + ": expected conditions such as location=east, separated by commas");
             }
         };
-        SelectLexer lexer = new SelectLexer(CharStreams.fromString(words));
+        SelectLexer lexer = new SelectLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
         lexer.addErrorListener(errors);
         SelectParser parser = new SelectParser(new CommonTokenStream(lexer));
         parser.removeErrorListeners();
         parser.addErrorListener(errors);
-        Predicate<Map<String, String>> all = labels -> true;
+        Predicate<Map<String, String>> predicate = labels -> true;
         for (SelectParser.PartContext part : parser.whole().part()) {
             String name = part.name.getText();
-            String sign = part.sign.getText();
+            String operator = part.sign.getText();
             String value = part.value.getText();
-            all = all.and(labels -> labels.containsKey(name) ? holds(labels.get(name), sign, value)
-                    : sign.equals("!="));
+            predicate = predicate.and(labels -> labels.containsKey(name) ? matches(labels.get(name), operator, value)
+                    : operator.equals("!="));
         }
-        return all;
+        return predicate;
     }
 
-    private static boolean holds(String there, String sign, String value) {
-        boolean areNumbers = there.matches("-?[0-9]{1,15}") && value.matches("-?[0-9]{1,15}");
-        int order = areNumbers ? Long.compare(Long.parseLong(there), Long.parseLong(value)) : there.compareTo(value);
-        return Signs.holds(sign, order);
+    private static boolean matches(String actual, String operator, String expected) {
+        boolean areNumbers = actual.matches("-?[0-9]{1,15}") && expected.matches("-?[0-9]{1,15}");
+        int order = areNumbers ? Long.compare(Long.parseLong(actual), Long.parseLong(expected))
+                : actual.compareTo(expected);
+        return Signs.holds(operator, order);
     }
 }
--- a/src/main/java/honeygap/share/exchange/Message.java
+++ b/src/main/java/honeygap/share/exchange/Message.java
@@ -1,30 +1,30 @@
 package honeygap.share.exchange;
 
-import honeygap.share.table.Known;
-import honeygap.share.table.Parcel;
+import honeygap.share.table.DigestEntry;
+import honeygap.share.table.Delta;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * What goes between two processes, a part a table: how far the sender has heard, and entries.
+ * A message between two processes. It has one section per table: the sender's digest and deltas for the receiver.
  *
- * @param from the sender
- * @param version of the form that the sender speaks
+ * @param from name of the sending process
+ * @param version message format version of the sender
  */
-public record Message(String from, int version, Map<String, Part> parts) {
+public record Message(String from, int version, Map<String, TableSection> sections) {
 
-    /** The version of the form spoken here. */
+    /** Message format version of this build. */
     public static final int VERSION = 1;
 
-    /** Either may be empty. */
-    public record Part(List<Known> digest, List<Parcel> parcels) { }
+    /** One table's digest and deltas; either list may be empty. */
+    public record TableSection(List<DigestEntry> digest, List<Delta> deltas) { }
 
     public static Message of(String from) {
         return new Message(from, VERSION, new LinkedHashMap<>());
     }
 
-    public boolean isNewer() {
+    public boolean hasNewerVersion() {
         return version > VERSION;
     }
 }
--- a/src/main/java/honeygap/share/lock/RankedLock.java
+++ b/src/main/java/honeygap/share/lock/RankedLock.java
@@ -4,21 +4,21 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
 
-/** A lock with its place in the order. What is done under it returns a value that outlives it. */
+/** A lock with a rank in the lock order. Results of a task that runs under it must stay valid after the release. */
 public final class RankedLock {
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Rank rank;
-    private final Discipline discipline;
-    private long since;
+    private final LockMonitor monitor;
+    private long acquiredAtNs;
 
-    public RankedLock(Rank rank, Discipline discipline) {
+    public RankedLock(Rank rank, LockMonitor monitor) {
         this.rank = rank;
-        this.discipline = discipline;
+        this.monitor = monitor;
     }
 
-    public <T> T hold(Supplier<T> task) {
-        take();
+    public <T> T callLocked(Supplier<T> task) {
+        acquire();
         try {
             return task.get();
         } finally {
@@ -26,33 +26,35 @@
         }
     }
 
-    public void run(Runnable task) {
-        hold(() -> {
+    public void runLocked(Runnable task) {
+        callLocked(() -> {
             task.run();
             return null;
         });
     }
 
-    void take() {
-        discipline.taking(rank);
+    void acquire() {
+        monitor.beforeAcquire(rank);
         lock.lock();
-        discipline.taken(rank);
-        since = System.nanoTime();
+        monitor.acquired(rank);
+        acquiredAtNs = System.nanoTime();
     }
 
     void release() {
-        long heldFor = System.nanoTime() - since;
+        long heldNs = System.nanoTime() - acquiredAtNs;
         lock.unlock();
-        discipline.released(rank, heldFor);
+        monitor.released(rank, heldNs);
     }
 
     public Condition condition() {
         return lock.newCondition();
     }
 
-    /** Waits on a condition of this lock, at most so long; the wait does not count as holding it. */
-    public void await(Condition condition, long nanos) throws InterruptedException {
-        condition.awaitNanos(nanos);
-        since = System.nanoTime();
+    /**
+     * Waits on a condition of this lock for at most the timeout; the waiting time does not count as holding the lock.
+     */
+    public void await(Condition condition, long timeoutNs) throws InterruptedException {
+        condition.awaitNanos(timeoutNs);
+        acquiredAtNs = System.nanoTime();
     }
 }
--- /dev/null
+++ b/src/main/java/honeygap/share/work/WorkKind.java
@@ -0,0 +1,4 @@
+package honeygap.share.work;
+
+/** Kinds of background work, highest priority first. */
+public enum WorkKind { PROBE, EXCHANGE, EXPIRE, STORE }
--- a/src/test/java/honeygap/share/WorkTest.java
+++ b/src/test/java/honeygap/share/WorkTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.share.lock.Discipline;
+import honeygap.share.lock.LockMonitor;
 import honeygap.share.lock.Rank;
 import honeygap.share.lock.RankedLock;
-import honeygap.share.work.Budget;
-import honeygap.share.work.Kind;
-import honeygap.share.work.Line;
-import honeygap.share.work.Workers;
+import honeygap.share.work.WorkLimits;
+import honeygap.share.work.WorkKind;
+import honeygap.share.work.WorkQueue;
+import honeygap.share.work.WorkerPool;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
@@ -25,15 +25,15 @@
 
     private static final long NEVER = Long.MAX_VALUE / 2;
 
-    private static Map<Kind, Budget> budgets(int running, int waiting, long ages, long stale) {
-        Map<Kind, Budget> budgets = new EnumMap<>(Kind.class);
-        for (Kind kind : Kind.values()) {
-            budgets.put(kind, new Budget(running, waiting, ages, stale));
+    private static Map<WorkKind, WorkLimits> limits(int maxRunning, int maxQueued, long agingInterval, long maxWait) {
+        Map<WorkKind, WorkLimits> limits = new EnumMap<>(WorkKind.class);
+        for (WorkKind kind : WorkKind.values()) {
+            limits.put(kind, new WorkLimits(maxRunning, maxQueued, agingInterval, maxWait));
         }
-        return budgets;
+        return limits;
     }
 
-    /** Offers as kind:partner:time; which are begun at the end, in their order. */
+    /** Items are offered as kind:partner:time; the expected order is that in which they start. */
     @ParameterizedTest
     @CsvSource({
         "EXCHANGE:a:0 PROBE:b:0, 10, PROBE:b EXCHANGE:a",
@@ -44,61 +44,61 @@
         "PROBE:a:0 EXCHANGE:a:0 EXCHANGE:c:0, 1, PROBE:a EXCHANGE:c",
         "PROBE:a:0 PROBE:b:900, 1001, PROBE:b",
         "PROBE:a:0 PROBE:a:1 EXCHANGE:b:1, 2, PROBE:a EXCHANGE:b"})
-    void order(String offers, long at, String begun) {
-        Line line = new Line(budgets(2, 3, 100, 1000));
+    void selectionOrder(String offers, long now, String expected) {
+        WorkQueue queue = new WorkQueue(limits(2, 3, 100, 1000));
         for (String offer : offers.split(" ")) {
             String[] parts = offer.split(":");
-            line.offer(Kind.valueOf(parts[0]), parts[1], () -> { }, Long.parseLong(parts[2]));
+            queue.offer(WorkKind.valueOf(parts[0]), parts[1], () -> { }, Long.parseLong(parts[2]));
         }
-        StringBuilder said = new StringBuilder();
-        for (var piece = line.next(at); piece != null; piece = line.next(at)) {
-            said.append(said.length() > 0 ? " " : "").append(piece);
+        StringBuilder actual = new StringBuilder();
+        for (var piece = queue.poll(now); piece != null; piece = queue.poll(now)) {
+            actual.append(actual.length() > 0 ? " " : "").append(piece);
         }
-        assertEquals(begun, said.toString());
+        assertEquals(expected, actual.toString());
     }
 
-    /** What is too much, or the same once more, is dropped and counted by its kind. */
+    /** Items beyond the limit and duplicates are dropped and counted by kind. */
     @Test
-    void droppedByKind() {
-        Line line = new Line(budgets(1, 2, 100, 1000));
+    void excessItemsAreDropped() {
+        WorkQueue queue = new WorkQueue(limits(1, 2, 100, 1000));
         for (String partner : new String[] {"a", "b", "c", "a"}) {
-            line.offer(Kind.EXCHANGE, partner, () -> { }, 0);
+            queue.offer(WorkKind.EXCHANGE, partner, () -> { }, 0);
         }
-        assertEquals(2, line.dropped(Kind.EXCHANGE));
-        assertEquals(0, line.dropped(Kind.PROBE));
-        assertEquals(null, line.next(2000));
-        assertEquals(2, line.stale(Kind.EXCHANGE));
+        assertEquals(2, queue.droppedCount(WorkKind.EXCHANGE));
+        assertEquals(0, queue.droppedCount(WorkKind.PROBE));
+        assertEquals(null, queue.poll(2000));
+        assertEquals(2, queue.staleCount(WorkKind.EXCHANGE));
     }
 
-    /** Wrong orders and waits under a lock fail where assertions are on, and are counted always. */
+    /** Lock order violations and blocking under a lock are counted, and fail with assertions enabled. */
     @ParameterizedTest
     @CsvSource({"MEMBERS,LOAD,true", "LOAD,MEMBERS,false", "LOAD,LOAD,false", "QUEUE,PARTNERS,false"})
-    void lockOrder(Rank first, Rank then, boolean may) {
-        Discipline discipline = new Discipline(NEVER);
-        RankedLock outer = new RankedLock(first, discipline);
-        RankedLock inner = new RankedLock(then, discipline);
-        Runnable both = () -> outer.run(() -> inner.run(() -> { }));
-        if (may) {
-            both.run();
+    void lockOrder(Rank first, Rank second, boolean isAllowed) {
+        LockMonitor monitor = new LockMonitor(NEVER);
+        RankedLock outer = new RankedLock(first, monitor);
+        RankedLock inner = new RankedLock(second, monitor);
+        Runnable nested = () -> outer.runLocked(() -> inner.runLocked(() -> { }));
+        if (isAllowed) {
+            nested.run();
         } else {
-            assertThrows(AssertionError.class, both::run);
+            assertThrows(AssertionError.class, nested::run);
         }
-        assertEquals(may ? 0 : 1, discipline.outOfOrder());
-        assertThrows(AssertionError.class, () -> outer.run(() -> discipline.mayWait("a socket")));
-        assertEquals(1, discipline.heldOverIo());
-        discipline.mayWait("a socket");
-        assertEquals(1, discipline.heldOverIo());
+        assertEquals(isAllowed ? 0 : 1, monitor.orderViolations());
+        assertThrows(AssertionError.class, () -> outer.runLocked(() -> monitor.beforeBlocking("a socket")));
+        assertEquals(1, monitor.holdsWhileBlocking());
+        monitor.beforeBlocking("a socket");
+        assertEquals(1, monitor.holdsWhileBlocking());
     }
 
-    /** A worker that dies is replaced, its partner is free again; a fault of the work ends the work alone. */
+    /** A worker thread that dies is replaced and its partner is free again; an exception ends only the item. */
     @Test
     @Timeout(20)
-    void workersDie() throws InterruptedException {
-        try (Workers workers = new Workers(2, budgets(2, 100, 100, NEVER), () -> 0L, new Discipline(NEVER))) {
+    void deadWorkersAreReplaced() throws InterruptedException {
+        try (WorkerPool workers = new WorkerPool(2, limits(2, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
             CountDownLatch done = new CountDownLatch(6);
             for (int i = 0; i < 6; i++) {
                 int number = i;
-                workers.offer(Kind.PROBE, "p" + i, () -> {
+                workers.offer(WorkKind.PROBE, "p" + i, () -> {
                     done.countDown();
                     if (number % 3 == 0) {
                         throw new StackOverflowError("made up");
@@ -112,37 +112,37 @@
             CountDownLatch again = new CountDownLatch(6);
             for (int i = 0; i < 6; i++) {
                 int number = i;
-                while (!workers.offer(Kind.PROBE, "p" + number, again::countDown)) {
+                while (!workers.offer(WorkKind.PROBE, "p" + number, again::countDown)) {
                     Thread.onSpinWait();
                 }
             }
             assertTrue(again.await(10, TimeUnit.SECONDS));
-            assertEquals(2, workers.died());
-            assertEquals(2, workers.failed());
+            assertEquals(2, workers.deadWorkers());
+            assertEquals(2, workers.failedItems());
         }
     }
 
-    /** Never two at once with one partner, however many workers there are. */
+    /** At most one item per partner runs at a time, whatever the number of workers. */
     @Test
     @Timeout(20)
-    void oneAtATimeWithAPartner() throws InterruptedException {
-        try (Workers workers = new Workers(4, budgets(4, 100, 100, NEVER), () -> 0L, new Discipline(NEVER))) {
-            AtomicInteger inside = new AtomicInteger();
-            AtomicInteger most = new AtomicInteger();
+    void oneItemPerPartner() throws InterruptedException {
+        try (WorkerPool workers = new WorkerPool(4, limits(4, 100, 100, NEVER), () -> 0L, new LockMonitor(NEVER))) {
+            AtomicInteger running = new AtomicInteger();
+            AtomicInteger maxRunning = new AtomicInteger();
             CountDownLatch done = new CountDownLatch(200);
             for (int i = 0; i < 200; i++) {
-                Kind kind = Kind.values()[i % 4];
+                WorkKind kind = WorkKind.values()[i % 4];
                 while (!workers.offer(kind, "one", () -> {
-                    most.accumulateAndGet(inside.incrementAndGet(), Math::max);
+                    maxRunning.accumulateAndGet(running.incrementAndGet(), Math::max);
                     Thread.yield();
-                    inside.decrementAndGet();
+                    running.decrementAndGet();
                     done.countDown();
                 })) {
                     Thread.yield();
                 }
             }
             assertTrue(done.await(10, TimeUnit.SECONDS));
-            assertEquals(1, most.get());
+            assertEquals(1, maxRunning.get());
         }
     }
 }
