--- a/src/main/java/honeygap/Ctl.java
+++ b/src/main/java/honeygap/Ctl.java
@@ -11,16 +11,16 @@
 public interface Ctl {
 
     /** Sends a pick of the RPC to the appliance; it times out after {@code within}. */
-    void pick(Rpc rpc, Appliance appliance, long within);
+    void pick(Rpc rpc, Appliance appliance, long timeout);
 
     /** Final answer: pushed back; asking again is harmless, best not before {@code stayAway} has passed. */
-    void pushBack(Rpc rpc, long stayAway);
+    void pushBack(Rpc rpc, long retryAfter);
 
     /** Final answer: aborted; nothing is promised about its effect. */
     void abort(Rpc rpc);
 
     /** Stops waiting for one pick. */
-    void cancel(Rpc rpc, int pick);
+    void cancel(Rpc rpc, int pickIndex);
 
     void probe(Appliance appliance);
 
--- a/src/main/java/honeygap/Rules.java
+++ b/src/main/java/honeygap/Rules.java
@@ -1,19 +1,19 @@
 package honeygap;
 
 import honeygap.fleet.*;
-import honeygap.rules.builds.Exposing;
-import honeygap.rules.cold.ColdStarts;
+import honeygap.rules.builds.ExposureLimit;
+import honeygap.rules.cold.ColdStartLimit;
 import honeygap.rules.discovery.ListCalls;
 import honeygap.rules.discovery.ListLease;
 import honeygap.rules.evidence.*;
-import honeygap.rules.health.Health;
-import honeygap.rules.room.Rooms;
+import honeygap.rules.health.ApplianceHealth;
+import honeygap.rules.room.ConcurrencyLimits;
 import honeygap.rules.routing.*;
 import honeygap.rules.shutdown.Shutdown;
 import honeygap.rules.shutdown.ShutdownPhase;
 import honeygap.rules.shutdown.ShutdownSchedule;
-import honeygap.rules.votes.Votes;
-import honeygap.rules.work.Work;
+import honeygap.rules.votes.Voting;
+import honeygap.rules.work.WorkEstimate;
 import honeygap.terms.*;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -28,70 +28,70 @@
 public final class Rules {
 
     /** Times the least duration of a stage that a vote for it waits. */
-    private static final double ON_SOAKS = 1.5;
+    private static final double ADVANCE_DELAY_SOAKS = 1.5;
     /** Part of the soft deadline for which an RPC waits for a place before it is pushed back. */
-    private static final double HELD = 0.05;
+    private static final double MAX_WAIT_SHARE = 0.05;
 
     private final Fleet fleet;
-    private final Tries tries;
-    private final ListCalls listCalls;
+    private final Tries retryLimits;
+    private final ListCalls listCallSchedule;
     private final ListLease lease;
-    private final Exposing exposing;
-    private final Health health;
-    private final Rooms rooms;
-    private final ColdStarts coldStarts;
-    private final Failures failures;
-    private final Slowness slowness;
-    private final Counts counts;
-    private final Votes votes;
+    private final ExposureLimit exposureLimit;
+    private final ApplianceHealth health;
+    private final ConcurrencyLimits concurrencyLimits;
+    private final ColdStartLimit coldStartLimit;
+    private final FailureEvidence failureEvidence;
+    private final SlownessEvidence slownessEvidence;
+    private final DeskCounts deskCounts;
+    private final Voting voting;
     private final Shutdown shutdown;
-    private final Repeats repeats;
-    private final Choice choice;
-    private final ArrayDeque<Rpc> todo = new ArrayDeque<>(), held = new ArrayDeque<>();
-    private long wokenFor = Long.MAX_VALUE, secondSince = Fleet.LONG_AGO;
+    private final RetryPolicy retryPolicy;
+    private final ApplianceSelector selector;
+    private final ArrayDeque<Rpc> undecided = new ArrayDeque<>(), waiting = new ArrayDeque<>();
+    private long nextWakeAt = Long.MAX_VALUE, secondStartedAt = Fleet.LONG_AGO;
 
-    public Rules(long now, long seed, int agents, long tick, List<Method> methods, Tries tries,
-                 Listing listing, Cold cold, Desk desk, Exposure exposure) {
-        this.tries = tries;
-        long onWait = (long) (ON_SOAKS * desk.soak());
-        Chance chance = new Chance(seed);
-        fleet = new Fleet(now, tick, agents, methods);
-        listCalls = new ListCalls(now, chance, listing);
-        lease = new ListLease(fleet, listing);
-        exposing = new Exposing(fleet, exposure);
-        health = new Health(fleet);
-        rooms = new Rooms(fleet, health, cold);
-        coldStarts = new ColdStarts(fleet, chance, cold);
-        failures = new Failures(fleet, health);
-        slowness = new Slowness(fleet, onWait);
-        counts = new Counts(fleet, desk);
-        votes = new Votes(fleet, chance, failures, slowness, counts, desk, exposure.waves(), onWait,
-                new Ballot());
+    public Rules(long now, long seed, int agentCount, long tick, List<Method> methods, Tries retryLimits,
+                 Listing listSettings, Cold coldStartSettings, Desk deskSettings, Exposure exposureSettings) {
+        this.retryLimits = retryLimits;
+        long advanceDelay = (long) (ADVANCE_DELAY_SOAKS * deskSettings.soak());
+        Chance random = new Chance(seed);
+        fleet = new Fleet(now, tick, agentCount, methods);
+        listCallSchedule = new ListCalls(now, random, listSettings);
+        lease = new ListLease(fleet, listSettings);
+        exposureLimit = new ExposureLimit(fleet, exposureSettings);
+        health = new ApplianceHealth(fleet);
+        concurrencyLimits = new ConcurrencyLimits(fleet, health, coldStartSettings);
+        coldStartLimit = new ColdStartLimit(fleet, random, coldStartSettings);
+        failureEvidence = new FailureEvidence(fleet, health);
+        slownessEvidence = new SlownessEvidence(fleet, advanceDelay);
+        deskCounts = new DeskCounts(fleet, deskSettings);
+        voting = new Voting(fleet, random, failureEvidence, slownessEvidence, deskCounts, deskSettings, exposureSettings.waves(), advanceDelay,
+                new VoteRecord());
         shutdown = new Shutdown(fleet);
-        repeats = new Repeats(fleet, shutdown, tries.most());
-        choice = new Choice(fleet, chance, exposing, failures, health, rooms, coldStarts, repeats, lease);
+        retryPolicy = new RetryPolicy(fleet, shutdown, retryLimits.maxPicks());
+        selector = new ApplianceSelector(fleet, random, exposureLimit, failureEvidence, health, concurrencyLimits, coldStartLimit, retryPolicy, lease);
     }
 
     public void now(long now) {
         if (now != fleet.now) {
-            fleet.before = fleet.now;
+            fleet.previousNow = fleet.now;
             fleet.now = now;
-            todo.addAll(held);
-            held.clear();
+            undecided.addAll(waiting);
+            waiting.clear();
         }
     }
 
     public void woken() {
-        wokenFor = Long.MAX_VALUE;
+        nextWakeAt = Long.MAX_VALUE;
     }
 
     public void taken(Rpc rpc) {
-        repeats.taken();
-        exposing.taken(rpc.method);
-        Work.taken(rpc);
-        coldStarts.taken(rpc);
-        slowness.taken(rpc);
-        todo.addLast(rpc);
+        retryPolicy.rpcReceived();
+        exposureLimit.rpcReceived(rpc.method);
+        WorkEstimate.rpcReceived(rpc);
+        coldStartLimit.rpcReceived(rpc);
+        slownessEvidence.rpcReceived(rpc);
+        undecided.addLast(rpc);
     }
 
     public void left(Rpc rpc) {
@@ -99,126 +99,126 @@
     }
 
     /** A pick ended; the time that it took is the wire's, since an agent that stalled reads it late. */
-    public void ended(Rpc rpc, int index, int outcome, boolean closed, long lag) {
+    public void ended(Rpc rpc, int index, int outcome, boolean closed, long latency) {
         Pick pick = rpc.picks.get(index);
-        if (pick.outcome != Pick.OUT) {
+        if (pick.outcome != Pick.IN_FLIGHT) {
             return;
         }
-        failures.judge(pick, outcome);
-        slowness.ended(pick, outcome, lag);
+        failureEvidence.pickEnded(pick, outcome);
+        slownessEvidence.pickEnded(pick, outcome, latency);
         pick.end(outcome);
-        shutdown.ended(pick);
-        health.way(pick.appliance.zone, rpc, outcome, lag);
-        rooms.ended(pick, outcome, lag);
-        health.ended(pick, outcome, lag);
-        lease.ended(pick, outcome);
+        shutdown.pickEnded(pick);
+        health.recordZoneLatency(pick.appliance.zone, rpc, outcome, latency);
+        concurrencyLimits.pickEnded(pick, outcome, latency);
+        health.pickEnded(pick, outcome, latency);
+        lease.pickEnded(pick, outcome);
         if (outcome == Pick.OK) {
-            Work.answered(pick, onTrial(pick.build), lag);
-            coldStarts.answered(pick);
+            WorkEstimate.pickAnswered(pick, onTrial(pick.build), latency);
+            coldStartLimit.pickAnswered(pick);
         }
         rpc.closed |= closed;
         if (!rpc.closed && rpc.out == 0) {
-            todo.addLast(rpc);
+            undecided.addLast(rpc);
         }
     }
 
-    public void told(Build build, int phase, int stage, double cap, boolean answer, long since, int outcome) {
-        if (answer) {
-            votes.answered(outcome);
+    public void told(Build build, int phase, int stage, double cap, boolean isVoteAnswer, long stageSince, int outcome) {
+        if (isVoteAnswer) {
+            voting.voteAnswered(outcome);
         }
         if (outcome == Pick.OK) {
-            if (build != fleet.newest) {
-                slowness.slowed.fade(0);
+            if (build != fleet.newestBuild) {
+                slownessEvidence.fit.fade(0);
             }
-            fleet.told(build, phase, stage, cap, since);
-            note(build);
+            fleet.rolloutReported(build, phase, stage, cap, stageSince);
+            registerBuild(build);
         }
     }
 
     /** Of a period that ended so long ago. */
-    public void counted(Build build, Method method, long many, long bad, long mean, long age) {
-        note(build);
-        build.countedTo = Math.max(build.countedTo, fleet.now - age);
-        counts.counted(build, method, many, bad, mean);
+    public void counted(Build build, Method method, long picks, long failed, long meanLatency, long age) {
+        registerBuild(build);
+        build.countedUntil = Math.max(build.countedUntil, fleet.now - age);
+        deskCounts.countsReceived(build, method, picks, failed, meanLatency);
     }
 
     public void contested(Appliance appliance, Method method, long age) {
-        failures.contested(appliance.build, method);
+        failureEvidence.wrongAnswerReported(appliance.build, method);
     }
 
-    private void note(Build build) {
-        if (fleet.add(build)) {
-            rooms.opened(build, fleet.warmRate);
+    private void registerBuild(Build build) {
+        if (fleet.registerBuild(build)) {
+            concurrencyLimits.buildAdded(build, fleet.warmWorkRate);
         }
-        if (fleet.begins()) {
-            failures.begins();
-            counts.begins();
-            slowness.begins();
+        if (fleet.beginEvaluation()) {
+            failureEvidence.reset();
+            deskCounts.reset();
+            slownessEvidence.trialStarted();
         }
     }
 
     public boolean onTrial(Build build) {
-        return fleet.onTrial(build);
+        return fleet.isOnTrial(build);
     }
 
-    public void listBegins(boolean full, boolean disk) {
-        fleet.listBegins(full, disk);
+    public void listBegins(boolean isFull, boolean isFromDisk) {
+        fleet.listStarted(isFull, isFromDisk);
     }
 
     public void listed(Appliance appliance, Build build, Location zone, int cell, int state, long startedAt) {
-        if (fleet.listed(appliance, build, zone, cell, state, startedAt)) {
-            appliance.renew();
-            rooms.renewed(appliance);
+        if (fleet.applianceListed(appliance, build, zone, cell, state, startedAt)) {
+            appliance.resetObservations();
+            concurrencyLimits.applianceRestarted(appliance);
         }
     }
 
     public void listEnds() {
-        fleet.named.forEach(appliance -> note(appliance.build));
-        if (!fleet.listEnds()) {
-            listCalls.answered();
+        fleet.currentList.forEach(appliance -> registerBuild(appliance.build));
+        if (!fleet.listCompleted()) {
+            listCallSchedule.answered();
         } else if (!fleet.appliances.isEmpty()) {
-            listCalls.known(fleet.now);
+            listCallSchedule.known(fleet.now);
         }
-        rooms.listed();
+        concurrencyLimits.listUpdated();
     }
 
     /** Discovery has told all that had changed up to then; before the entries that it told. */
     public void listConfirmed(long asOf) {
-        lease.confirmed(asOf);
+        lease.confirm(asOf);
     }
 
     /** Discovery said then that nothing had changed. */
     public void listUnchanged(long asOf) {
-        lease.signOfLife(asOf);
+        lease.heartbeat(asOf);
     }
 
     public void listTaken() {
-        listCalls.taken();
+        listCallSchedule.callAccepted();
     }
 
     public void listFailed() {
-        listCalls.failed(fleet.now);
+        listCallSchedule.failed(fleet.now);
         lease.watchLost();
     }
 
     /** Discovery is called at another address from now on. */
     public void listMoved() {
-        lease.moved();
+        lease.discoveryMoved();
     }
 
     /** The process has been told to end. */
     public void ending(ShutdownSchedule schedule) {
-        shutdown.begins(schedule);
+        shutdown.begin(schedule);
     }
 
     /** Whether clients may come yet: an agent that has just started waits for its list, for a while. */
     public boolean mayOpen() {
-        return lease.mayOpen();
+        return lease.mayAcceptClients();
     }
 
     /** How many appliances are known to serve, by the list or by their own answers. */
     public long covered() {
-        return lease.covered();
+        return lease.coveredCount();
     }
 
     /** Tenths of a millisecond since discovery last confirmed the list; negative where it never has. */
@@ -227,86 +227,86 @@
     }
 
     /** Makes at most one call on {@code ctl}; false when there is nothing to decide now. */
-    public boolean next(Ctl ctl) {
-        if (fleet.now >= secondSince + Fleet.SECOND) {
-            coldStarts.second(secondSince);
-            slowness.second(secondSince);
-            secondSince = fleet.now;
+    public boolean next(Ctl handler) {
+        if (fleet.now >= secondStartedAt + Fleet.SECOND) {
+            coldStartLimit.updateWorkRate(secondStartedAt);
+            slownessEvidence.secondEnded(secondStartedAt);
+            secondStartedAt = fleet.now;
         }
-        if (listCalls.calls(fleet.now)) {
-            ctl.watch();
+        if (listCallSchedule.calls(fleet.now)) {
+            handler.watch();
             return true;
         }
-        if (shutdown.phase() != ShutdownPhase.ENDED && votes.next(ctl)) {
+        if (shutdown.phase() != ShutdownPhase.ENDED && voting.castNext(handler)) {
             return true;
         }
-        Pick overdue = shutdown.overdue();
+        Pick overdue = shutdown.takeOverdue();
         if (overdue != null) {
-            ctl.cancel(overdue.rpc, overdue.rpc.picks.indexOf(overdue));
+            handler.cancel(overdue.rpc, overdue.rpc.picks.indexOf(overdue));
             return true;
         }
-        while (!todo.isEmpty()) {
-            Rpc rpc = todo.removeFirst();
-            if (!rpc.closed && rpc.out == 0 && decide(rpc, ctl)) {
+        while (!undecided.isEmpty()) {
+            Rpc rpc = undecided.removeFirst();
+            if (!rpc.closed && rpc.out == 0 && decideRpc(rpc, handler)) {
                 return true;
             }
         }
-        long wake = Math.min(listCalls.callAt(), fleet.isOpen() ? fleet.now + Fleet.SECOND / 10 : Long.MAX_VALUE);
-        wake = Math.min(wake, shutdown.wakeAt());
-        wake = held.isEmpty() ? wake : Math.min(wake, fleet.now + 2 * fleet.tick);
-        if (wake < wokenFor) {
-            wokenFor = wake;
-            ctl.wake(Math.max(fleet.tick, wake - fleet.now));
+        long wakeAt = Math.min(listCallSchedule.callAt(), fleet.isRolloutCurrent() ? fleet.now + Fleet.SECOND / 10 : Long.MAX_VALUE);
+        wakeAt = Math.min(wakeAt, shutdown.nextWakeAt());
+        wakeAt = waiting.isEmpty() ? wakeAt : Math.min(wakeAt, fleet.now + 2 * fleet.tick);
+        if (wakeAt < nextWakeAt) {
+            nextWakeAt = wakeAt;
+            handler.wake(Math.max(fleet.tick, wakeAt - fleet.now));
             return true;
         }
         return false;
     }
 
     /** Decides about an RPC that has no pick out; false when it is held. */
-    private boolean decide(Rpc rpc, Ctl ctl) {
-        Pick mayRun = Repeats.firstThatMayRun(rpc);
+    private boolean decideRpc(Rpc rpc, Ctl handler) {
+        Pick mayHaveRun = RetryPolicy.firstThatMayHaveRun(rpc);
         if (shutdown.refuses(rpc)) {
-            return finish(rpc, mayRun, GivenUp.SHUTTING_DOWN, ctl);
+            return giveFinalAnswer(rpc, mayHaveRun, GivenUp.SHUTTING_DOWN, handler);
         }
-        GivenUp why = repeats.mayNotTry(rpc, mayRun);
-        if (why != null) {
-            return finish(rpc, mayRun, why, ctl);
+        GivenUp reason = retryPolicy.reasonNotToPick(rpc, mayHaveRun);
+        if (reason != null) {
+            return giveFinalAnswer(rpc, mayHaveRun, reason, handler);
         }
         // Where one without ties found no place in this turn, nor will the next: many may be held, and often.
-        boolean isFree = rpc.picks.isEmpty() && !fleet.isMet(rpc.key);
-        Appliance appliance = isFree && rpc.method.fullAt == fleet.now ? null : choice.choose(rpc, mayRun);
-        rpc.method.fullAt = isFree && appliance == null ? fleet.now : rpc.method.fullAt;
+        boolean isFree = rpc.picks.isEmpty() && !fleet.isRoutedToNewest(rpc.key);
+        Appliance appliance = isFree && rpc.method.noCapacityAt == fleet.now ? null : selector.select(rpc, mayHaveRun);
+        rpc.method.noCapacityAt = isFree && appliance == null ? fleet.now : rpc.method.noCapacityAt;
         if (appliance != null) {
-            send(rpc, appliance, mayRun, ctl);
+            sendPick(rpc, appliance, mayHaveRun, handler);
             return true;
         }
-        if (mayRun != null || fleet.now >= rpc.takenAt + HELD * rpc.method.softDeadline) {
-            return finish(rpc, mayRun, lease.covered() == 0 ? GivenUp.NONE_KNOWN : GivenUp.NO_ROOM, ctl);
+        if (mayHaveRun != null || fleet.now >= rpc.receivedAt + MAX_WAIT_SHARE * rpc.method.softDeadline) {
+            return giveFinalAnswer(rpc, mayHaveRun, lease.coveredCount() == 0 ? GivenUp.NONE_KNOWN : GivenUp.NO_ROOM, handler);
         }
-        held.addLast(rpc);
+        waiting.addLast(rpc);
         return false;
     }
 
     /** The final answer for an RPC that is given up: pushed back where the rules allow, or else aborted. */
-    private boolean finish(Rpc rpc, Pick mayRun, GivenUp why, Ctl ctl) {
+    private boolean giveFinalAnswer(Rpc rpc, Pick mayHaveRun, GivenUp reason, Ctl handler) {
         rpc.closed = true;
-        rpc.givenUp = why;
-        if (Repeats.isHarmless(rpc.method, mayRun) && fleet.now < rpc.deadline) {
-            long most = tries.stayAwayHeard() ? tries.stayAwayMost() : 0;
-            ctl.pushBack(rpc, Math.min(most, rpc.method.softDeadline));
+        rpc.givenUp = reason;
+        if (RetryPolicy.isSafeToRetry(rpc.method, mayHaveRun) && fleet.now < rpc.deadline) {
+            long maxRetryAfter = retryLimits.retryAfterHonored() ? retryLimits.maxRetryAfter() : 0;
+            handler.pushBack(rpc, Math.min(maxRetryAfter, rpc.method.softDeadline));
         } else {
-            ctl.abort(rpc);
+            handler.abort(rpc);
         }
         return true;
     }
 
-    private void send(Rpc rpc, Appliance appliance, Pick mayRun, Ctl ctl) {
-        repeats.sent(mayRun);
-        Pick pick = new Pick(rpc, appliance, fleet.now, coldStarts.warmth(appliance) < 1);
-        appliance.credit -= pick.cold ? Work.cost(rpc) : 0;
-        exposing.sent(pick);
-        choice.sent(pick);
-        shutdown.sent(pick);
-        ctl.pick(rpc, appliance, repeats.within(rpc, pick.cold || onTrial(pick.build)));
+    private void sendPick(Rpc rpc, Appliance appliance, Pick mayHaveRun, Ctl handler) {
+        retryPolicy.pickSent(mayHaveRun);
+        Pick pick = new Pick(rpc, appliance, fleet.now, coldStartLimit.warmth(appliance) < 1);
+        appliance.coldCredit -= pick.cold ? WorkEstimate.expectedWork(rpc) : 0;
+        exposureLimit.pickSent(pick);
+        selector.pickSent(pick);
+        shutdown.pickSent(pick);
+        handler.pick(rpc, appliance, retryPolicy.pickTimeout(rpc, pick.cold || onTrial(pick.build)));
     }
 }
--- a/src/main/java/honeygap/fleet/Appliance.java
+++ b/src/main/java/honeygap/fleet/Appliance.java
@@ -17,41 +17,41 @@
     public long startedAt;
 
     /** Time of its answers over what the method usually takes; 1 is as usual. */
-    public double pace = 1;
+    public double latencyRatio = 1;
     /** Share of its picks that lately ended in an error or a reset. */
-    public double failing;
-    public final Room room = new Room(1);
+    public double failureShare;
+    public final ConcurrencyLimit room = new ConcurrencyLimit(1);
     /** Picks of other agents out there, by what they have told; 0 where agents share nothing. */
     public double others;
     /** Picks in a row that ended without a word from it. */
-    public int silent;
+    public int consecutiveUnanswered;
     /** Left out of picks until then. */
-    public long awayUntil = Long.MIN_VALUE / 2;
+    public long avoidedUntil = Long.MIN_VALUE / 2;
     /** Gets nothing until then, by its own word. */
     public long barredUntil = Long.MIN_VALUE / 2;
     /** When the last pick was sent that it answered on a connection from before the list grew old. */
-    public long servedAt = Fleet.LONG_AGO;
+    public long lastServedAt = Fleet.LONG_AGO;
     /** When a pick at it last ended without a word from it. */
-    public long doubtedAt = Fleet.LONG_AGO;
+    public long lastUnansweredAt = Fleet.LONG_AGO;
     /** Picks in a row that it has turned away while nobody told what changes in the list, and when the last one was. */
-    public int refusals;
-    public long refusedAt = Fleet.LONG_AGO;
+    public int consecutiveRefusals;
+    public long lastRefusedAt = Fleet.LONG_AGO;
     /** Work that this agent may send it while it is cold, and as of when. */
-    public double credit;
-    public long creditAt = Long.MIN_VALUE / 2;
+    public double coldCredit;
+    public long coldCreditAt = Long.MIN_VALUE / 2;
 
     public Appliance(long id) {
         this.id = id;
     }
 
     /** A fresh start under an old id: nothing known of it holds. */
-    public void renew() {
-        pace = 1;
-        failing = 0;
-        silent = 0;
-        awayUntil = Fleet.LONG_AGO;
+    public void resetObservations() {
+        latencyRatio = 1;
+        failureShare = 0;
+        consecutiveUnanswered = 0;
+        avoidedUntil = Fleet.LONG_AGO;
         barredUntil = Fleet.LONG_AGO;
-        servedAt = Fleet.LONG_AGO;
-        refusals = 0;
+        lastServedAt = Fleet.LONG_AGO;
+        consecutiveRefusals = 0;
     }
 }
--- a/src/main/java/honeygap/fleet/Build.java
+++ b/src/main/java/honeygap/fleet/Build.java
@@ -24,34 +24,34 @@
     /** The part of them that went to appliances no longer cold. */
     public final int[] warmInFlight;
     /** Room at all its appliances that are up. */
-    public final Room room = new Room(0);
+    public final ConcurrencyLimit limit = new ConcurrencyLimit(0);
     /** Times of the picks that count against the cap, oldest first, by counted method. */
-    public final ArrayDeque<long[]> exposed = new ArrayDeque<>();
+    public final ArrayDeque<long[]> exposedPicks = new ArrayDeque<>();
     /** How many of these there are, by counted method. */
-    public final int[] exposedOf;
+    public final int[] exposedCounts;
     /** Keys that this agent has sent to this build. */
-    public final Set<String> keys = new HashSet<>();
+    public final Set<String> routedKeys = new HashSet<>();
 
     /** Picks now out, by method: all, or only those at appliances no longer cold. */
-    public int[] out(boolean warmOnly) {
+    public int[] inFlightPicks(boolean warmOnly) {
         return warmOnly ? warmInFlight : inFlight;
     }
 
     /** Picks that ended lately with a word from it, by method. */
-    public final double[] ended;
+    public final double[] recentAnswers;
     /** Picks that ended with a word from it since the stage began. */
-    public int seen;
+    public int answersInStage;
     /** End of the last period of which the desk's counts of it have come. */
-    public long countedTo = Fleet.LONG_AGO;
+    public long countedUntil = Fleet.LONG_AGO;
 
     /** The module has let go of it: nothing of it is up, out or counted any more. */
     public boolean left;
 
-    public Build(int number, int methods) {
+    public Build(int number, int methodCount) {
         this.number = number;
-        this.exposedOf = new int[methods];
-        this.ended = new double[methods];
-        this.inFlight = new int[methods];
-        this.warmInFlight = new int[methods];
+        this.exposedCounts = new int[methodCount];
+        this.recentAnswers = new double[methodCount];
+        this.inFlight = new int[methodCount];
+        this.warmInFlight = new int[methodCount];
     }
 }
--- a/src/main/java/honeygap/fleet/Room.java
+++ b/src/main/java/honeygap/fleet/ConcurrencyLimit.java
@@ -1,38 +1,38 @@
 package honeygap.fleet;
 
 /** Room for picks of this agent at one appliance, or at all of a build together. */
-public final class Room {
+public final class ConcurrencyLimit {
 
     /** How many one appliance may hold on the mean, at least how many, and how many appliances there are. */
-    public double each;
-    public double least;
+    public double perAppliance;
+    public double minPerAppliance;
     public int appliances;
     public int out;
     /** Sum of the times at which the picks that are out were sent, and when the last pick was sent. */
-    private long sentSum;
+    private long sentAtSum;
     public long lastSentAt = Long.MIN_VALUE / 2;
     /** Share of the answers that lately came late. */
-    public double late;
+    public double lateShare;
     /** With room for less than one pick: no further one until then. */
-    public long restUntil = Long.MIN_VALUE / 2;
+    public long pausedUntil = Long.MIN_VALUE / 2;
 
-    public Room(int appliances) {
+    public ConcurrencyLimit(int appliances) {
         this.appliances = appliances;
     }
 
-    public void sent(long at) {
+    public void pickSent(long sentAt) {
         out++;
-        sentSum += at;
-        lastSentAt = at;
+        sentAtSum += sentAt;
+        lastSentAt = sentAt;
     }
 
-    public void ended(long sentAt) {
+    public void pickEnded(long sentAt) {
         out--;
-        sentSum -= sentAt;
+        sentAtSum -= sentAt;
     }
 
     /** For how long the picks that are out have been so on the mean; 0 where none is. */
     public double meanAge(long now) {
-        return out > 0 ? now - (double) sentSum / out : 0;
+        return out > 0 ? now - (double) sentAtSum / out : 0;
     }
 }
--- a/src/main/java/honeygap/fleet/Fleet.java
+++ b/src/main/java/honeygap/fleet/Fleet.java
@@ -14,108 +14,108 @@
 
     /** The time of this turn and of the one before, and the least time between two turns. */
     public long now;
-    public long before;
+    public long previousNow;
     public final long tick;
     /** How many agents there are. */
-    public final int agents;
+    public final int agentCount;
     public final List<Method> methods;
 
     /** What the list has named: appliances, where they stand, and their builds in order of number. */
     public final List<Appliance> appliances = new ArrayList<>();
-    public final List<Location> locations = new ArrayList<>();
+    public final List<Location> zones = new ArrayList<>();
     public final List<Build> builds = new ArrayList<>();
     /** What the list at hand has named so far, and of which kind it is. */
-    public final List<Appliance> named = new ArrayList<>();
-    private boolean fullList;
-    private boolean diskList;
+    public final List<Appliance> currentList = new ArrayList<>();
+    private boolean isFullList;
+    private boolean isDiskList;
 
     /** The rollout as the desk told it last. */
-    public Build newest;
+    public Build newestBuild;
     public int phase = Build.RELEASED;
     public int stage;
     public double cap;
-    public long since;
+    public long stageSince;
     /** When the desk told it, at the latest: what is told in a turn may have come at any time since the one before. */
-    public long toldAt = LONG_AGO;
+    public long rolloutReportedAt = LONG_AGO;
     /** The build that the fits are of, all others being the earlier one. */
-    public Build fitted;
+    public Build evaluatedBuild;
     /** Earlier appliances that were up when it came. */
-    public int places;
+    public int earlierAtTrialStart;
     /** First picks at the earlier builds and at the fitted one, old ones fading. */
-    public double sentOld;
-    public double sentNew;
+    public double firstPicksOld;
+    public double firstPicksNew;
     /** Work taken, and answered by warm appliances, in this second; what a warm one gets a time unit. */
-    public double takenWork;
-    public double warmWork;
-    public double warmRate;
+    public double receivedWork;
+    public double warmAnsweredWork;
+    public double warmWorkRate;
     /** Further picks against those allowed: at most 0. */
-    public double further;
+    public double retryBalance;
 
-    public Fleet(long now, long tick, int agents, List<Method> methods) {
+    public Fleet(long now, long tick, int agentCount, List<Method> methods) {
         this.now = now;
-        this.before = now;
+        this.previousNow = now;
         this.tick = Math.max(1, tick);
-        this.agents = Math.max(1, agents);
+        this.agentCount = Math.max(1, agentCount);
         this.methods = methods;
     }
 
-    public void listBegins(boolean full, boolean disk) {
-        fullList = full;
-        diskList = disk;
-        named.clear();
+    public void listStarted(boolean isFull, boolean isFromDisk) {
+        isFullList = isFull;
+        isDiskList = isFromDisk;
+        currentList.clear();
     }
 
     /** True for a fresh start, or another build, under its id: a new process, perhaps a new machine. */
-    public boolean listed(Appliance appliance, Build build, Location zone, int cell, int state,
+    public boolean applianceListed(Appliance appliance, Build build, Location zone, int cell, int state,
                           long startedAt) {
-        named.add(appliance);
+        currentList.add(appliance);
         if (!appliances.contains(appliance)) {
             appliances.add(appliance);
         }
-        if (!locations.contains(zone)) {
-            locations.add(zone);
+        if (!zones.contains(zone)) {
+            zones.add(zone);
         }
-        boolean isFresh = appliance.startedAt != startedAt || appliance.build != build;
+        boolean isNewProcess = appliance.startedAt != startedAt || appliance.build != build;
         appliance.build = build;
         appliance.zone = zone;
         appliance.cell = cell;
         appliance.state = state;
         appliance.startedAt = startedAt;
-        return isFresh;
+        return isNewProcess;
     }
 
     /**
      * What the whole list has not named is gone; builds leave with their last appliance and pick. True where it
      * is a list of an earlier process.
      */
-    public boolean listEnds() {
-        if (fullList) {
-            appliances.stream().filter(a -> !named.contains(a)).forEach(a -> a.state = Appliance.GONE);
+    public boolean listCompleted() {
+        if (isFullList) {
+            appliances.stream().filter(a -> !currentList.contains(a)).forEach(a -> a.state = Appliance.GONE);
         }
         appliances.removeIf(appliance -> appliance.state == Appliance.GONE);
-        builds.forEach(build -> build.left = build != fitted && newest != null && !isNew(build)
-                && build.room.out == 0 && appliances.stream().noneMatch(one -> one.build == build));
+        builds.forEach(build -> build.left = build != evaluatedBuild && newestBuild != null && !isNewestOrLater(build)
+                && build.limit.out == 0 && appliances.stream().noneMatch(appliance -> appliance.build == build));
         builds.removeIf(build -> build.left);
-        builds.forEach(build -> build.room.appliances = 0);
-        appliances.forEach(one -> one.build.room.appliances += one.state == Appliance.UP ? 1 : 0);
-        return diskList;
+        builds.forEach(build -> build.limit.appliances = 0);
+        appliances.forEach(appliance -> appliance.build.limit.appliances += appliance.state == Appliance.UP ? 1 : 0);
+        return isDiskList;
     }
 
-    public void told(Build build, int phase, int stage, double cap, long since) {
-        if (build != newest) {
-            builds.stream().filter(b -> b.number < build.number).forEach(b -> b.keys.clear());
+    public void rolloutReported(Build build, int phase, int stage, double cap, long stageSince) {
+        if (build != newestBuild) {
+            builds.stream().filter(b -> b.number < build.number).forEach(b -> b.routedKeys.clear());
         }
-        build.seen = build == newest && stage == this.stage ? build.seen : 0;
-        newest = build;
+        build.answersInStage = build == newestBuild && stage == this.stage ? build.answersInStage : 0;
+        newestBuild = build;
         this.phase = phase;
         this.stage = stage;
         this.cap = cap;
-        this.since = since;
-        toldAt = before;
+        this.stageSince = stageSince;
+        rolloutReportedAt = previousNow;
     }
 
     /** True where this build is new here. */
-    public boolean add(Build build) {
+    public boolean registerBuild(Build build) {
         boolean isNew = !builds.contains(build);
         if (isNew) {
             builds.add(build);
@@ -125,42 +125,42 @@
     }
 
     /** The newest build on trial is the one to fit; true where that has changed. */
-    public boolean begins() {
-        Build trial = trial();
-        boolean begins = trial != null && trial != fitted;
-        if (begins) {
-            fitted = trial;
-            places = earlier();
+    public boolean beginEvaluation() {
+        Build trialBuild = trialBuild();
+        boolean hasChanged = trialBuild != null && trialBuild != evaluatedBuild;
+        if (hasChanged) {
+            evaluatedBuild = trialBuild;
+            earlierAtTrialStart = earlierAppliances();
         }
-        return begins;
+        return hasChanged;
     }
 
     /** Appliances up of other builds than the one that the fit is of. */
-    public int earlier() {
-        return builds.stream().mapToInt(build -> build == fitted ? 0 : build.room.appliances).sum();
+    public int earlierAppliances() {
+        return builds.stream().mapToInt(build -> build == evaluatedBuild ? 0 : build.limit.appliances).sum();
     }
 
-    public boolean isNew(Build build) {
-        return newest != null && build.number >= newest.number;
+    public boolean isNewestOrLater(Build build) {
+        return newestBuild != null && build.number >= newestBuild.number;
     }
 
     /** Not yet announced, or announced and not released: what the exposure rule calls on trial. */
-    public boolean onTrial(Build build) {
-        return isNew(build) && (build != newest || phase != Build.RELEASED);
+    public boolean isOnTrial(Build build) {
+        return isNewestOrLater(build) && (build != newestBuild || phase != Build.RELEASED);
     }
 
-    public Build trial() {
+    public Build trialBuild() {
         Build last = builds.isEmpty() ? null : builds.get(builds.size() - 1);
-        return last != null && onTrial(last) ? last : null;
+        return last != null && isOnTrial(last) ? last : null;
     }
 
     /** The newest build has met this key; null is none. */
-    public boolean isMet(String key) {
-        return newest != null && newest.keys.contains(key);
+    public boolean isRoutedToNewest(String key) {
+        return newestBuild != null && newestBuild.routedKeys.contains(key);
     }
 
     /** The phases in which votes count, and in which keys stay with the build. */
-    public boolean isOpen() {
-        return newest != null && (phase == Build.ON_TRIAL || phase == Build.RELEASED);
+    public boolean isRolloutCurrent() {
+        return newestBuild != null && (phase == Build.ON_TRIAL || phase == Build.RELEASED);
     }
 }
--- a/src/main/java/honeygap/fleet/GivenUp.java
+++ b/src/main/java/honeygap/fleet/GivenUp.java
@@ -18,7 +18,7 @@
     /** How it is called in the log and among the counters. */
     public final String word;
 
-    GivenUp(String word) {
-        this.word = word;
+    GivenUp(String outerName) {
+        this.word = outerName;
     }
 }
--- a/src/main/java/honeygap/fleet/Method.java
+++ b/src/main/java/honeygap/fleet/Method.java
@@ -24,17 +24,17 @@
     public final double lateUtility;
 
     /** Mean time of an ok answer, in tenths of a millisecond; 0 before the first. */
-    public double usual;
+    public double meanLatency;
     /** The same when the build now on trial came. */
-    public double before;
-    public long answers;
+    public double meanLatencyBeforeTrial;
+    public long answerCount;
     /** When an RPC of it last found no place. */
-    public long fullAt = Long.MIN_VALUE / 2;
-    public long taken;
+    public long noCapacityAt = Long.MIN_VALUE / 2;
+    public long receivedCount;
     /** When RPCs of it were taken, or of all methods where exposure counts them together, oldest first. */
-    public final ArrayDeque<Long> takenAt = new ArrayDeque<>();
+    public final ArrayDeque<Long> receivedTimes = new ArrayDeque<>();
     /** Mean hint of the work of its RPCs; 0 where there are no hints. */
-    public double work;
+    public double meanWorkHint;
 
     public Method(int index, int effect, int scope, long tokenWindow, long softDeadline, long deadline,
                   double utility, double lateUtility) {
--- a/src/main/java/honeygap/fleet/Pick.java
+++ b/src/main/java/honeygap/fleet/Pick.java
@@ -3,7 +3,7 @@
 /** One pick of an RPC: the appliance it went to and how it ended. */
 public final class Pick {
 
-    public static final int OUT = -1;
+    public static final int IN_FLIGHT = -1;
     public static final int OK = 0;
     public static final int ERROR = 1;
     public static final int FULL = 2;
@@ -22,7 +22,7 @@
     public final boolean cold;
     /** When the connection was opened that it went out on, at the latest. */
     public long connectedAt;
-    public int outcome = OUT;
+    public int outcome = IN_FLIGHT;
 
     public Pick(Rpc rpc, Appliance appliance, long sentAt, boolean cold) {
         this.rpc = rpc;
@@ -33,23 +33,23 @@
         this.connectedAt = sentAt;
         this.cold = cold;
         rpc.picks.add(this);
-        count(1);
-        build.room.sent(sentAt);
-        appliance.room.sent(sentAt);
-        zone.sentAt = sentAt;
+        addInFlight(1);
+        build.limit.pickSent(sentAt);
+        appliance.room.pickSent(sentAt);
+        zone.lastPickAt = sentAt;
     }
 
     public void end(int outcome) {
         this.outcome = outcome;
-        count(-1);
-        build.room.ended(sentAt);
-        appliance.room.ended(sentAt);
+        addInFlight(-1);
+        build.limit.pickEnded(sentAt);
+        appliance.room.pickEnded(sentAt);
     }
 
-    private void count(int one) {
-        rpc.out += one;
-        zone.out += one;
-        build.inFlight[rpc.method.index] += one;
-        build.warmInFlight[rpc.method.index] += cold ? 0 : one;
+    private void addInFlight(int change) {
+        rpc.out += change;
+        zone.out += change;
+        build.inFlight[rpc.method.index] += change;
+        build.warmInFlight[rpc.method.index] += cold ? 0 : change;
     }
 }
--- a/src/main/java/honeygap/fleet/Rpc.java
+++ b/src/main/java/honeygap/fleet/Rpc.java
@@ -12,11 +12,11 @@
     public final Tenant tenant;
     /** May be null. */
     public final String key;
-    public final long takenAt;
+    public final long receivedAt;
     /** When the client gives this try up. */
     public final long deadline;
     /** Expected work in tenths of a millisecond on a standard core; 0 when not told. */
-    public final long work;
+    public final long workHint;
     public final boolean retry;
     public final List<Pick> picks = new ArrayList<>(2);
     /** Picks whose outcome is still to come. */
@@ -25,18 +25,18 @@
     /** Why it was refused or failed; null where it was not. */
     public GivenUp givenUp;
     /** The draw of theta said the build on trial; one draw an RPC. */
-    public boolean drawn;
-    public boolean drawnNew;
+    public boolean thetaDrawn;
+    public boolean drewTrial;
 
-    public Rpc(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
+    public Rpc(String id, Method method, Tenant tenant, String key, long receivedAt, long deadline, long workHint,
                boolean retry) {
         this.id = id;
         this.method = method;
         this.tenant = tenant;
         this.key = key;
-        this.takenAt = takenAt;
+        this.receivedAt = receivedAt;
         this.deadline = deadline;
-        this.work = work;
+        this.workHint = workHint;
         this.retry = retry;
     }
 }
--- a/src/main/java/honeygap/fleet/Ballot.java
+++ b/src/main/java/honeygap/fleet/VoteRecord.java
@@ -1,26 +1,26 @@
 package honeygap.fleet;
 
 /** The vote that this agent cast last, and what became of it. */
-public final class Ballot {
+public final class VoteRecord {
 
     public Build build;
     public int stage;
     public int verdict;
     public long castAt = Fleet.LONG_AGO;
     /** The next one may be cast then. */
-    public long nextAt = Fleet.LONG_AGO;
+    public long nextAllowedAt = Fleet.LONG_AGO;
     /** No answer yet. */
-    public boolean out;
-    public boolean stood;
+    public boolean isUnanswered;
+    public boolean isAccepted;
     /** What is to be noted about it. */
-    public String line;
+    public String pendingNote;
 
-    public void cast(Build build, int stage, int verdict, long at) {
+    public void recordCast(Build build, int stage, int verdict, long now) {
         this.build = build;
         this.stage = stage;
         this.verdict = verdict;
-        castAt = at;
-        out = true;
-        stood = false;
+        castAt = now;
+        isUnanswered = true;
+        isAccepted = false;
     }
 }
--- a/src/main/java/honeygap/rules/discovery/ListCalls.java
+++ b/src/main/java/honeygap/rules/discovery/ListCalls.java
@@ -7,26 +7,26 @@
 public final class ListCalls {
 
     /** Part of the time for asking over which agents that have a list spread their first calls. */
-    private static final double FIRST_SPREAD = 0.5;
+    private static final double FIRST_CALL_SPREAD = 0.5;
     /** Parts of it that bound a delay: after a watch ended, after a failed call, at most, and at most where pushed. */
-    private static final double RETRY_ENDED = 0.05, RETRY_FAILED = 0.25, RETRY_MOST = 1, RETRY_PUSHED = 0.25;
+    private static final double RETRY_AFTER_WATCH = 0.05, RETRY_AFTER_FAILURE = 0.25, MAX_RETRY = 1, MAX_RETRY_PUSHED = 0.25;
 
-    private final Chance chance;
-    private final Listing listing;
+    private final Chance random;
+    private final Listing settings;
     private boolean isOpen;
-    private boolean isTaken;
+    private boolean isAccepted;
     private int failures;
-    private long callAt;
+    private long nextCallAt;
 
-    public ListCalls(long now, Chance chance, Listing listing) {
-        this.chance = chance;
-        this.listing = listing;
-        callAt = now;
+    public ListCalls(long now, Chance random, Listing settings) {
+        this.random = random;
+        this.settings = settings;
+        nextCallAt = now;
     }
 
     /** A list of an earlier process is at hand: calls of hundreds of agents at once time each other out in the queue. */
     public void known(long now) {
-        callAt = listing.pushed() || isOpen ? callAt : now + delay(FIRST_SPREAD);
+        nextCallAt = settings.pushed() || isOpen ? nextCallAt : now + randomDelay(FIRST_CALL_SPREAD);
     }
 
     /**
@@ -34,40 +34,40 @@
      * made again too soon it keeps the queue full. So only a list that came, not a head, resets the back-off.
      */
     public void failed(long now) {
-        boolean pushed = listing.pushed();
-        double first = isTaken || pushed ? RETRY_ENDED : RETRY_FAILED, most = pushed ? RETRY_PUSHED : RETRY_MOST;
-        callAt = now + delay(Math.min(most, first * Math.pow(2, failures)));
-        failures += isTaken ? 0 : 1;
+        boolean pushed = settings.pushed();
+        double first = isAccepted || pushed ? RETRY_AFTER_WATCH : RETRY_AFTER_FAILURE, max = pushed ? MAX_RETRY_PUSHED : MAX_RETRY;
+        nextCallAt = now + randomDelay(Math.min(max, first * Math.pow(2, failures)));
+        failures += isAccepted ? 0 : 1;
         isOpen = false;
-        isTaken = false;
+        isAccepted = false;
     }
 
     /** Discovery has taken the open call, and tells what changes. */
-    public void taken() {
-        isTaken = true;
-        callAt = Long.MAX_VALUE;
+    public void callAccepted() {
+        isAccepted = true;
+        nextCallAt = Long.MAX_VALUE;
     }
 
     /** A list came from discovery. */
     public void answered() {
-        taken();
+        callAccepted();
         failures = 0;
     }
 
     /** When a call is due: one is open at a time, and keeps its place in discovery's queue. */
     public long callAt() {
-        return listing.watched() ? callAt : Long.MAX_VALUE;
+        return settings.watched() ? nextCallAt : Long.MAX_VALUE;
     }
 
     /** Whether to call now; again where there is no word for the whole time for asking. */
     public boolean calls(long now) {
         boolean isDue = now >= callAt();
         isOpen |= isDue;
-        callAt = isDue ? now + listing.askWithin() : callAt;
+        nextCallAt = isDue ? now + settings.askWithin() : nextCallAt;
         return isDue;
     }
 
-    private long delay(double bound) {
-        return (long) (bound * chance.next() * listing.askWithin());
+    private long randomDelay(double bound) {
+        return (long) (bound * random.nextUniform() * settings.askWithin());
     }
 }
--- /dev/null
+++ b/src/main/java/honeygap/rules/routing/ApplianceSelector.java
@@ -0,0 +1,83 @@
+package honeygap.rules.routing;
+
+import honeygap.fleet.*;
+import honeygap.rules.builds.ExposureLimit;
+import honeygap.rules.cold.ColdStartLimit;
+import honeygap.rules.discovery.ListLease;
+import honeygap.rules.evidence.FailureEvidence;
+import honeygap.rules.fit.Fit;
+import honeygap.rules.health.ApplianceHealth;
+import honeygap.rules.room.ConcurrencyLimits;
+import honeygap.rules.work.WorkEstimate;
+import java.util.List;
+
+/** Which appliance gets the next pick of an RPC? */
+public record ApplianceSelector(Fleet fleet, Chance random, ExposureLimit exposureLimit, FailureEvidence failureEvidence, ApplianceHealth health,
+                     ConcurrencyLimits concurrencyLimits, ColdStartLimit coldStartLimit, RetryPolicy retryPolicy, ListLease lease) {
+
+    public void pickSent(Pick pick) {
+        if (pick.rpc.picks.size() == 1 && fleet.evaluatedBuild != null) {
+            fleet.firstPicksOld = fleet.firstPicksOld * (1 - WorkEstimate.SMOOTHING) + (pick.build == fleet.evaluatedBuild ? 0 : 1);
+            fleet.firstPicksNew = fleet.firstPicksNew * (1 - WorkEstimate.SMOOTHING) + (pick.build == fleet.evaluatedBuild ? 1 : 0);
+        }
+    }
+
+    private boolean isAllowed(Rpc rpc, Appliance appliance, Pick mayHaveRun) {
+        Location zone = appliance.zone;
+        Build build = appliance.build;
+        return appliance.state == Appliance.UP && lease.covers(appliance) && fleet.now >= appliance.barredUntil
+                && (fleet.now >= zone.limitedUntil || zone.out < zone.most) && exposureLimit.allowsKey(rpc, build)
+                && retryPolicy.dropsDuplicate(rpc, mayHaveRun, appliance) && concurrencyLimits.hasCapacity(build, rpc)
+                && exposureLimit.allows(build, rpc.method) && coldStartLimit.allows(appliance, rpc);
+    }
+
+    public Appliance select(Rpc rpc, Pick mayHaveRun) {
+        Build trialBuild = fleet.trialBuild();
+        List<Appliance> allowed = fleet.appliances.stream().filter(a -> isAllowed(rpc, a, mayHaveRun)).toList();
+        List<Appliance> allowedNew = allowed.stream().filter(a -> a.build == trialBuild).toList();
+        // After the release: the newer.
+        int newestOld = allowed.stream().mapToInt(a -> a.build == trialBuild ? 0 : a.build.number).max().orElse(0);
+        List<Appliance> allowedOld = allowed.stream().filter(a -> a.build != trialBuild && a.build.number >= newestOld).toList();
+        List<Appliance> healthyOld = withoutAvoided(rpc, allowedOld), healthyNew = withoutAvoided(rpc, allowedNew);
+        boolean noneHealthy = healthyOld.isEmpty() && healthyNew.isEmpty();
+        Appliance oldCandidate = lessLoaded(rpc, noneHealthy ? allowedOld : healthyOld), newCandidate = lessLoaded(rpc, noneHealthy ? allowedNew : healthyNew);
+        if (oldCandidate == null || newCandidate == null) {
+            return oldCandidate == null ? newCandidate : oldCandidate;
+        }
+        boolean failedOnTrial = !rpc.picks.isEmpty() && rpc.picks.get(rpc.picks.size() - 1).build == trialBuild;
+        return !failedOnTrial && prefersTrial(rpc) ? newCandidate : oldCandidate;
+    }
+
+    /** One draw an RPC: even until the first failure, then by theta; the earlier build's share is bounded. */
+    private boolean prefersTrial(Rpc rpc) {
+        if (!rpc.thetaDrawn) {
+            rpc.thetaDrawn = true;
+            Fit fit = failureEvidence.inFlightFit;
+            rpc.drewTrial = fit.failures() == 0 ? random.nextUniform() < 0.5
+                    : fit.mode() + fit.standardDeviation() * random.nextNormal() > 0;
+        }
+        double oldShare = (double) fleet.earlierAppliances() / (fleet.earlierAppliances() + fleet.evaluatedBuild.limit.appliances);
+        return rpc.drewTrial || fleet.firstPicksOld > oldShare * (fleet.firstPicksOld + fleet.firstPicksNew);
+    }
+
+    /** Those that are not left out now nor were tried for this RPC yet; any other is the last resort. */
+    private List<Appliance> withoutAvoided(Rpc rpc, List<Appliance> candidates) {
+        return candidates.stream().filter(appliance -> !health.isAvoided(appliance, rpc)).toList();
+    }
+
+    private Appliance lessLoaded(Rpc rpc, List<Appliance> candidates) {
+        List<Appliance> withCapacity = candidates.stream().filter(appliance -> concurrencyLimits.hasCapacity(appliance.room, rpc)).toList();
+        if (withCapacity.isEmpty()) {
+            return null;
+        }
+        Appliance first = withCapacity.get((int) (random.nextUniform() * withCapacity.size()));
+        Appliance second = withCapacity.get((int) (random.nextUniform() * withCapacity.size()));
+        return load(second) < load(first) ? second : first;
+    }
+
+    private double load(Appliance appliance) {
+        double successShare = Math.max(WorkEstimate.SMOOTHING, 1 - appliance.failureShare);    // What fails at once looks light.
+        double inFlight = appliance.room.out + appliance.others + 1;
+        return inFlight * appliance.latencyRatio / coldStartLimit.warmth(appliance) / successShare / successShare;
+    }
+}
--- a/src/main/java/honeygap/rules/shutdown/Shutdown.java
+++ b/src/main/java/honeygap/rules/shutdown/Shutdown.java
@@ -3,7 +3,7 @@
 import honeygap.fleet.Fleet;
 import honeygap.fleet.Pick;
 import honeygap.fleet.Rpc;
-import honeygap.rules.work.Work;
+import honeygap.rules.work.WorkEstimate;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
@@ -14,7 +14,7 @@
 public final class Shutdown {
 
     private final Fleet fleet;
-    private final Set<Pick> out = new LinkedHashSet<>();
+    private final Set<Pick> inFlight = new LinkedHashSet<>();
     private ShutdownSchedule schedule;
 
     public Shutdown(Fleet fleet) {
@@ -22,8 +22,8 @@
     }
 
     /** The process has been told to end; told again, the first schedule holds. */
-    public void begins(ShutdownSchedule told) {
-        schedule = schedule == null ? told : schedule;
+    public void begin(ShutdownSchedule newSchedule) {
+        schedule = schedule == null ? newSchedule : schedule;
     }
 
     public ShutdownPhase phase() {
@@ -43,31 +43,31 @@
         if (schedule == null || !rpc.picks.isEmpty()) {
             return false;
         }
-        double wanted = Math.min(rpc.takenAt + rpc.method.softDeadline, rpc.deadline) - fleet.now;
-        double expected = rpc.method.usual > 0 ? Work.FAR_PAST * Work.expected(rpc) : wanted;
-        return schedule.answersBy() - fleet.now < Math.min(wanted, expected) || phase() == ShutdownPhase.ENDED;
+        double softTimeLeft = Math.min(rpc.receivedAt + rpc.method.softDeadline, rpc.deadline) - fleet.now;
+        double timeNeeded = rpc.method.meanLatency > 0 ? WorkEstimate.SLOW_RATIO * WorkEstimate.expectedLatency(rpc) : softTimeLeft;
+        return schedule.answersBy() - fleet.now < Math.min(softTimeLeft, timeNeeded) || phase() == ShutdownPhase.ENDED;
     }
 
-    public void sent(Pick pick) {
-        out.add(pick);
+    public void pickSent(Pick pick) {
+        inFlight.add(pick);
     }
 
-    public void ended(Pick pick) {
-        out.remove(pick);
+    public void pickEnded(Pick pick) {
+        inFlight.remove(pick);
     }
 
     /** A pick to stop waiting for, since its RPC must be answered now; null where there is none. */
-    public Pick overdue() {
-        if (phase() != ShutdownPhase.ENDED || out.isEmpty()) {
+    public Pick takeOverdue() {
+        if (phase() != ShutdownPhase.ENDED || inFlight.isEmpty()) {
             return null;
         }
-        Pick first = out.iterator().next();
-        out.remove(first);
+        Pick first = inFlight.iterator().next();
+        inFlight.remove(first);
         return first;
     }
 
     /** When picks have to be given up at the latest. */
-    public long wakeAt() {
-        return schedule == null || out.isEmpty() ? Long.MAX_VALUE : schedule.answersBy();
+    public long nextWakeAt() {
+        return schedule == null || inFlight.isEmpty() ? Long.MAX_VALUE : schedule.answersBy();
     }
 }
--- a/src/main/java/honeygap/rules/shutdown/ShutdownSchedule.java
+++ b/src/main/java/honeygap/rules/shutdown/ShutdownSchedule.java
@@ -12,27 +12,27 @@
 public record ShutdownSchedule(long signalledAt, long closesAt, long answersBy, long endsBy) {
 
     /** The operators kill a process at the earliest so long after the signal, beyond the longest deadline of all methods. */
-    private static final long GRACE = 7_000;
+    private static final long KILL_GRACE = 7_000;
     /** The longest deadline that they count; a longer one counts as this. */
-    private static final long LONGEST_COUNTED = 30_000;
+    private static final long MAX_COUNTED_DEADLINE = 30_000;
     /** A process may be held up for so long between reading its clock and writing. */
-    private static final long HELD_UP_MOST = 1_500;
+    private static final long MAX_STALL = 1_500;
     /** What the end itself takes: the shutdown hook, the last lines of the log, the recorder's last block, the runtime. */
-    private static final long OWN_END = 1_000;
+    private static final long EXIT_TIME = 1_000;
     /** What a client may take to read the last answer before its connection ends. */
-    private static final long LAST_READ = 1_000;
+    private static final long LAST_READ_TIME = 1_000;
 
     /** By the longest deadline of all methods. */
     public static ShutdownSchedule of(long signalledAt, long longestDeadline) {
-        long killedAt = signalledAt + GRACE + Math.min(LONGEST_COUNTED, longestDeadline);
-        long endsBy = killedAt - HELD_UP_MOST - OWN_END;
-        long answersBy = endsBy - LAST_READ;
-        return new ShutdownSchedule(signalledAt, Math.min(signalledAt + GRACE, answersBy), answersBy, endsBy);
+        long killedAt = signalledAt + KILL_GRACE + Math.min(MAX_COUNTED_DEADLINE, longestDeadline);
+        long endsBy = killedAt - MAX_STALL - EXIT_TIME;
+        long answersBy = endsBy - LAST_READ_TIME;
+        return new ShutdownSchedule(signalledAt, Math.min(signalledAt + KILL_GRACE, answersBy), answersBy, endsBy);
     }
 
     /** When the process ends though its last answers may not have been written, since it was held up. */
     public long lastMoment() {
-        return endsBy + HELD_UP_MOST;
+        return endsBy + MAX_STALL;
     }
 
     public ShutdownPhase phase(long now) {
--- a/src/main/java/honeygap/spread/Others.java
+++ b/src/main/java/honeygap/spread/Others.java
@@ -10,26 +10,26 @@
  */
 public final class Others {
 
-    private final long holds;
-    private final double most;
+    private final long validity;
+    private final double maxPerProcess;
     private final Map<String, Double> sums = new HashMap<>();
-    private long beyond;
+    private long outOfBounds;
 
     /** What is older than this counts for nothing; one process has at most so many picks out at one appliance. */
-    public Others(long holds, double most) {
-        this.holds = holds;
-        this.most = most;
+    public Others(long validity, double maxPerProcess) {
+        this.validity = validity;
+        this.maxPerProcess = maxPerProcess;
     }
 
     /** One process has so many picks out there, as of so long ago. */
-    public void told(String appliance, double out, long age) {
-        if (!(out >= 0 && out <= most)) {
+    public void told(String appliance, double inFlight, long age) {
+        if (!(inFlight >= 0 && inFlight <= maxPerProcess)) {
             // Guards against a member that says none always, or a billion: neither draws nor repels all.
-            beyond++;
+            outOfBounds++;
         }
-        double sane = out >= 0 ? Math.min(out, most) : 0;
-        double weight = Math.max(0, 1 - (double) age / holds);
-        sums.merge(appliance, sane * weight, Double::sum);
+        double bounded = inFlight >= 0 ? Math.min(inFlight, maxPerProcess) : 0;
+        double weight = Math.max(0, 1 - (double) age / validity);
+        sums.merge(appliance, bounded * weight, Double::sum);
     }
 
     /** Picks of others by appliance. */
@@ -39,6 +39,6 @@
 
     /** Figures that were out of bounds. */
     public long beyond() {
-        return beyond;
+        return outOfBounds;
     }
 }
--- a/src/main/java/honeygap/stats/PartialLikelihood.java
+++ b/src/main/java/honeygap/stats/PartialLikelihood.java
@@ -14,9 +14,9 @@
  */
 public class PartialLikelihood {
 
-    private static final int MOST_STEPS = 50;
-    private static final double LONGEST_STEP = 1;
-    private static final double PRECISION = 1e-9;
+    private static final int MAX_STEPS = 50;
+    private static final double MAX_STEP = 1;
+    private static final double TOLERANCE = 1e-9;
 
     /** A group of tied events: failures, those of them in the new arm, and the two risk sets. */
     private static final class Group {
@@ -35,7 +35,7 @@
     private boolean isStale;
 
     /** Opens groups of tied events; returns the number of the first. */
-    public int open(int count) {
+    public int openGroups(int count) {
         for (int i = 0; i < count; i++) {
             groups.add(new Group());
         }
@@ -43,8 +43,8 @@
     }
 
     /** Adds to a group so many at risk in one arm, and so many failures among them. */
-    public void add(int number, boolean isNew, double atRisk, double failed) {
-        Group group = groups.get(number);
+    public void add(int index, boolean isNew, double atRisk, double failed) {
+        Group group = groups.get(index);
         group.failures += failed;
         failures += failed;
         if (isNew) {
@@ -58,14 +58,14 @@
     }
 
     /** Keeps only this part of the new arm of all groups, and of its failures; the old arm stays. */
-    public void fade(double keep) {
+    public void fade(double factor) {
         for (Group group : groups) {
-            group.failures -= (1 - keep) * group.failuresOfNew;
-            group.failuresOfNew *= keep;
-            group.atRiskNew *= keep;
+            group.failures -= (1 - factor) * group.failuresOfNew;
+            group.failuresOfNew *= factor;
+            group.atRiskNew *= factor;
         }
-        failures -= (1 - keep) * failuresOfNew;
-        failuresOfNew *= keep;
+        failures -= (1 - factor) * failuresOfNew;
+        failuresOfNew *= factor;
         isStale = true;
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Standard deviation of the posterior's normal approximation at its maximum. */
-    public double spread() {
+    public double standardDeviation() {
         solve();
         return 1 / Math.sqrt(curvature);
     }
@@ -96,11 +96,11 @@
             return;
         }
         isStale = false;
-        for (int i = 0; i < MOST_STEPS; i++) {
+        for (int i = 0; i < MAX_STEPS; i++) {
             double slope = slope();
             double step = slope / curvature;
-            mode += Math.max(-LONGEST_STEP, Math.min(LONGEST_STEP, step));
-            if (Math.abs(step) < PRECISION) {
+            mode += Math.max(-MAX_STEP, Math.min(MAX_STEP, step));
+            if (Math.abs(step) < TOLERANCE) {
                 return;
             }
         }
--- a/src/main/java/honeygap/terms/Cold.java
+++ b/src/main/java/honeygap/terms/Cold.java
@@ -1,4 +1,4 @@
 package honeygap.terms;
 
 /** A cold appliance: what it starts from, when it is warm, and what pushes it over. */
-public record Cold(double from, long warmAfter, double fallMultiple, long tipAfter) { }
+public record Cold(double initialCapacity, long warmAfter, double overloadMultiple, long overloadAfter) { }
--- a/src/main/java/honeygap/terms/Tries.java
+++ b/src/main/java/honeygap/terms/Tries.java
@@ -1,4 +1,4 @@
 package honeygap.terms;
 
 /** Picks of one RPC at most, and whether and how long clients heed being told to stay away. */
-public record Tries(int most, boolean stayAwayHeard, long stayAwayMost) { }
+public record Tries(int maxPicks, boolean retryAfterHonored, long maxRetryAfter) { }
--- a/src/test/java/honeygap/FitTest.java
+++ b/src/test/java/honeygap/FitTest.java
@@ -19,7 +19,7 @@
             String[] event = events.split(" ")[i].split(":");
             all[i] = new double[] {Double.parseDouble(event[0]), Double.parseDouble(event[1]),
                 Double.parseDouble(event[2])};
-            fit.event(all[i][0], all[i][1], all[i][2] == 1);
+            fit.addEvent(all[i][0], all[i][1], all[i][2] == 1);
         }
         double best = 0;
         for (double theta = -6; theta <= 6; theta += 1e-4) {
@@ -29,7 +29,7 @@
         double curve = -(posterior(all, best + h) - 2 * posterior(all, best) + posterior(all, best - h))
                 / (h * h);
         assertEquals(best, fit.mode(), 2e-4);
-        assertEquals(1 / Math.sqrt(curve), fit.spread(), 1e-3);
+        assertEquals(1 / Math.sqrt(curve), fit.standardDeviation(), 1e-3);
     }
 
     private static double posterior(double[][] events, double theta) {
@@ -54,15 +54,15 @@
             group.add(0, true, 1, i < failedNew ? 1 : 0);
         }
         for (int i = 0; i < failedOld + failedNew; i++) {
-            single.event(Math.max(picksOld, failedOld), Math.max(picksNew, failedNew), i < failedNew);
+            single.addEvent(Math.max(picksOld, failedOld), Math.max(picksNew, failedNew), i < failedNew);
         }
         assertEquals(single.mode(), group.mode(), 1e-6);
-        assertEquals(single.spread(), group.spread(), 1e-6);
+        assertEquals(single.standardDeviation(), group.standardDeviation(), 1e-6);
     }
 
     @ParameterizedTest
     @CsvSource({"1,0.5", "2.718281828,0.158655", "7.389056,0.02275"})
     void chanceOfWorseIsNormal(double times, double chance) {
-        assertEquals(chance, new Fit(0).worse(times), 1e-5);
+        assertEquals(chance, new Fit(0).worseProbability(times), 1e-5);
     }
 }
--- a/src/test/java/honeygap/RulesTest.java
+++ b/src/test/java/honeygap/RulesTest.java
@@ -179,7 +179,7 @@
         if (listed == 1) {
             agency.list(2, agency.fresh, 0, 0, Appliance.UP, agency.now);
         }
-        agency.fresh.seen = seen;
+        agency.fresh.answersInStage = seen;
         agency.after(seconds * SECOND);
         assertEquals(then, agency.pull());
     }
@@ -193,7 +193,7 @@
         agency.warm(1, agency.old);
         agency.rules.told(agency.fresh, Build.ON_TRIAL, 0, 0.2, false, agency.now, 0);
         agency.list(2, agency.fresh, 0, 0, Appliance.UP, agency.now);
-        agency.fresh.seen = 8;
+        agency.fresh.answersInStage = 8;
         agency.after(3 * SECOND);
         assertEquals("vote1", agency.pull());
         if (answer >= 0) {
@@ -586,7 +586,7 @@
                     boolean isSick = sick && rpc.picks.get(0).appliance.id == 3;
                     agency.end(rpc, isSick ? Pick.ERROR : Pick.OK);
                 }
-                while (!slow.isEmpty() && slow.peek().takenAt <= agency.now - 1000) {
+                while (!slow.isEmpty() && slow.peek().receivedAt <= agency.now - 1000) {
                     Rpc done = slow.remove();
                     boolean isSick = sick && failsOneIn == 0 && done.picks.get(0).appliance.id == 18;
                     boolean fails = failsOneIn > 0 && random.nextInt(failsOneIn) == 0;
@@ -769,7 +769,7 @@
         agency.warm(1, agency.old);
         agency.warm(2, agency.fresh);
         agency.rules.told(agency.fresh, Build.ON_TRIAL, 0, 1, false, agency.now, 0);
-        agency.fresh.seen = 8;
+        agency.fresh.answersInStage = 8;
         agency.after((long) (seconds * SECOND));
         assertEquals(on, agency.pull().contains("vote" + Build.VOTE_ON));
     }
@@ -797,7 +797,7 @@
             agency.rules.taken(rpc);
             open.add(rpc);
             said += agency.pull();
-            while (open.peek().takenAt < agency.now - 3000) {
+            while (open.peek().receivedAt < agency.now - 3000) {
                 Rpc done = open.remove();
                 if (done.out > 0) {
                     agency.end(done, Pick.OK);
--- a/src/test/java/honeygap/ShutdownRulesTest.java
+++ b/src/test/java/honeygap/ShutdownRulesTest.java
@@ -108,7 +108,7 @@
     @CsvSource({"1.01, 0, pick", "0.99, 0, pushback", "0.31, 1000, pick", "0.29, 1000, pushback"})
     void refusedAtOnce(double secondsLeft, long usual, String then) {
         Agency agency = agency();
-        agency.methods.get(UNSAFE).usual = usual;
+        agency.methods.get(UNSAFE).meanLatency = usual;
         ShutdownSchedule schedule = signal(agency);
         agency.after((long) (schedule.answersBy() - secondsLeft * SECOND) - agency.now);
         agency.take(UNSAFE, null);
--- a/src/test/java/honeygap/rules/discovery/ListCallsTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListCallsTest.java
@@ -58,7 +58,7 @@
         ListCalls calls = calls(1, ASKED);
         assertTrue(calls.calls(0));
         assertFalse(calls.calls(10 * SECOND - 1));
-        calls.taken();
+        calls.callAccepted();
         assertFalse(calls.calls(1_000 * SECOND));
     }
 
@@ -91,7 +91,7 @@
         }
         long longest = 0;
         for (int i = 0; i < 20; i++) {
-            calls.taken();
+            calls.callAccepted();
             calls.failed(0);
             longest = Math.max(longest, calls.callAt());
         }
--- a/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
@@ -31,9 +31,9 @@
 
     private Appliance listed(long id) {
         Appliance appliance = new Appliance(id);
-        fleet.listBegins(false, false);
-        fleet.listed(appliance, build, new Location(), 0, Appliance.UP, Fleet.LONG_AGO);
-        fleet.listEnds();
+        fleet.listStarted(false, false);
+        fleet.applianceListed(appliance, build, new Location(), 0, Appliance.UP, Fleet.LONG_AGO);
+        fleet.listCompleted();
         return appliance;
     }
 
@@ -53,7 +53,7 @@
         pick.connectedAt = (long) (connectedAt * SECOND);
         at(endedAt);
         pick.end(outcome);
-        lease.ended(pick, outcome);
+        lease.pickEnded(pick, outcome);
     }
 
     @Test
@@ -64,7 +64,7 @@
 
     @Test
     void endsWhenNobodyConfirms() {
-        lease.confirmed(SECOND);
+        lease.confirm(SECOND);
         assertTrue(at(6.9).lease.covers(one));
         assertFalse(at(7).lease.covers(one));
     }
@@ -72,8 +72,8 @@
     /** A sign of life may run ahead of a change that waits in discovery's queue. */
     @Test
     void signOfLifeCountsAsOfEarlier() {
-        lease.confirmed(SECOND);
-        lease.signOfLife(10 * SECOND);
+        lease.confirm(SECOND);
+        lease.heartbeat(10 * SECOND);
         assertTrue(at(14.9).lease.covers(one));
         assertFalse(at(15).lease.covers(one));
     }
@@ -81,19 +81,19 @@
     /** Without discovery an agent goes on with those that answer, each for as long as a list would hold. */
     @Test
     void answersCoverTheirOwnApplianceFromWhenTheyWereAsked() {
-        lease.confirmed(0);
+        lease.confirm(0);
         lease.watchLost();
         answered(one, 5, 5.5, Pick.OK);
         assertTrue(at(10.9).lease.covers(one));
         assertFalse(lease.covers(other));
-        assertEquals(1, lease.covered());
+        assertEquals(1, lease.coveredCount());
         assertFalse(at(11).lease.covers(one));
     }
 
     /** On a connection opened since, another process may answer: one that drained, left and came back unlisted. */
     @Test
     void answersOnNewConnectionsCoverNothing() {
-        lease.confirmed(SECOND);
+        lease.confirm(SECOND);
         answered(one, 1, 5, 5.1, Pick.OK);
         answered(other, 1.1, 5, 5.1, Pick.OK);
         at(8);
@@ -104,13 +104,13 @@
     /** The newest build's appliance that falls silent may have left: the desk does not tell of that. */
     @Test
     void newsDoesNotCoverWhatFellSilent() {
-        fleet.told(build, Build.RELEASED, 0, 1, 0);
+        fleet.rolloutReported(build, Build.RELEASED, 0, 1, 0);
         answered(one, 0, 0, Pick.TIMEOUT);
         answered(other, 0, 0, Pick.ERROR);
         assertFalse(lease.covers(one));
         assertTrue(lease.covers(other));
-        lease.confirmed(1);
-        fleet.toldAt = 10 * SECOND;
+        lease.confirm(1);
+        fleet.rolloutReportedAt = 10 * SECOND;
         at(10);
         assertTrue(lease.covers(one), "listed since");
     }
@@ -127,7 +127,7 @@
     /** While nobody tells what changes, one that refuses may drain: each refusal in a row keeps it away for longer. */
     @Test
     void refusalsCountWhileTheListIsOld() {
-        lease.confirmed(0);
+        lease.confirm(0);
         answered(one, 1, 1, Pick.FULL);
         assertTrue(lease.covers(one), "the list would say so");
         lease.watchLost();
@@ -139,7 +139,7 @@
         answered(one, 2.9, 2.9, Pick.OK);
         assertTrue(lease.covers(one));
         answered(one, 3, 3, Pick.FULL);
-        lease.confirmed(fleet.now);
+        lease.confirm(fleet.now);
         assertTrue(lease.covers(one), "the list says that it serves");
     }
 
@@ -148,19 +148,19 @@
     void freshNewsCoversTheNewestBuild() {
         Build newer = new Build(2, 1);
         Appliance third = new Appliance(3);
-        fleet.listBegins(false, false);
-        fleet.listed(third, newer, new Location(), 0, Appliance.UP, Fleet.LONG_AGO);
-        fleet.listEnds();
-        fleet.told(build, Build.RELEASED, 0, 1, 0);
+        fleet.listStarted(false, false);
+        fleet.applianceListed(third, newer, new Location(), 0, Appliance.UP, Fleet.LONG_AGO);
+        fleet.listCompleted();
+        fleet.rolloutReported(build, Build.RELEASED, 0, 1, 0);
         assertTrue(at(5.9).lease.covers(one));
-        assertTrue(lease.mayOpen(), "two of three are known to serve");
+        assertTrue(lease.mayAcceptClients(), "two of three are known to serve");
         assertFalse(lease.covers(third), "not announced yet");
         assertFalse(at(6).lease.covers(one), "the news is as old as a list may be");
-        fleet.before = fleet.now;
-        fleet.told(newer, Build.ON_TRIAL, 0, 0.1, 0);
+        fleet.previousNow = fleet.now;
+        fleet.rolloutReported(newer, Build.ON_TRIAL, 0, 0.1, 0);
         assertFalse(lease.covers(one), "it will be replaced");
         assertTrue(lease.covers(third));
-        fleet.told(newer, Build.REVERTING, 0, 0, 0);
+        fleet.rolloutReported(newer, Build.REVERTING, 0, 0, 0);
         assertFalse(lease.covers(third), "it goes back");
     }
 
@@ -168,15 +168,15 @@
     @Test
     void newsCountsAsOfTheTurnBefore() {
         at(10);
-        fleet.before = 2 * SECOND;
-        fleet.told(build, Build.RELEASED, 0, 1, 0);
+        fleet.previousNow = 2 * SECOND;
+        fleet.rolloutReported(build, Build.RELEASED, 0, 1, 0);
         assertFalse(lease.covers(one));
     }
 
     @Test
     void endsSoonerWhereDiscoveryMoves() {
-        lease.confirmed(SECOND);
-        at(1).lease.moved();
+        lease.confirm(SECOND);
+        at(1).lease.discoveryMoved();
         assertTrue(at(4.9).lease.covers(one));
         assertFalse(at(5).lease.covers(one));
     }
@@ -184,19 +184,19 @@
     /** Clients come when the list is current, or else when an agent has waited for two thirds of the lease. */
     @Test
     void opensWithACurrentListOrAfterAWhile() {
-        assertFalse(at(3.9).lease.mayOpen());
-        assertTrue(at(4).lease.mayOpen());
-        lease.confirmed(fleet.now);
-        assertTrue(lease.mayOpen());
+        assertFalse(at(3.9).lease.mayAcceptClients());
+        assertTrue(at(4).lease.mayAcceptClients());
+        lease.confirm(fleet.now);
+        assertTrue(lease.mayAcceptClients());
         ListLease soon = new ListLease(fleet, new Listing(true, false, 10 * SECOND, LEASE));
-        soon.confirmed(fleet.now);
-        assertTrue(soon.mayOpen());
+        soon.confirm(fleet.now);
+        assertTrue(soon.mayAcceptClients());
     }
 
     @Test
     void withoutALeaseEverythingIsCovered() {
         ListLease none = new ListLease(fleet, new Listing(true, false, 10 * SECOND, 0));
-        assertTrue(at(1000).lease.mayOpen() && none.covers(one) && none.isConfirmed());
+        assertTrue(at(1000).lease.mayAcceptClients() && none.covers(one) && none.isConfirmed());
         answered(one, 1, 1, Pick.FULL);
         assertTrue(none.covers(one));
     }
