--- a/src/main/java/honeygap/Ctl.java
+++ b/src/main/java/honeygap/Ctl.java
@@ -5,37 +5,38 @@
 import honeygap.fleet.Rpc;
 
 /**
- * The way decisions go out. {@link Rules#next} makes at most one of these calls each time it is pulled.
+ * Carries out decisions. Each call of {@link Rules#next} makes at most one of these calls.
  * Durations are in tenths of a millisecond.
  */
 public interface Ctl {
 
-    /** Sends a pick of the RPC to the appliance; it times out after {@code within}. */
+    /** Sends a pick of the RPC to the appliance; it times out after {@code timeout}. */
     void pick(Rpc rpc, Appliance appliance, long timeout);
 
-    /** Final answer: pushed back; asking again is harmless, best not before {@code stayAway} has passed. */
+    /** Final answer: pushed back. A retry is safe; the client should wait for {@code retryAfter} first. */
     void pushBack(Rpc rpc, long retryAfter);
 
-    /** Final answer: aborted; nothing is promised about its effect. */
+    /** Final answer: aborted. The RPC may or may not have taken effect. */
     void abort(Rpc rpc);
 
-    /** Stops waiting for one pick. */
+    /** Cancels the pick of the RPC with this index. */
     void cancel(Rpc rpc, int pickIndex);
 
+    /** Checks whether the appliance is reachable. */
     void probe(Appliance appliance);
 
-    /** Casts this agent's one vote: one of the {@code Build.VOTE_} verdicts. */
+    /** Casts this agent's vote on a stage of the build: one of the {@code Build.VOTE_} constants. */
     void vote(Build build, int stage, int verdict);
 
-    /** Asks the appliance list for all changes from now on. */
+    /** Starts a watch on the appliance list: all changes from now on. */
     void watch();
 
-    /** Asks the appliance list for the whole list, once. */
+    /** Fetches the whole appliance list once. */
     void fetch();
 
-    /** Wants to be woken after this delay. */
+    /** Requests a wake-up after this delay. */
     void wake(long delay);
 
-    /** A line for the report of on-call staff. */
+    /** Writes a line to the log for operators. */
     void note(String line);
 }
--- a/src/main/java/honeygap/Rules.java
+++ b/src/main/java/honeygap/Rules.java
@@ -19,17 +19,17 @@
 import java.util.List;
 
 /**
- * The door of the decision module: all that one agent decides is here and below {@code rules}, a module a
- * question. The host tells what happened ({@link #now}, then {@link #taken}, {@link #ended}, {@link #listed},
- * {@link #told} and the like), which only updates what is known, and then pulls decisions with {@link #next}
- * until there is none; they go out by {@link Ctl}. Times are whole tenths of a millisecond.
- * docs/design.md says what comes from which part of the paper.
+ * Entry point of the decision module. Every decision of an agent is made here and in the classes below
+ * {@code honeygap.rules}, one class for each kind of decision. The host reports events ({@link #now}, then
+ * {@link #taken}, {@link #ended}, {@link #listed}, {@link #told} and so on), which only update state. It then
+ * calls {@link #next} until that returns false; each call passes at most one decision to the {@link Ctl}.
+ * Times are whole tenths of a millisecond. docs/design.md maps the rules to the sections of the paper.
  */
 public final class Rules {
 
-    /** Times the least duration of a stage that a vote for it waits. */
+    /** A vote to advance waits for this multiple of the minimum stage duration. */
     private static final double ADVANCE_DELAY_SOAKS = 1.5;
-    /** Part of the soft deadline for which an RPC waits for a place before it is pushed back. */
+    /** Share of the soft deadline for which an RPC waits for an appliance before it is pushed back. */
     private static final double MAX_WAIT_SHARE = 0.05;
 
     private final Fleet fleet;
@@ -65,13 +65,15 @@
         failureEvidence = new FailureEvidence(fleet, health);
         slownessEvidence = new SlownessEvidence(fleet, advanceDelay);
         deskCounts = new DeskCounts(fleet, deskSettings);
-        voting = new Voting(fleet, random, failureEvidence, slownessEvidence, deskCounts, deskSettings, exposureSettings.waves(), advanceDelay,
-                new VoteRecord());
+        voting = new Voting(fleet, random, failureEvidence, slownessEvidence, deskCounts, deskSettings,
+                exposureSettings.waves(), advanceDelay, new VoteRecord());
         shutdown = new Shutdown(fleet);
         retryPolicy = new RetryPolicy(fleet, shutdown, retryLimits.maxPicks());
-        selector = new ApplianceSelector(fleet, random, exposureLimit, failureEvidence, health, concurrencyLimits, coldStartLimit, retryPolicy, lease);
+        selector = new ApplianceSelector(fleet, random, exposureLimit, failureEvidence, health, concurrencyLimits,
+                coldStartLimit, retryPolicy, lease);
     }
 
+    /** Starts an iteration at this time; waiting RPCs are decided again. */
     public void now(long now) {
         if (now != fleet.now) {
             fleet.previousNow = fleet.now;
@@ -81,10 +83,12 @@
         }
     }
 
+    /** The wake-up requested last has fired. */
     public void woken() {
         nextWakeAt = Long.MAX_VALUE;
     }
 
+    /** A client has sent an RPC. */
     public void taken(Rpc rpc) {
         retryPolicy.rpcReceived();
         exposureLimit.rpcReceived(rpc.method);
@@ -94,11 +98,17 @@
         undecided.addLast(rpc);
     }
 
+    /** The client of the RPC has disconnected or cancelled it. */
     public void left(Rpc rpc) {
         rpc.closed = true;
     }
 
-    /** A pick ended; the time that it took is the wire's, since an agent that stalled reads it late. */
+    /**
+     * A pick has ended.
+     *
+     * @param closed whether the RPC has its final answer
+     * @param latency time as measured on the connection; an agent that stalled processes the end later
+     */
     public void ended(Rpc rpc, int index, int outcome, boolean closed, long latency) {
         Pick pick = rpc.picks.get(index);
         if (pick.outcome != Pick.IN_FLIGHT) {
@@ -122,7 +132,14 @@
         }
     }
 
-    public void told(Build build, int phase, int stage, double cap, boolean isVoteAnswer, long stageSince, int outcome) {
+    /**
+     * The desk has reported the state of the rollout.
+     *
+     * @param isVoteAnswer whether the report answers this agent's vote
+     * @param outcome how the call to the desk ended; the state is valid only where it is {@link Pick#OK}
+     */
+    public void told(Build build, int phase, int stage, double cap, boolean isVoteAnswer, long stageSince,
+                     int outcome) {
         if (isVoteAnswer) {
             voting.voteAnswered(outcome);
         }
@@ -135,17 +152,23 @@
         }
     }
 
-    /** Of a period that ended so long ago. */
+    /**
+     * The desk has sent its counts of all agents' picks for one build and method in one period.
+     *
+     * @param age time since the period ended
+     */
     public void counted(Build build, Method method, long picks, long failed, long meanLatency, long age) {
         registerBuild(build);
         build.countedUntil = Math.max(build.countedUntil, fleet.now - age);
         deskCounts.countsReceived(build, method, picks, failed, meanLatency);
     }
 
+    /** A client has reported a wrong answer of this appliance. */
     public void contested(Appliance appliance, Method method, long age) {
         failureEvidence.wrongAnswerReported(appliance.build, method);
     }
 
+    /** Records a build that may be new, and starts an evaluation if it is the newest on trial. */
     private void registerBuild(Build build) {
         if (fleet.registerBuild(build)) {
             concurrencyLimits.buildAdded(build, fleet.warmWorkRate);
@@ -161,6 +184,7 @@
         return fleet.isOnTrial(build);
     }
 
+    /** The entries of a list, or of a change to it, follow. */
     public void listBegins(boolean isFull, boolean isFromDisk) {
         fleet.listStarted(isFull, isFromDisk);
     }
@@ -182,51 +206,53 @@
         concurrencyLimits.listUpdated();
     }
 
-    /** Discovery has told all that had changed up to then; before the entries that it told. */
+    /** Discovery has reported all changes up to this time; called before the entries that it reported. */
     public void listConfirmed(long asOf) {
         lease.confirm(asOf);
     }
 
-    /** Discovery said then that nothing had changed. */
+    /** Discovery has reported that nothing had changed by this time. */
     public void listUnchanged(long asOf) {
         lease.heartbeat(asOf);
     }
 
+    /** Discovery has accepted the watch call. */
     public void listTaken() {
         listCallSchedule.callAccepted();
     }
 
+    /** The watch call has failed or ended. */
     public void listFailed() {
         listCallSchedule.failed(fleet.now);
         lease.watchLost();
     }
 
-    /** Discovery is called at another address from now on. */
+    /** The address of discovery has changed. */
     public void listMoved() {
         lease.discoveryMoved();
     }
 
-    /** The process has been told to end. */
+    /** The process has received the signal to shut down. */
     public void ending(ShutdownSchedule schedule) {
         shutdown.begin(schedule);
     }
 
-    /** Whether clients may come yet: an agent that has just started waits for its list, for a while. */
+    /** Whether clients may connect: an agent that has just started waits a limited time for its list. */
     public boolean mayOpen() {
         return lease.mayAcceptClients();
     }
 
-    /** How many appliances are known to serve, by the list or by their own answers. */
+    /** Number of appliances known to serve, from the list or from their own answers. */
     public long covered() {
         return lease.coveredCount();
     }
 
-    /** Tenths of a millisecond since discovery last confirmed the list; negative where it never has. */
+    /** Tenths of a millisecond since discovery last confirmed the list; negative if it never has. */
     public long listAge() {
         return lease.age();
     }
 
-    /** Makes at most one call on {@code ctl}; false when there is nothing to decide now. */
+    /** Makes at most one call on the handler; false when nothing is left to decide now. */
     public boolean next(Ctl handler) {
         if (fleet.now >= secondStartedAt + Fleet.SECOND) {
             coldStartLimit.updateWorkRate(secondStartedAt);
@@ -251,7 +277,8 @@
                 return true;
             }
         }
-        long wakeAt = Math.min(listCallSchedule.callAt(), fleet.isRolloutCurrent() ? fleet.now + Fleet.SECOND / 10 : Long.MAX_VALUE);
+        long wakeAt = Math.min(listCallSchedule.callAt(),
+                fleet.isRolloutCurrent() ? fleet.now + Fleet.SECOND / 10 : Long.MAX_VALUE);
         wakeAt = Math.min(wakeAt, shutdown.nextWakeAt());
         wakeAt = waiting.isEmpty() ? wakeAt : Math.min(wakeAt, fleet.now + 2 * fleet.tick);
         if (wakeAt < nextWakeAt) {
@@ -262,7 +289,7 @@
         return false;
     }
 
-    /** Decides about an RPC that has no pick out; false when it is held. */
+    /** Decides an RPC that has no pick in flight; false when it has to wait. */
     private boolean decideRpc(Rpc rpc, Ctl handler) {
         Pick mayHaveRun = RetryPolicy.firstThatMayHaveRun(rpc);
         if (shutdown.refuses(rpc)) {
@@ -272,7 +299,8 @@
         if (reason != null) {
             return giveFinalAnswer(rpc, mayHaveRun, reason, handler);
         }
-        // Where one without ties found no place in this turn, nor will the next: many may be held, and often.
+        // If one RPC that may go to any appliance found no capacity in this iteration, the next one of its
+        // method will not either. This saves repeated searches while many RPCs wait.
         boolean isFree = rpc.picks.isEmpty() && !fleet.isRoutedToNewest(rpc.key);
         Appliance appliance = isFree && rpc.method.noCapacityAt == fleet.now ? null : selector.select(rpc, mayHaveRun);
         rpc.method.noCapacityAt = isFree && appliance == null ? fleet.now : rpc.method.noCapacityAt;
@@ -281,13 +309,14 @@
             return true;
         }
         if (mayHaveRun != null || fleet.now >= rpc.receivedAt + MAX_WAIT_SHARE * rpc.method.softDeadline) {
-            return giveFinalAnswer(rpc, mayHaveRun, lease.coveredCount() == 0 ? GivenUp.NONE_KNOWN : GivenUp.NO_ROOM, handler);
+            return giveFinalAnswer(rpc, mayHaveRun,
+                    lease.coveredCount() == 0 ? GivenUp.NONE_KNOWN : GivenUp.NO_ROOM, handler);
         }
         waiting.addLast(rpc);
         return false;
     }
 
-    /** The final answer for an RPC that is given up: pushed back where the rules allow, or else aborted. */
+    /** Gives an abandoned RPC its final answer: pushed back where a retry is safe, otherwise aborted. */
     private boolean giveFinalAnswer(Rpc rpc, Pick mayHaveRun, GivenUp reason, Ctl handler) {
         rpc.closed = true;
         rpc.givenUp = reason;
--- a/src/main/java/honeygap/fleet/Appliance.java
+++ b/src/main/java/honeygap/fleet/Appliance.java
@@ -1,42 +1,42 @@
 package honeygap.fleet;
 
-/** The one record of an appliance: what the list says of it and what this agent has seen. */
+/** The single record of an appliance: its entry in the list and what this agent has observed of it. */
 public class Appliance {
 
     public static final int UP = 0;
     public static final int DRAINING = 1;
     public static final int GONE = 2;
 
-    /** For the door only. */
+    /** For use by the host; no decision depends on it. */
     public final long id;
     public Build build;
     public Location zone;
     public int cell;
     public int state = UP;
-    /** When its process last started; far in the past when the list gives no time. */
+    /** When its process last started; far in the past if the list gives no time. */
     public long startedAt;
 
-    /** Time of its answers over what the method usually takes; 1 is as usual. */
+    /** Mean ratio of its latency to the expected latency; 1 is normal. */
     public double latencyRatio = 1;
-    /** Share of its picks that lately ended in an error or a reset. */
+    /** Share of its recent picks that ended in an error or a reset. */
     public double failureShare;
     public final ConcurrencyLimit room = new ConcurrencyLimit(1);
-    /** Picks of other agents out there, by what they have told; 0 where agents share nothing. */
+    /** Picks of other agents in flight there, as they report; 0 if agents share no load figures. */
     public double others;
-    /** Picks in a row that ended without a word from it. */
+    /** Number of picks in a row that ended without a response from it. */
     public int consecutiveUnanswered;
-    /** Left out of picks until then. */
+    /** Used only as a last resort until this time. */
     public long avoidedUntil = Long.MIN_VALUE / 2;
-    /** Gets nothing until then, by its own word. */
+    /** Receives no picks until this time, as it requested itself (Retry-After). */
     public long barredUntil = Long.MIN_VALUE / 2;
-    /** When the last pick was sent that it answered on a connection from before the list grew old. */
+    /** Send time of the last pick that it answered on a connection opened before the list was last confirmed. */
     public long lastServedAt = Fleet.LONG_AGO;
-    /** When a pick at it last ended without a word from it. */
+    /** When a pick sent to it last ended without a response. */
     public long lastUnansweredAt = Fleet.LONG_AGO;
-    /** Picks in a row that it has turned away while nobody told what changes in the list, and when the last one was. */
+    /** Number of picks in a row that it refused while no watch on the list was open, and the time of the last. */
     public int consecutiveRefusals;
     public long lastRefusedAt = Fleet.LONG_AGO;
-    /** Work that this agent may send it while it is cold, and as of when. */
+    /** Amount of work that this agent may send to it while it is cold, and when that was last updated. */
     public double coldCredit;
     public long coldCreditAt = Long.MIN_VALUE / 2;
 
@@ -44,7 +44,7 @@
         this.id = id;
     }
 
-    /** A fresh start under an old id: nothing known of it holds. */
+    /** Discards all observations: a new process has started under the same id. */
     public void resetObservations() {
         latencyRatio = 1;
         failureShare = 0;
--- a/src/main/java/honeygap/fleet/Build.java
+++ b/src/main/java/honeygap/fleet/Build.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One build of the appliances' software and what this agent has seen of it. */
+/** A build of the appliances' software and what this agent has observed of it. */
 public final class Build {
 
     public static final int VOTE_NONE = 0;
@@ -19,32 +19,32 @@
 
     public final int number;
 
-    /** Picks now out, by method. */
+    /** Picks in flight, by method. */
     public final int[] inFlight;
-    /** The part of them that went to appliances no longer cold. */
+    /** Those of them that were sent to appliances no longer cold. */
     public final int[] warmInFlight;
-    /** Room at all its appliances that are up. */
+    /** Limit for all its appliances that are up, taken together. */
     public final ConcurrencyLimit limit = new ConcurrencyLimit(0);
-    /** Times of the picks that count against the cap, oldest first, by counted method. */
+    /** Picks that count against the cap, oldest first: send time and counting group. */
     public final ArrayDeque<long[]> exposedPicks = new ArrayDeque<>();
-    /** How many of these there are, by counted method. */
+    /** Number of these picks, by counting group. */
     public final int[] exposedCounts;
-    /** Keys that this agent has sent to this build. */
+    /** Routing keys whose RPCs this agent has sent to this build. */
     public final Set<String> routedKeys = new HashSet<>();
 
-    /** Picks now out, by method: all, or only those at appliances no longer cold. */
+    /** Picks in flight, by method: all, or only those at appliances no longer cold. */
     public int[] inFlightPicks(boolean warmOnly) {
         return warmOnly ? warmInFlight : inFlight;
     }
 
-    /** Picks that ended lately with a word from it, by method. */
+    /** Picks recently answered by it, by method; older ones fade. */
     public final double[] recentAnswers;
-    /** Picks that ended with a word from it since the stage began. */
+    /** Picks answered by it since the stage began. */
     public int answersInStage;
-    /** End of the last period of which the desk's counts of it have come. */
+    /** End of the last period for which the desk's counts of it have been received. */
     public long countedUntil = Fleet.LONG_AGO;
 
-    /** The module has let go of it: nothing of it is up, out or counted any more. */
+    /** Dropped by the decision module: no appliance of it is listed, no pick of it in flight. */
     public boolean left;
 
     public Build(int number, int methodCount) {
--- a/src/main/java/honeygap/fleet/Chance.java
+++ b/src/main/java/honeygap/fleet/Chance.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** Chance by the instance's seed and a counter alone. */
+/** Reproducible random numbers, derived from the instance's seed and a counter. */
 public final class Chance {
 
     private static final long COUNTER_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -15,15 +15,16 @@
         this.seed = seed;
     }
 
-    /** Evenly between 0 and 1, both left out. */
+    /** Uniformly distributed between 0 and 1, both exclusive. */
     public double nextUniform() {
         CRC32 crc = new CRC32();
-        // Neighbouring counters alone go round in fours: a dozen choices among four met two of them.
+        // Hashing consecutive counters gives values with a period of four: a dozen choices among four
+        // appliances hit only two of them. The multiplier spreads the counters.
         crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(counter++ * COUNTER_MULTIPLIER).array());
         return (crc.getValue() + 0.5) / 4294967296.0;
     }
 
-    /** By the standard normal distribution. */
+    /** Standard normal distribution. */
     public double nextNormal() {
         return Math.sqrt(-2 * Math.log(nextUniform())) * Math.cos(2 * Math.PI * nextUniform());
     }
--- a/src/main/java/honeygap/fleet/ConcurrencyLimit.java
+++ b/src/main/java/honeygap/fleet/ConcurrencyLimit.java
@@ -1,19 +1,19 @@
 package honeygap.fleet;
 
-/** Room for picks of this agent at one appliance, or at all of a build together. */
+/** Limit for picks of this agent in flight at one appliance, or at all appliances of a build together. */
 public final class ConcurrencyLimit {
 
-    /** How many one appliance may hold on the mean, at least how many, and how many appliances there are. */
+    /** Mean limit for one appliance, its lower bound, and the number of appliances. */
     public double perAppliance;
     public double minPerAppliance;
     public int appliances;
     public int out;
-    /** Sum of the times at which the picks that are out were sent, and when the last pick was sent. */
+    /** Sum of the send times of the picks in flight, and when the last pick was sent. */
     private long sentAtSum;
     public long lastSentAt = Long.MIN_VALUE / 2;
-    /** Share of the answers that lately came late. */
+    /** Share of recent answers that were late. */
     public double lateShare;
-    /** With room for less than one pick: no further one until then. */
+    /** While the limit is below one pick: no next pick before this time. */
     public long pausedUntil = Long.MIN_VALUE / 2;
 
     public ConcurrencyLimit(int appliances) {
@@ -31,7 +31,7 @@
         sentAtSum -= sentAt;
     }
 
-    /** For how long the picks that are out have been so on the mean; 0 where none is. */
+    /** Mean age of the picks in flight; 0 if there are none. */
     public double meanAge(long now) {
         return out > 0 ? now - (double) sentAtSum / out : 0;
     }
--- a/src/main/java/honeygap/fleet/Fleet.java
+++ b/src/main/java/honeygap/fleet/Fleet.java
@@ -4,51 +4,51 @@
 import java.util.List;
 
 /**
- * What this agent has been told: the time, the list, and the rollout. Plain state and what follows from it by
- * definition; nothing is decided here. Times are tenths of a millisecond.
+ * State reported to this agent: the time, the list of appliances and the rollout, with values derived from it.
+ * Makes no decisions. Times are tenths of a millisecond.
  */
 public final class Fleet {
 
     public static final long LONG_AGO = Long.MIN_VALUE / 4;
     public static final long SECOND = 10_000;
 
-    /** The time of this turn and of the one before, and the least time between two turns. */
+    /** Time of this loop iteration and of the previous one, and the minimum time between two. */
     public long now;
     public long previousNow;
     public final long tick;
-    /** How many agents there are. */
+    /** Number of agents. */
     public final int agentCount;
     public final List<Method> methods;
 
-    /** What the list has named: appliances, where they stand, and their builds in order of number. */
+    /** The listed appliances, their zones, and their builds in order of number. */
     public final List<Appliance> appliances = new ArrayList<>();
     public final List<Location> zones = new ArrayList<>();
     public final List<Build> builds = new ArrayList<>();
-    /** What the list at hand has named so far, and of which kind it is. */
+    /** Entries received so far of the list in progress, and its kind. */
     public final List<Appliance> currentList = new ArrayList<>();
     private boolean isFullList;
     private boolean isDiskList;
 
-    /** The rollout as the desk told it last. */
+    /** State of the rollout in the last report of the desk. */
     public Build newestBuild;
     public int phase = Build.RELEASED;
     public int stage;
     public double cap;
     public long stageSince;
-    /** When the desk told it, at the latest: what is told in a turn may have come at any time since the one before. */
+    /** Lower bound of the time of that report: it may have arrived at any time since the previous iteration. */
     public long rolloutReportedAt = LONG_AGO;
-    /** The build that the fits are of, all others being the earlier one. */
+    /** The build that is evaluated; all other builds together are its baseline. */
     public Build evaluatedBuild;
-    /** Earlier appliances that were up when it came. */
+    /** Appliances of earlier builds that were up when its evaluation began. */
     public int earlierAtTrialStart;
-    /** First picks at the earlier builds and at the fitted one, old ones fading. */
+    /** First picks sent to the earlier builds and to the evaluated one; older ones fade. */
     public double firstPicksOld;
     public double firstPicksNew;
-    /** Work taken, and answered by warm appliances, in this second; what a warm one gets a time unit. */
+    /** Work received, and answered by warm appliances, in this second; work per time unit of a warm one. */
     public double receivedWork;
     public double warmAnsweredWork;
     public double warmWorkRate;
-    /** Further picks against those allowed: at most 0. */
+    /** Retry budget: earned by RPCs received, spent by retries; at most 0. */
     public double retryBalance;
 
     public Fleet(long now, long tick, int agentCount, List<Method> methods) {
@@ -65,7 +65,7 @@
         currentList.clear();
     }
 
-    /** True for a fresh start, or another build, under its id: a new process, perhaps a new machine. */
+    /** Records an entry; true if its start time or build changed: a new process, perhaps on a new machine. */
     public boolean applianceListed(Appliance appliance, Build build, Location zone, int cell, int state,
                           long startedAt) {
         currentList.add(appliance);
@@ -85,8 +85,8 @@
     }
 
     /**
-     * What the whole list has not named is gone; builds leave with their last appliance and pick. True where it
-     * is a list of an earlier process.
+     * Removes appliances that a full list lacks, and builds without appliances or picks in flight. True if the
+     * list was stored by an earlier process.
      */
     public boolean listCompleted() {
         if (isFullList) {
@@ -114,7 +114,7 @@
         rolloutReportedAt = previousNow;
     }
 
-    /** True where this build is new here. */
+    /** Adds the build to the known ones; true if it was unknown. */
     public boolean registerBuild(Build build) {
         boolean isNew = !builds.contains(build);
         if (isNew) {
@@ -124,7 +124,7 @@
         return isNew;
     }
 
-    /** The newest build on trial is the one to fit; true where that has changed. */
+    /** Makes the newest build on trial the evaluated one; true if that changed. */
     public boolean beginEvaluation() {
         Build trialBuild = trialBuild();
         boolean hasChanged = trialBuild != null && trialBuild != evaluatedBuild;
@@ -135,31 +135,33 @@
         return hasChanged;
     }
 
-    /** Appliances up of other builds than the one that the fit is of. */
+    /** Number of appliances up that run another build than the evaluated one. */
     public int earlierAppliances() {
         return builds.stream().mapToInt(build -> build == evaluatedBuild ? 0 : build.limit.appliances).sum();
     }
 
+    /** Whether the build is the newest one that the desk has reported, or newer. */
     public boolean isNewestOrLater(Build build) {
         return newestBuild != null && build.number >= newestBuild.number;
     }
 
-    /** Not yet announced, or announced and not released: what the exposure rule calls on trial. */
+    /** Whether the build is not announced yet, or announced and not released: the exposure limit applies. */
     public boolean isOnTrial(Build build) {
         return isNewestOrLater(build) && (build != newestBuild || phase != Build.RELEASED);
     }
 
+    /** The newest listed build if it is on trial, otherwise null. */
     public Build trialBuild() {
         Build last = builds.isEmpty() ? null : builds.get(builds.size() - 1);
         return last != null && isOnTrial(last) ? last : null;
     }
 
-    /** The newest build has met this key; null is none. */
+    /** Whether an RPC with this key was sent to the newest build; false for null. */
     public boolean isRoutedToNewest(String key) {
         return newestBuild != null && newestBuild.routedKeys.contains(key);
     }
 
-    /** The phases in which votes count, and in which keys stay with the build. */
+    /** Whether the newest build is on trial or released: votes count and keys stay with the build. */
     public boolean isRolloutCurrent() {
         return newestBuild != null && (phase == Build.ON_TRIAL || phase == Build.RELEASED);
     }
--- a/src/main/java/honeygap/fleet/GivenUp.java
+++ b/src/main/java/honeygap/fleet/GivenUp.java
@@ -1,21 +1,21 @@
 package honeygap.fleet;
 
-/** Why an RPC was refused or failed. */
+/** Why an RPC was rejected or abandoned. */
 public enum GivenUp {
-    /** The process ends before an answer could be there. */
+    /** The process ends before an answer could arrive. */
     SHUTTING_DOWN("shutting down"),
-    /** Its deadline, or the shutdown's, is here. */
+    /** Its deadline or the shutdown deadline has been reached. */
     OUT_OF_TIME("out of time"),
-    /** It has had as many picks as it may. */
+    /** It has used all its picks. */
     OUT_OF_TRIES("out of tries"),
-    /** An earlier pick may have run, and no other may follow it. */
+    /** An earlier pick may have been executed and must not be retried. */
     MAY_HAVE_RUN("may have run"),
     /** No appliance is known to serve. */
     NONE_KNOWN("no appliance known to serve"),
-    /** No appliance that is known to serve has room. */
+    /** No appliance known to serve has free capacity. */
     NO_ROOM("no room");
 
-    /** How it is called in the log and among the counters. */
+    /** Its name in the log and in counters. */
     public final String word;
 
     GivenUp(String outerName) {
--- a/src/main/java/honeygap/fleet/Location.java
+++ b/src/main/java/honeygap/fleet/Location.java
@@ -1,16 +1,16 @@
 package honeygap.fleet;
 
-/** Where appliances stand, and how the way there and back has been for this agent. */
+/** A zone of appliances, and what this agent has observed of the network path to it. */
 public final class Location {
 
-    /** Time of the answers from there over what they should take; 1 is as usual. */
+    /** Mean ratio of the latency of its answers to the expected latency; 1 is normal. */
     public double latencyRatio = 1;
-    /** Picks of this agent now out there, and how many may be until then, by what servers there have said. */
+    /** Picks of this agent in flight there, and the limit that its servers have set until a given time. */
     public int out;
     public int most;
     public long limitedUntil = Long.MIN_VALUE / 2;
-    /** When a connection there last broke under a pick. */
+    /** When a connection there was last reset during a pick. */
     public long lastResetAt = Long.MIN_VALUE / 2;
-    /** When the last pick went there. */
+    /** When the last pick was sent there. */
     public long lastPickAt = Long.MIN_VALUE / 2;
 }
--- a/src/main/java/honeygap/fleet/Method.java
+++ b/src/main/java/honeygap/fleet/Method.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** One method that clients call, and what its answers have taken so far. */
+/** A method that clients call, with its settings and what this agent has observed of it. */
 public final class Method {
 
     public static final int IDEMPOTENT = 0;
@@ -16,24 +16,24 @@
     public final int index;
     public final int effect;
     public final int scope;
-    /** How long repeats of a token are dropped. */
+    /** How long appliances drop duplicates of a token. */
     public final long tokenWindow;
     public final long softDeadline;
     public final long deadline;
     public final double utility;
     public final double lateUtility;
 
-    /** Mean time of an ok answer, in tenths of a millisecond; 0 before the first. */
+    /** Mean latency of an ok answer, in tenths of a millisecond; 0 before the first. */
     public double meanLatency;
-    /** The same when the build now on trial came. */
+    /** The same when the evaluation of the build on trial began. */
     public double meanLatencyBeforeTrial;
     public long answerCount;
-    /** When an RPC of it last found no place. */
+    /** When an RPC of it last found no appliance with capacity. */
     public long noCapacityAt = Long.MIN_VALUE / 2;
     public long receivedCount;
-    /** When RPCs of it were taken, or of all methods where exposure counts them together, oldest first. */
+    /** When its RPCs were received, oldest first; those of all methods if exposure counts them together. */
     public final ArrayDeque<Long> receivedTimes = new ArrayDeque<>();
-    /** Mean hint of the work of its RPCs; 0 where there are no hints. */
+    /** Mean work hint of its RPCs; 0 without hints. */
     public double meanWorkHint;
 
     public Method(int index, int effect, int scope, long tokenWindow, long softDeadline, long deadline,
--- a/src/main/java/honeygap/fleet/Rpc.java
+++ b/src/main/java/honeygap/fleet/Rpc.java
@@ -3,28 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One RPC taken from a client. */
+/** An RPC received from a client. */
 public class Rpc {
 
-    /** For the door only. */
+    /** For use by the host; no decision depends on it. */
     public final String id;
     public final Method method;
     public final Tenant tenant;
-    /** May be null. */
+    /** Routing key; may be null. */
     public final String key;
     public final long receivedAt;
-    /** When the client gives this try up. */
+    /** When the client stops waiting for this attempt. */
     public final long deadline;
-    /** Expected work in tenths of a millisecond on a standard core; 0 when not told. */
+    /** Expected work in tenths of a millisecond on a standard core; 0 if not given. */
     public final long workHint;
+    /** Whether the client has sent it before. */
     public final boolean retry;
     public final List<Pick> picks = new ArrayList<>(2);
-    /** Picks whose outcome is still to come. */
+    /** Number of picks in flight. */
     public int out;
     public boolean closed;
-    /** Why it was refused or failed; null where it was not. */
+    /** Why it was rejected or abandoned; null if it was not. */
     public GivenUp givenUp;
-    /** The draw of theta said the build on trial; one draw an RPC. */
+    /** Whether theta has been drawn for it, once for each RPC, and whether the draw chose the build on trial. */
     public boolean thetaDrawn;
     public boolean drewTrial;
 
--- a/src/main/java/honeygap/fleet/Tenant.java
+++ b/src/main/java/honeygap/fleet/Tenant.java
@@ -1,6 +1,6 @@
 package honeygap.fleet;
 
-/** A customer, and the share of its picks at earlier builds that lately ended in an error. */
+/** A tenant, and the share of its recent picks at earlier builds that ended in an error. */
 public final class Tenant {
 
     public double failureShare;
--- a/src/main/java/honeygap/fleet/VoteRecord.java
+++ b/src/main/java/honeygap/fleet/VoteRecord.java
@@ -1,18 +1,18 @@
 package honeygap.fleet;
 
-/** The vote that this agent cast last, and what became of it. */
+/** The last vote that this agent cast, and its result. */
 public final class VoteRecord {
 
     public Build build;
     public int stage;
     public int verdict;
     public long castAt = Fleet.LONG_AGO;
-    /** The next one may be cast then. */
+    /** Earliest time of the next vote. */
     public long nextAllowedAt = Fleet.LONG_AGO;
-    /** No answer yet. */
+    /** The desk has not answered it yet. */
     public boolean isUnanswered;
     public boolean isAccepted;
-    /** What is to be noted about it. */
+    /** Log line about it that is still to be written; null if none. */
     public String pendingNote;
 
     public void recordCast(Build build, int stage, int verdict, long now) {
--- a/src/main/java/honeygap/rules/builds/ExposureLimit.java
+++ b/src/main/java/honeygap/rules/builds/ExposureLimit.java
@@ -4,21 +4,21 @@
 import honeygap.terms.Exposure;
 import java.util.ArrayDeque;
 
-/** May this RPC go to this build now, by stage, cap, rolling counts and keys? */
+/** Limits which RPCs may be sent to a build on trial: by stage, cap, rolling counts and routing keys. */
 public record ExposureLimit(Fleet fleet, Exposure exposure) {
 
     public void rpcReceived(Method method) {
         ArrayDeque<Long> times = fleet.methods.get(countingGroup(method)).receivedTimes;
         times.addLast(fleet.now);
         while (times.peekFirst() < fleet.now - exposure.window()) {
-            times.removeFirst();    // Also while no build is on trial, or they would pile up for ever.
+            times.removeFirst();    // Also while no build is on trial, otherwise the queue would grow without bound.
         }
     }
 
     public void pickSent(Pick pick) {
         Rpc rpc = pick.rpc;
         Build build = pick.build;
-        // Also after the release, and before any answer, which may come too late or not be readable.
+        // Also after the release, and when sending: the answer may come too late or be unreadable.
         if (exposure.keysStay() && rpc.key != null && fleet.isNewestOrLater(build)) {
             build.routedKeys.add(rpc.key);
         }
@@ -32,7 +32,7 @@
         return exposure.perMethod() ? method.index : 0;
     }
 
-    /** May a pick of this method go to the build on trial now: stage, cap and rolling count. */
+    /** Whether a pick of this method may be sent to the build now, by stage, cap and rolling count. */
     public boolean allows(Build build, Method method) {
         boolean isTrial = fleet.isOnTrial(build), isLater = isTrial && build.number > fleet.newestBuild.number;
         int stage = isLater ? 0 : fleet.stage;
@@ -43,7 +43,8 @@
             return !isTrial;
         }
         int group = countingGroup(method);
-        // Picks are counted over a little more than the window, RPCs over a little less.
+        // Picks are counted over slightly more than the window and RPCs over slightly less, so that clock
+        // granularity cannot cause the cap to be exceeded.
         ArrayDeque<Long> received = fleet.methods.get(group).receivedTimes;
         while (!received.isEmpty() && received.peekFirst() <= fleet.now - exposure.window() + 2 * fleet.tick) {
             received.removeFirst();
@@ -55,8 +56,9 @@
         return build.exposedCounts[group] + 1 <= exposure.uncounted() + cap * received.size();
     }
 
-    /** A key that the new build has answered goes to no earlier one, until the build goes back. */
+    /** A key that was sent to the newest build is not sent to an earlier one until the build is rolled back. */
     public boolean allowsKey(Rpc rpc, Build build) {
-        return !exposure.keysStay() || !fleet.isRolloutCurrent() || fleet.isNewestOrLater(build) || !fleet.isRoutedToNewest(rpc.key);
+        return !exposure.keysStay() || !fleet.isRolloutCurrent() || fleet.isNewestOrLater(build)
+                || !fleet.isRoutedToNewest(rpc.key);
     }
 }
--- a/src/main/java/honeygap/rules/cold/ColdStartLimit.java
+++ b/src/main/java/honeygap/rules/cold/ColdStartLimit.java
@@ -4,10 +4,10 @@
 import honeygap.rules.work.WorkEstimate;
 import honeygap.terms.Cold;
 
-/** What does an appliance that has just started bear from this agent? */
+/** Limits the work that this agent sends to an appliance that has just started. */
 public record ColdStartLimit(Fleet fleet, Chance random, Cold settings) {
 
-    /** How much of what a cold appliance can bear is used: chance, and work that was not foreseen. */
+    /** Share of a cold appliance's capacity that is used; the rest covers random peaks and unforeseen work. */
     private static final double COLD_SAFETY = 0.6;
 
     public void rpcReceived(Rpc rpc) {
@@ -18,31 +18,35 @@
         fleet.warmAnsweredWork += pick.cold ? 0 : WorkEstimate.expectedWork(pick.rpc);
     }
 
+    /** Updates the work rate of a warm appliance from the second that began at {@code since}. */
     public void updateWorkRate(long since) {
         long warm = fleet.appliances.stream().filter(a -> a.state == Appliance.UP && warmth(a) >= 1).count();
         if (since > Fleet.LONG_AGO && (warm * 2 > fleet.appliances.size() || fleet.warmWorkRate == 0)) {
             double work = fleet.warmAnsweredWork > 0 ? fleet.warmAnsweredWork : fleet.receivedWork;
             double rate = work / (fleet.now - since) / Math.max(1, fleet.appliances.size());
-            fleet.warmWorkRate += (fleet.warmWorkRate > 0 ? WorkEstimate.RATE_SMOOTHING : 1) * (rate - fleet.warmWorkRate);
+            fleet.warmWorkRate +=
+                    (fleet.warmWorkRate > 0 ? WorkEstimate.RATE_SMOOTHING : 1) * (rate - fleet.warmWorkRate);
         }
         fleet.warmAnsweredWork = 0;
         fleet.receivedWork = 0;
     }
 
-    /** Part of its full capacity that the appliance surely has. */
+    /** Share of its full capacity that the appliance has at least. */
     public double warmth(Appliance appliance) {
         long age = Math.max(0, fleet.now - appliance.startedAt);
-        return age >= settings.warmAfter() ? 1 : settings.initialCapacity() + (1 - settings.initialCapacity()) * age / settings.warmAfter();
+        return age >= settings.warmAfter() ? 1
+                : settings.initialCapacity() + (1 - settings.initialCapacity()) * age / settings.warmAfter();
     }
 
     /**
-     * Guards against pushing a cold appliance over: credit grows by a part of what a warm one gets through
-     * this agent, from a first one drawn evenly up to one pick. So any number of agents that hear of the
-     * start together spread their picks, and all keeping to their part, all together do.
+     * Whether the appliance may receive the RPC. Prevents the overload of a cold appliance: each agent accrues
+     * credit for it at a share of the rate at which it sends work to a warm one. The initial credit is uniform
+     * between zero and one pick, so that agents that learn of the start at the same time spread their picks.
+     * As each agent stays within its share, all agents together stay within the appliance's capacity.
      */
     public boolean allows(Appliance appliance, Rpc rpc) {
         double warmth = warmth(appliance);
-        // One pick at a time: a build that needs more work outruns the budget, but not this.
+        // One pick at a time: a build that needs more work for an RPC than expected exceeds the credit, but not this.
         if (warmth >= 1 || appliance.room.out > 0) {
             return warmth >= 1;
         }
--- a/src/main/java/honeygap/rules/discovery/ListLease.java
+++ b/src/main/java/honeygap/rules/discovery/ListLease.java
@@ -6,23 +6,29 @@
 import honeygap.terms.Listing;
 
 /**
- * Which appliances are still known to serve? Discovery's list is leased: it holds for a bounded time from when discovery
- * last confirmed it. A list of unknown age, such as that of an earlier process, has no lease. Beyond it there are two kinds of
- * evidence. An appliance that has answered on a connection from before the list grew old is the process that was listed, and
- * served when it was asked: it has a lease of its own from then on. On a newer connection another process may answer, which
- * drained and came back unlisted. And machines are drained when a newer build replaces theirs or theirs goes back, which the
- * rollout desk tells: those of the newest build are covered while that word is as fresh as a list must be. What turns a pick
- * away while nobody tells what changes may be draining and is left alone for a while.
+ * Determines which appliances are still known to serve. The list from discovery is a lease: it is valid for a bounded
+ * time after discovery last confirmed it. A list of unknown age, such as a stored one, has no lease. After the lease has
+ * expired, an appliance is still known to serve in two cases:
+ *
+ * <ul>
+ * <li>It has answered on a connection opened before the list was last confirmed. Then it is the listed process and was
+ * serving when the pick was sent, which gives it a lease of its own from that time. On a newer connection the answer may
+ * come from another process, which was drained and has restarted unlisted.
+ * <li>It runs the newest build, and the desk's last report is no older than the lease. Machines are drained only when a
+ * newer build replaces theirs or theirs is rolled back, and the desk reports both.
+ * </ul>
+ *
+ * <p>An appliance that refuses a pick while no watch is open may be draining, and gets no picks for a back-off time.
  */
 public final class ListLease {
 
-    /** Part of the lease by which a sign of life may run ahead of changes that wait behind it in discovery's queue. */
+    /** Share of the lease by which a heartbeat may precede changes that still wait in discovery's queue. */
     private static final double HEARTBEAT_LEAD = 1.0 / 6;
-    /** Part of the lease that is left of it where discovery has moved to another address. */
+    /** Share of the lease that remains at most after discovery has moved to another address. */
     private static final double REMAINING_AFTER_MOVE = 2.0 / 3;
-    /** Part of the lease for which an appliance is left alone after its first refusal; each further one doubles it. */
+    /** Back-off after an appliance's first refusal, as a share of the lease; each further refusal doubles it. */
     private static final double FIRST_REFUSAL_BACKOFF = 1.0 / 24;
-    /** Part of the lease for which an agent that starts waits for its first list before it takes clients. */
+    /** How long a starting agent waits for its first list before it accepts clients, as a share of the lease. */
     private static final double STARTUP_WAIT = 2.0 / 3;
 
     private final Fleet fleet;
@@ -37,7 +43,7 @@
         startedAt = fleet.now;
     }
 
-    /** Discovery told what had changed up to then: all that it has named is as it says. */
+    /** Discovery has reported all changes up to this time, so the whole list is current. */
     public void confirm(long asOf) {
         if (!isWatched) {
             fleet.appliances.forEach(appliance -> appliance.consecutiveRefusals = 0);
@@ -46,23 +52,23 @@
         confirmedAt = Math.max(confirmedAt, asOf);
     }
 
-    /** Discovery said that nothing has changed; a change may wait in its queue still. */
+    /** Discovery has reported that nothing has changed; a change may still wait in its queue. */
     public void heartbeat(long asOf) {
         confirmedAt = Math.max(confirmedAt, asOf - (long) (HEARTBEAT_LEAD * leaseDuration));
     }
 
-    /** Nobody tells what changes any more. */
+    /** The watch has ended; changes are no longer reported. */
     public void watchLost() {
         isWatched = false;
     }
 
-    /** Discovery is asked at another address from now on, which may have told others more. */
+    /** The address of discovery has changed; the new one may have reported changes that this agent lacks. */
     public void discoveryMoved() {
         isWatched = false;
         confirmedAt = Math.min(confirmedAt, fleet.now - (long) ((1 - REMAINING_AFTER_MOVE) * leaseDuration));
     }
 
-    /** A pick has ended: an answer may show that its appliance served when it was sent, a refusal that it may drain. */
+    /** A pick has ended: an answer can show that its appliance was serving, a refusal that it may be draining. */
     public void pickEnded(Pick pick, int outcome) {
         Appliance appliance = pick.appliance;
         if (outcome == Pick.OK) {
@@ -79,20 +85,24 @@
         }
     }
 
-    /** Whether the list itself is known to be current. */
+    /** Whether the list itself is within its lease. */
     public boolean isConfirmed() {
         return leaseDuration == 0 || fleet.now < confirmedAt + leaseDuration;
     }
 
-    /** Whether the appliance is known to serve, by the list or by its own answers. */
+    /** Whether the appliance is known to serve, from the list, its own answers or the rollout. */
     public boolean covers(Appliance appliance) {
         return leaseDuration == 0 || !isBackingOff(appliance)
                 && (isConfirmed() || fleet.now < appliance.lastServedAt + leaseDuration || isOfNewestBuild(appliance));
     }
 
-    /** Whether the desk has said lately that this appliance's build is the newest and stays; one that fell silent may have left. */
+    /**
+     * Whether the desk has reported within the lease time that this appliance's build is the newest and not rolled back. An
+     * appliance that did not respond since the list was confirmed is excluded: it may have been removed.
+     */
     private boolean isOfNewestBuild(Appliance appliance) {
-        return appliance.lastUnansweredAt <= confirmedAt && fleet.isRolloutCurrent() && appliance.build == fleet.newestBuild && fleet.now < fleet.rolloutReportedAt + leaseDuration;
+        return appliance.lastUnansweredAt <= confirmedAt && fleet.isRolloutCurrent()
+                && appliance.build == fleet.newestBuild && fleet.now < fleet.rolloutReportedAt + leaseDuration;
     }
 
     private boolean isBackingOff(Appliance appliance) {
@@ -103,18 +113,19 @@
         return fleet.now < appliance.lastRefusedAt + (long) (backoff * leaseDuration);
     }
 
-    /** Whether clients may come: most appliances are known to serve, or waiting for a list has taken long enough. */
+    /** Whether clients may connect: most appliances are known to serve, or the wait for a list is over. */
     public boolean mayAcceptClients() {
         long serving = fleet.appliances.stream().filter(appliance -> appliance.state == Appliance.UP).count();
-        return isConfirmed() || 2 * coveredCount() > serving || fleet.now >= startedAt + (long) (STARTUP_WAIT * leaseDuration);
+        return isConfirmed() || 2 * coveredCount() > serving
+                || fleet.now >= startedAt + (long) (STARTUP_WAIT * leaseDuration);
     }
 
-    /** How many of the appliances that serve by the list are known to do so now. */
+    /** Number of the appliances listed as up that are known to serve now. */
     public long coveredCount() {
         return fleet.appliances.stream().filter(appliance -> appliance.state == Appliance.UP && covers(appliance)).count();
     }
 
-    /** Tenths of a millisecond since discovery last confirmed the list; negative where it never has. */
+    /** Tenths of a millisecond since discovery last confirmed the list; negative if it never has. */
     public long age() {
         return confirmedAt == Fleet.LONG_AGO ? -1 : fleet.now - confirmedAt;
     }
--- a/src/main/java/honeygap/rules/evidence/DeskCounts.java
+++ b/src/main/java/honeygap/rules/evidence/DeskCounts.java
@@ -6,22 +6,23 @@
 import honeygap.terms.Desk;
 import java.util.List;
 
-/** What do the desk's counts of all agents' picks say of the build on trial? */
+/** Evidence on the build on trial from the desk's counts of all agents' picks. */
 public final class DeskCounts {
 
-    /** Times its own picks that the desk must sample for its counts to join, and failures beneath notice. */
+    /** The desk's counts are used if it samples at least this multiple of an agent's own picks. */
     private static final double MIN_SAMPLE_RATIO = 2;
+    /** Failure share added to both arms, so that a few failures do not count against the build on trial. */
     private static final double BASELINE_FAILURE_SHARE = 0.02;
-    /** Picks that must have ended for a word on a build. */
+    /** Minimum number of ended picks for a statement on a build. */
     public static final int MIN_PICKS = 8;
 
     private final Fleet fleet;
-    /** Do the counts join the agent's own picks? */
+    /** Whether the counts are used in addition to the agent's own picks. */
     public final boolean isUsed;
-    /** The first effect once more for each method, and when its last counts came. */
+    /** Fits of the failure effect, one for each method, and when the last period's counts began to arrive. */
     public List<Fit> fits = List.of();
     private long countedAt;
-    /** When a count last said that good answers of the build on trial take far more than is usual. */
+    /** When a count last showed ok answers of the build on trial far slower than the method's mean. */
     public long lastSlowAt = Fleet.LONG_AGO;
     private final long interval;
     private int currentGroup;
@@ -39,25 +40,28 @@
     }
 
     /**
-     * What the desk counted of all agents in a period: a group of tied events a method, where it samples more
-     * than this agent sees, so that hundreds of agents with few RPCs need not wait for failures of their own.
-     * Failures beneath notice are added to both arms: a cold start must not convict. Harm: late.
+     * Adds the desk's counts of all agents in a period, as one group of tied events for each method. Used if the desk
+     * samples more picks than this agent sends, so that hundreds of agents with few RPCs each need not wait for failures
+     * of their own. A baseline of failures is added to both arms: failures of a cold start must not count against
+     * the build. Drawback: a bad build is detected later.
      */
     public void countsReceived(Build build, Method method, long picks, long failed, long meanLatency) {
         if (fleet.evaluatedBuild == null || !isUsed) {
             return;
         }
-        // A period's counts come one after another: apart, no group would hold both builds, and say nothing.
+        // The counts of a period arrive one by one. Each in its own group would be no evidence, since a group
+        // must hold both builds.
         if (fleet.now > countedAt + interval / 2) {
             countedAt = fleet.now;
             fits.forEach(fit -> currentGroup = fit.openGroups(1));
         }
-        // One method that fails barely moves an effect of all. The first group remembers the earlier build.
+        // One fit for each method: a single failing method hardly changes a fit over all methods. Group 0
+        // accumulates all counts of the earlier builds.
         Fit fit = fits.get(method.index);
         boolean isNew = build == fleet.evaluatedBuild;
         boolean isSlow = isNew && method.meanLatency > 0 && picks >= MIN_PICKS && meanLatency > Fit.TOLERATED_RATIO * method.meanLatency;
         lastSlowAt = isSlow ? fleet.now : lastSlowAt;
-        // Where even its good answers are far past the usual its few appliances are jammed: no evidence.
+        // If even its ok answers are far too slow, its few appliances are overloaded: failures are no evidence.
         if (isNew && method.meanLatency > 0 && meanLatency > WorkEstimate.SLOW_RATIO * method.meanLatency) {
             return;
         }
--- a/src/main/java/honeygap/rules/evidence/SlownessEvidence.java
+++ b/src/main/java/honeygap/rules/evidence/SlownessEvidence.java
@@ -4,20 +4,21 @@
 import honeygap.rules.fit.Fit;
 import honeygap.rules.work.WorkEstimate;
 
-/** Does the build on trial slow down every appliance, in step with its traffic? */
+/** Evidence that the build on trial slows down all appliances in proportion to its traffic. */
 public final class SlownessEvidence {
 
-    /** What is kept of the new arm each second, and how many waits it must last to send a build back. */
+    /** Factor by which the new arm fades each second. */
     private static final double FADE_PER_SECOND = 0.5;
+    /** Slowness must last for this multiple of the advance delay to roll a build back. */
     private static final int MIN_DELAYS = 2;
-    /** Times the RPCs taken when the build came, beyond which slowness is the traffic's, not the build's. */
+    /** Ratio to the traffic before the trial above which slowness is attributed to the traffic. */
     private static final double BURST_RATIO = 1.5;
 
     private final Fleet fleet;
     private final long advanceDelay;
     public final Fit fit;
     private long slowSince;
-    /** RPCs a second that are no further try, lately and when the build on trial came. */
+    /** RPCs per second other than client retries: recently, and when the trial began. */
     private double firstTryRate, firstTryRateBeforeTrial;
     private long firstTries;
 
@@ -27,6 +28,7 @@
         fit = new Fit(fleet.methods.size());
     }
 
+    /** Keeps the latencies and the traffic from before the trial as the baseline. */
     public void trialStarted() {
         fleet.methods.forEach(method -> method.meanLatencyBeforeTrial = method.meanLatency);
         firstTryRateBeforeTrial = firstTryRate;
@@ -36,6 +38,7 @@
         firstTries += rpc.retry ? 0 : 1;
     }
 
+    /** A second that began at {@code since} has ended. */
     public void secondEnded(long since) {
         fit.fade(FADE_PER_SECOND);
         firstTryRate += WorkEstimate.RATE_SMOOTHING * (firstTries * (double) Fleet.SECOND / (fleet.now - since) - firstTryRate);
@@ -43,14 +46,14 @@
     }
 
     /**
-     * Answers far past the usual, of all builds alike: the second effect sets those of the last seconds
-     * against those before the build came. Guards against a build that slows every appliance in step with its
-     * traffic. Harm: another slowdown that begins then and lasts; a passing one, or a burst of RPCs that are
-     * no client's further try, only delays 'on'.
+     * Adds a pick to the second effect: the share of answers of any build that are far slower than expected, in the
+     * last seconds against before the trial. Detects a build that slows down all appliances in proportion to
+     * its traffic. Drawback: another lasting slowdown that begins during the trial counts against the build; a
+     * passing one, or a burst of RPCs other than client retries, only delays the vote to advance.
      */
     public void pickEnded(Pick pick, int outcome, long latency) {
         Method method = pick.rpc.method;
-        // While earlier appliances are there, they alone tell: those of a new build are slow by being few.
+        // While earlier appliances are up, only they count: those of a new build are slow because they are few.
         boolean isEvidence = outcome == Pick.OK || outcome == Pick.TIMEOUT && pick.appliance.consecutiveUnanswered == 0;
         if (pick.cold || method.meanLatency == 0 || !isEvidence || pick.build == fleet.evaluatedBuild && fleet.earlierAppliances() > 0) {
             return;
@@ -62,11 +65,12 @@
         }
     }
 
-    /** The slowness has lasted for so long that it is not another trouble that passes. */
+    /** Whether the slowness has lasted too long to be a passing fault of something else. */
     public boolean isLasting() {
         return fleet.now >= slowSince + MIN_DELAYS * advanceDelay;
     }
 
+    /** Whether the evaluated build is on trial or was released recently. */
     private boolean isTrialInEffect() {
         Build evaluated = fleet.evaluatedBuild;
         boolean isNewest = evaluated == fleet.newestBuild && fleet.phase == Build.RELEASED;
--- a/src/main/java/honeygap/rules/fit/Fit.java
+++ b/src/main/java/honeygap/rules/fit/Fit.java
@@ -3,12 +3,12 @@
 import honeygap.stats.PartialLikelihood;
 import org.apache.commons.statistics.distribution.NormalDistribution;
 
-/** How often does the build on trial fail against the earlier one? Its effect theta, and what that comes to. */
+/** Estimate of the effect theta: how often the build on trial fails compared with the earlier one. */
 public final class Fit extends PartialLikelihood {
 
-    /** A chance of being worse above this holds a build or keeps 'on' back. */
+    /** A probability of being worse above this holds a build or delays the vote to advance. */
     public static final double HOLD_PROBABILITY = 0.8;
-    /** A trial build may fail this many times as much, since it carries more than its machines' share. */
+    /** Tolerated ratio of failure rates: a build on trial carries more than its machines' share of the load. */
     public static final double TOLERATED_RATIO = 2;
     private static final int MIN_FAILURES = 3;
 
@@ -16,6 +16,7 @@
         openGroups(groups);
     }
 
+    /** Adds one failure with the numbers of picks at risk at the earlier builds and the one on trial. */
     public void addEvent(double atRiskOld, double atRiskNew, boolean isNew) {
         int group = openGroups(1);
         add(group, false, atRiskOld, isNew ? 0 : 1);
@@ -28,12 +29,12 @@
                 mode(), standardDeviation());
     }
 
-    /** Chance that the build on trial fails more than this many times as much as the earlier one. */
+    /** Probability that the build on trial fails more than {@code ratio} times as often as the earlier one. */
     public double worseProbability(double ratio) {
         return NormalDistribution.of(mode(), standardDeviation()).cumulativeProbability(-Math.log(ratio));
     }
 
-    /** The same for more than what is tolerated; too few failures say nothing. */
+    /** The same for the tolerated ratio; 0 if there are too few failures to judge. */
     public double worseProbability() {
         return failuresOfNew() < MIN_FAILURES ? 0 : worseProbability(TOLERATED_RATIO);
     }
--- a/src/main/java/honeygap/rules/health/ApplianceHealth.java
+++ b/src/main/java/honeygap/rules/health/ApplianceHealth.java
@@ -3,19 +3,21 @@
 import honeygap.fleet.*;
 import honeygap.rules.work.WorkEstimate;
 
-/** Which appliances and locations are sick, silent or slow, and whose RPCs are bad themselves? */
+/** Detects appliances and zones that fail, do not respond or are slow, and tenants whose RPCs fail everywhere. */
 public record ApplianceHealth(Fleet fleet) {
 
-    /** Share of a customer's picks that must fail at earlier builds before its failures say nothing. */
+    /** A tenant whose share of failures at earlier builds is above this is failing: its failures are no evidence. */
     private static final double FAILING_SHARE = 0.2;
+    /** Smoothing of failure shares and zone latencies, which have to react faster than the other means. */
     private static final double FAST_SMOOTHING = 1.0 / 8;
-    /** Silent picks in a row before an appliance is left out, and for how many usual times of its methods. */
+    /** Unanswered picks in a row before an appliance is avoided, and for how many mean latencies of the method. */
     private static final int UNANSWERED_TO_AVOID = 2;
     private static final double AVOID_MEAN_LATENCIES = 8;
 
     /**
-     * Shares of failures of the appliance and, at earlier builds, of the customer; false for a failure of an
-     * RPC that is bad itself: no evidence, no further picks. Harm: the customer's good ones get one pick too.
+     * Updates the failure shares of the appliance and, at earlier builds, of the tenant. False for a failure of a
+     * failing tenant's RPC, which is no evidence and is not retried. Drawback: the tenant's valid RPCs are not
+     * retried either.
      */
     public boolean recordAnswer(Pick pick, boolean failed) {
         Tenant tenant = pick.rpc.tenant;
@@ -51,13 +53,17 @@
         }
     }
 
-    /** The machine is sick, not its build. Harm: a build that fails at one of its first is judged later. */
+    /**
+     * Whether the appliance fails far more than the others of its build, so that the machine is to blame and not the
+     * build. Drawback: a bad build that fails on one of its first appliances is detected later.
+     */
     public boolean isOutlier(Appliance appliance) {
         double others = fleet.appliances.stream().filter(a -> a != appliance && a.build == appliance.build)
                 .mapToDouble(a -> a.failureShare).average().orElse(1);
         return appliance.failureShare > Math.max(FAILING_SHARE, WorkEstimate.SLOW_RATIO * others);
     }
 
+    /** Updates the latency ratio of a zone; a pick without an answer counts as at least six times too slow. */
     public void recordZoneLatency(Location zone, Rpc rpc, int outcome, long latency) {
         boolean isOk = outcome == Pick.OK;
         if (rpc.method.meanLatency > 0 && (isOk || outcome == Pick.TIMEOUT || outcome == Pick.CONNECT_FAILED)) {
@@ -67,14 +73,15 @@
     }
 
     /**
-     * A location whose answers take far longer than the best one's is left out but for a pick now and then.
-     * Guards against slow, lossy or cut links and slowness of one place. Harm: the others carry its part.
+     * Whether the answers from the zone take far longer than those from the best one; it then receives only an
+     * occasional pick. Handles slow, lossy or broken network links and slowness of one zone. Drawback: the other
+     * zones have to carry its load.
      */
     public boolean isZoneAvoided(Location zone) {
         return fleet.zones.stream().anyMatch(other -> zone.latencyRatio > WorkEstimate.SLOW_RATIO * other.latencyRatio);
     }
 
-    /** Is the appliance left out for now, or was it tried for this RPC? Then it is a last resort. */
+    /** Whether the appliance is avoided for now or was already tried for this RPC; then it is a last resort. */
     public boolean isAvoided(Appliance appliance, Rpc rpc) {
         Location zone = appliance.zone;
         return fleet.now < appliance.avoidedUntil
--- a/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
+++ b/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
@@ -5,16 +5,16 @@
 import honeygap.rules.work.WorkEstimate;
 import honeygap.terms.Cold;
 
-/** How many picks may be out at an appliance, and at all of a build? */
+/** Limits the picks in flight at an appliance, and at all appliances of a build together. */
 public record ConcurrencyLimits(Fleet fleet, ApplianceHealth health, Cold coldStartSettings) {
 
-    /** Picks an appliance may hold of this agent at first; in part while it is cold. */
+    /** Initial limit of picks of this agent at an appliance; lower while it is cold. */
     private static final double INITIAL_LIMIT = 8;
-    /** Part of the soft deadline past which answers tell of a jam, their share that room bears, the cut. */
+    /** Share of the soft deadline after which an answer is late, the tolerated share of late answers, the decrease. */
     private static final double LATE_SHARE_OF_DEADLINE = 0.5;
     private static final double TOLERATED_LATE_SHARE = 0.2;
     private static final double DECREASE = 0.5;
-    /** What is left of the room at first even in a jam; a new build's, against what warm appliances hold. */
+    /** Lower bound of the limit even under overload, as a share of the initial limit. */
     private static final double MIN_LIMIT = 0.25, TRIAL_START_RATIO = 3, MAX_FAST_GROWTH = 3;
 
     public void applianceRestarted(Appliance appliance) {
@@ -23,7 +23,7 @@
         appliance.room.perAppliance = INITIAL_LIMIT * (isWarm ? 1 : coldStartSettings.initialCapacity() / 2);
     }
 
-    /** A build is new: its appliances get three times what a warm one takes through this agent. */
+    /** Sets the limit of a new build: three times the rate at which this agent sends work to a warm appliance. */
     public void buildAdded(Build build, double warmWorkRate) {
         double initial = warmWorkRate > 0 ? TRIAL_START_RATIO * warmWorkRate : INITIAL_LIMIT;
         build.limit.perAppliance = Math.min(INITIAL_LIMIT / fleet.agentCount, initial);
@@ -31,7 +31,8 @@
 
     public void listUpdated() {
         for (Build build : fleet.builds) {
-            // Two picks an agent, or light agents would block themselves, unless all together are too many.
+            // At least two picks for each agent, otherwise agents with little traffic would block themselves; fewer if
+            // that would be too many for all agents together.
             double minLimit = 2 * fleet.agentCount / INITIAL_LIMIT / Math.max(1, build.limit.appliances);
             minLimit = fleet.isOnTrial(build) ? MIN_LIMIT : Math.max(MIN_LIMIT, Math.min(2, minLimit));
             build.limit.minPerAppliance = minLimit * INITIAL_LIMIT / fleet.agentCount;
@@ -40,10 +41,11 @@
     }
 
     /**
-     * Room for picks at an appliance and at all of a build, since one pick of each of hundreds of agents is a
-     * jam. It shrinks while over a share of the answers is late; under one pick there are rests.
-     * Guards against a jam, whatever made it: overload, a burst, slowness of one or all, a new build's few
-     * appliances. Harm: what is late for other reasons: early give-ups, silence, slow ways do not count.
+     * Adjusts the limits of the appliance and of its whole build. A limit for the build is needed because a single pick
+     * of each of hundreds of agents already overloads it. A limit shrinks while more than a tolerated share of the
+     * answers is late; below one pick, picks are spaced out in time. This handles overload of any cause: load, a
+     * burst, slowness of one or all appliances, the few appliances of a new build. Drawback: answers that are late
+     * for other reasons count as well, except for early timeouts, unresponsive appliances and slow zones.
      */
     public void pickEnded(Pick pick, int outcome, long latency) {
         double lateAfter = LATE_SHARE_OF_DEADLINE * pick.rpc.method.softDeadline * WorkEstimate.relativeWork(pick.rpc);
@@ -61,7 +63,8 @@
         if (isOverloaded) {
             limit.perAppliance = Math.max(limit.minPerAppliance, limit.perAppliance * (1 - DECREASE / total));
         } else if (limit.out + 1 >= total / 2) {
-            // While few are late a pick an answer up to three times the start: so far loads of agents differ.
+            // While few answers are late, grow by one pick an answer up to three times the initial limit, since the
+            // loads of agents differ by that much.
             boolean isFastGrowth = limit.lateShare < TOLERATED_LATE_SHARE / 2 && limit.perAppliance < MAX_FAST_GROWTH * INITIAL_LIMIT / fleet.agentCount;
             double increase = isFastGrowth ? 1 : DECREASE * TOLERATED_LATE_SHARE / (1 - TOLERATED_LATE_SHARE);
             limit.perAppliance *= 1 + increase / total;
@@ -69,13 +72,19 @@
         limit.pausedUntil = fleet.now + (long) (latency * (1 / Math.min(1, limit.perAppliance * limit.appliances) - 1));
     }
 
-    /** Picks long out tell of a jam before they end: the room shrinks at once in the same proportion. */
+    /**
+     * Whether one more pick is within the limit. Picks in flight for a long time indicate overload before they end, so
+     * the limit shrinks in proportion at once.
+     */
     public boolean hasCapacity(ConcurrencyLimit limit, Rpc rpc) {
         double lateAfter = LATE_SHARE_OF_DEADLINE * rpc.method.softDeadline, scale = Math.min(1, lateAfter / Math.max(1, limit.meanAge(fleet.now)));
         return limit.out < limit.perAppliance * limit.appliances * scale && (limit.out > 0 || fleet.now >= limit.pausedUntil);
     }
 
-    /** The same for a build; one that has all machines gets a pick now and then, as it bears of all, or none would learn. */
+    /**
+     * The same for a build. A build that runs on all machines also gets an occasional pick beyond the limit, at a rate
+     * that it can take from all agents together; otherwise no agent would learn that it has recovered.
+     */
     public boolean hasCapacity(Build build, Rpc rpc) {
         double interval = Math.max(1, fleet.agentCount / INITIAL_LIMIT / Math.max(1, build.limit.appliances));
         return hasCapacity(build.limit, rpc) || (!fleet.isOnTrial(build) || fleet.earlierAppliances() == 0)
--- a/src/main/java/honeygap/rules/routing/ApplianceSelector.java
+++ b/src/main/java/honeygap/rules/routing/ApplianceSelector.java
@@ -11,10 +11,11 @@
 import honeygap.rules.work.WorkEstimate;
 import java.util.List;
 
-/** Which appliance gets the next pick of an RPC? */
+/** Selects the appliance for the next pick of an RPC. */
 public record ApplianceSelector(Fleet fleet, Chance random, ExposureLimit exposureLimit, FailureEvidence failureEvidence, ApplianceHealth health,
                      ConcurrencyLimits concurrencyLimits, ColdStartLimit coldStartLimit, RetryPolicy retryPolicy, ListLease lease) {
 
+    /** Counts first picks sent to the earlier builds and to the evaluated one. */
     public void pickSent(Pick pick) {
         if (pick.rpc.picks.size() == 1 && fleet.evaluatedBuild != null) {
             fleet.firstPicksOld = fleet.firstPicksOld * (1 - WorkEstimate.SMOOTHING) + (pick.build == fleet.evaluatedBuild ? 0 : 1);
@@ -35,7 +36,7 @@
         Build trialBuild = fleet.trialBuild();
         List<Appliance> allowed = fleet.appliances.stream().filter(a -> isAllowed(rpc, a, mayHaveRun)).toList();
         List<Appliance> allowedNew = allowed.stream().filter(a -> a.build == trialBuild).toList();
-        // After the release: the newer.
+        // Among the builds not on trial only the newest counts, such as one just released.
         int newestOld = allowed.stream().mapToInt(a -> a.build == trialBuild ? 0 : a.build.number).max().orElse(0);
         List<Appliance> allowedOld = allowed.stream().filter(a -> a.build != trialBuild && a.build.number >= newestOld).toList();
         List<Appliance> healthyOld = withoutAvoided(rpc, allowedOld), healthyNew = withoutAvoided(rpc, allowedNew);
@@ -48,7 +49,10 @@
         return !failedOnTrial && prefersTrial(rpc) ? newCandidate : oldCandidate;
     }
 
-    /** One draw an RPC: even until the first failure, then by theta; the earlier build's share is bounded. */
+    /**
+     * Whether the RPC goes to the build on trial: one draw for each RPC, with equal chances until the first failure and
+     * by theta afterwards (Thompson sampling). The earlier builds get at most their share of the appliances.
+     */
     private boolean prefersTrial(Rpc rpc) {
         if (!rpc.thetaDrawn) {
             rpc.thetaDrawn = true;
@@ -60,11 +64,12 @@
         return rpc.drewTrial || fleet.firstPicksOld > oldShare * (fleet.firstPicksOld + fleet.firstPicksNew);
     }
 
-    /** Those that are not left out now nor were tried for this RPC yet; any other is the last resort. */
+    /** Those that are neither avoided now nor already tried for this RPC; the others are a last resort. */
     private List<Appliance> withoutAvoided(Rpc rpc, List<Appliance> candidates) {
         return candidates.stream().filter(appliance -> !health.isAvoided(appliance, rpc)).toList();
     }
 
+    /** The less loaded of two random candidates with free capacity; null if none has any. */
     private Appliance lessLoaded(Rpc rpc, List<Appliance> candidates) {
         List<Appliance> withCapacity = candidates.stream().filter(appliance -> concurrencyLimits.hasCapacity(appliance.room, rpc)).toList();
         if (withCapacity.isEmpty()) {
@@ -76,7 +81,7 @@
     }
 
     private double load(Appliance appliance) {
-        double successShare = Math.max(WorkEstimate.SMOOTHING, 1 - appliance.failureShare);    // What fails at once looks light.
+        double successShare = Math.max(WorkEstimate.SMOOTHING, 1 - appliance.failureShare);    // Fast failures make it look lightly loaded.
         double inFlight = appliance.room.out + appliance.others + 1;
         return inFlight * appliance.latencyRatio / coldStartLimit.warmth(appliance) / successShare / successShare;
     }
--- a/src/main/java/honeygap/rules/routing/RetryPolicy.java
+++ b/src/main/java/honeygap/rules/routing/RetryPolicy.java
@@ -5,18 +5,19 @@
 import honeygap.rules.shutdown.Shutdown;
 import honeygap.rules.work.WorkEstimate;
 
-/** May an RPC be sent again, where, and how long may each pick take? */
+/** Decides whether and where an RPC is retried, and the timeout of each pick. */
 public record RetryPolicy(Fleet fleet, Shutdown shutdown, int maxPicks) {
 
-    /** Further picks after ones that may have run, as a share of the RPCs taken: they must not feed a jam. */
+    /** Budget for picks after one that may have been executed, as a share of the RPCs: retries must not add to overload. */
     private static final double RETRY_SHARE = 0.1;
+    /** Number of such picks that may exceed the share for a short time. */
     private static final double RETRY_BURST = 10;
-    /** Part of the time left to the soft deadline after which a pick that may be repeated is given up. */
+    /** Timeout of a pick that may be retried, as a share of the time left to the soft deadline. */
     private static final double TIMEOUT_SHARE = 0.6;
-    /** A further pick must still have this many times the method's usual time before the soft deadline. */
+    /** A retry must have at least this multiple of the expected latency before the soft deadline. */
     private static final double RETRY_LATENCIES = 1.5;
 
-    /** An agent may be held up for so long between reading its clock and writing; tenths of a millisecond. */
+    /** Longest stall of an agent between reading its clock and writing, in tenths of a millisecond. */
     private static final long MAX_STALL = 1500;
 
     public void rpcReceived() {
@@ -27,12 +28,13 @@
         fleet.retryBalance -= mayHaveRun != null ? 1 : 0;
     }
 
+    /** The first pick of the RPC that may have been executed; null if there is none. */
     public static Pick firstThatMayHaveRun(Rpc rpc) {
         return rpc.picks.stream().filter(pick -> pick.outcome != Pick.FULL && pick.outcome != Pick.MOOT
                 && pick.outcome != Pick.CONNECT_FAILED).findFirst().orElse(null);
     }
 
-    /** Why there is no time or leave for a pick now, where this earlier one may have run; null where there is. */
+    /** Why no further pick is allowed now, given an earlier one that may have been executed; null if one is. */
     public GivenUp reasonNotToPick(Rpc rpc, Pick mayHaveRun) {
         if (fleet.now >= shutdown.deadline(rpc) - 2 * fleet.tick) {
             return GivenUp.OUT_OF_TIME;
@@ -48,7 +50,7 @@
         return method.effect != Method.NON_IDEMPOTENT && fleet.retryBalance >= 1 - RETRY_BURST;
     }
 
-    /** Does the appliance drop a repeat of the pick that may have run, if one must be dropped? */
+    /** Whether a pick at the appliance is safe: for tokened methods it must drop duplicates of the earlier pick. */
     public boolean dropsDuplicate(Rpc rpc, Pick mayHaveRun, Appliance appliance) {
         Method method = rpc.method;
         return mayHaveRun == null || method.effect != Method.TOKENED
@@ -58,22 +60,22 @@
                 || method.scope == Method.SCOPE_CELL && appliance.cell == mayHaveRun.appliance.cell);
     }
 
-    /** Is it harmless for the client to try again? */
+    /** Whether a retry by the client is safe. */
     public static boolean isSafeToRetry(Method method, Pick mayHaveRun) {
         return mayHaveRun == null || method.effect == Method.IDEMPOTENT
                 || method.effect == Method.TOKENED && method.scope == Method.SCOPE_ALL;
     }
 
-    /** How long a pick may take: under the deadline only where another may follow and still be in time. */
+    /** Timeout of a pick: shorter than the time to the deadline only if a retry could still be in time. */
     public long pickTimeout(Rpc rpc, boolean isColdOrOnTrial) {
         long timeLeft = Math.max(1, shutdown.deadline(rpc) - fleet.now);
         Method method = rpc.method;
         long softTimeLeft = rpc.receivedAt + method.softDeadline - fleet.now;
-        // Few and cold, the appliances of a new build are slow at first: giving up early would convict it.
+        // The few, cold appliances of a new build are slow at first: early timeouts would count against it.
         if (isColdOrOnTrial || rpc.picks.size() >= maxPicks || !mayRetry(method) || method.meanLatency == 0) {
             return timeLeft;
         }
-        // A heavy RPC is not given up for being heavy.
+        // An RPC with much work must not time out because of that.
         double expectedLatency = WorkEstimate.expectedLatency(rpc);
         long timeout = (long) Math.max(TIMEOUT_SHARE * Math.min(softTimeLeft, timeLeft), WorkEstimate.SLOW_RATIO * expectedLatency);
         return softTimeLeft - timeout < RETRY_LATENCIES * expectedLatency ? timeLeft : Math.max(1, Math.min(timeLeft, timeout));
--- a/src/main/java/honeygap/rules/shutdown/Shutdown.java
+++ b/src/main/java/honeygap/rules/shutdown/Shutdown.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * How long is an RPC worked on in a process that has been told to end? What was taken on is owed its answer, and nobody is there to
- * give it after the end: so an RPC's deadline is the earlier of its own and the shutdown deadline, for all that is decided about it.
+ * Limits the work on RPCs in a process that is shutting down. Every accepted RPC must be answered before the process ends.
+ * So all decisions use the earlier of the RPC's own deadline and the shutdown deadline.
  */
 public final class Shutdown {
 
@@ -21,7 +21,7 @@
         this.fleet = fleet;
     }
 
-    /** The process has been told to end; told again, the first schedule holds. */
+    /** The process has been signalled to shut down; after a second signal the first schedule still holds. */
     public void begin(ShutdownSchedule newSchedule) {
         schedule = schedule == null ? newSchedule : schedule;
     }
@@ -30,14 +30,14 @@
         return schedule == null ? ShutdownPhase.SERVING : schedule.phase(fleet.now);
     }
 
-    /** By when the RPC must have its final answer. */
+    /** Time by which the RPC must have its final answer. */
     public long deadline(Rpc rpc) {
         return schedule == null ? rpc.deadline : Math.min(rpc.deadline, schedule.answersBy());
     }
 
     /**
-     * Whether an RPC that has not been sent is refused at once, so that its client goes elsewhere with time left: an answer of the
-     * usual kind would come too late. Without an answer to go by, one at the soft deadline.
+     * Whether an RPC that has not been sent is refused at once because a typical answer would come too late, so that its
+     * client still has time to use another agent. Before the first answer of a method, its soft deadline is assumed.
      */
     public boolean refuses(Rpc rpc) {
         if (schedule == null || !rpc.picks.isEmpty()) {
@@ -56,7 +56,7 @@
         inFlight.remove(pick);
     }
 
-    /** A pick to stop waiting for, since its RPC must be answered now; null where there is none. */
+    /** Removes and returns a pick to cancel because its RPC must be answered now; null if there is none. */
     public Pick takeOverdue() {
         if (phase() != ShutdownPhase.ENDED || inFlight.isEmpty()) {
             return null;
@@ -66,7 +66,7 @@
         return first;
     }
 
-    /** When picks have to be given up at the latest. */
+    /** When picks in flight have to be cancelled. */
     public long nextWakeAt() {
         return schedule == null || inFlight.isEmpty() ? Long.MAX_VALUE : schedule.answersBy();
     }
--- a/src/main/java/honeygap/rules/shutdown/ShutdownPhase.java
+++ b/src/main/java/honeygap/rules/shutdown/ShutdownPhase.java
@@ -1,13 +1,13 @@
 package honeygap.rules.shutdown;
 
-/** How far a process is on its way to the end. */
+/** Phase of the shutdown of a process. */
 public enum ShutdownPhase {
-    /** Not told to end. */
+    /** Not shutting down. */
     SERVING,
-    /** Told to end; connections are accepted and stay open, since clients hear of it later. */
+    /** Signalled; connections are still accepted and stay open, since clients learn of the shutdown later. */
     DRAINING,
-    /** No connection is accepted, and each is closed as soon as it rests. */
+    /** No connection is accepted, and each is closed as soon as it is idle. */
     CLOSING,
-    /** Whatever was open has been given up and answered. */
+    /** Every open RPC is abandoned and answered. */
     ENDED
 }
--- a/src/main/java/honeygap/rules/votes/Voting.java
+++ b/src/main/java/honeygap/rules/votes/Voting.java
@@ -6,23 +6,25 @@
 import honeygap.rules.fit.Fit;
 import honeygap.terms.Desk;
 
-/** What does this agent stand for, and when does it tell the desk? */
+/** Decides how this agent votes on the build on trial, and when it sends its vote to the desk. */
 public record Voting(Fleet fleet, Chance random, FailureEvidence failureEvidence, SlownessEvidence slownessEvidence, DeskCounts deskCounts,
                     Desk settings, double[] stageShares, long advanceDelay, VoteRecord lastVote) {
 
-    private static final String[] VERDICTS = {"takes its vote away", "votes on", "votes hold", "votes back"};
+    private static final String[] VERDICTS = {"withdraws its vote", "votes to advance", "votes to hold", "votes to roll back"};
+    /** Probability of being worse above which the vote is to roll back. */
     private static final double ROLLBACK_PROBABILITY = 0.95;
+    /** Probability of being worse by wrong answers and ended picks above which the vote to advance is delayed. */
     private static final double DOUBT_PROBABILITY = 0.65;
-    /** The desk's counts must be surer: picks that jam together are no independent events. */
+    /** Higher for the desk's counts: picks delayed by the same overload are no independent events. */
     private static final double DESK_COUNTS_PROBABILITY = 0.98;
-    /** Waits after which no pick of the stage need have ended at the build. */
+    /** Multiple of the advance delay after which the vote to advance needs no ended picks of the stage. */
     private static final int UNSEEN_DELAYS = 2;
 
     public void voteAnswered(int outcome) {
         lastVote.isUnanswered = false;
-        // Moot: the stage has moved on, as news will tell; the same call again would only fill the desk.
+        // Not executed: the stage has changed, as the next report will show; a retry would only load the desk.
         lastVote.isAccepted = outcome == Pick.OK || outcome == Pick.MOOT;
-        // All agents speak when a stage is due; those that found no room come again spread over a round.
+        // All agents vote when a stage is due; those that the desk pushed back retry spread over a voting round.
         lastVote.nextAllowedAt = outcome == Pick.FULL ? fleet.now + (long) (random.nextUniform() * votingRound()) : lastVote.nextAllowedAt;
     }
 
@@ -37,7 +39,7 @@
             return false;
         }
         if (verdict != lastVote.verdict) {
-            lastVote.pendingNote = String.format("%s: build %d, stage %d; failures %s; all %s; slowed %s; wrong %s",
+            lastVote.pendingNote = String.format("%s: build %d, stage %d; own failures %s; counts of all agents %s; slowness %s; wrong answers %s",
                     VERDICTS[verdict], fleet.newestBuild.number, fleet.stage, failureEvidence.inFlightFit, deskCounts.fits,
                     slownessEvidence.fit, failureEvidence.answerFit);
         }
@@ -54,7 +56,7 @@
         double slowProbability = slownessEvidence.fit.worseProbability();
         double deskProbability = deskCounts.fits.stream().mapToDouble(Fit::worseProbability).max().orElse(0);
         double ownProbability = Math.max(failureEvidence.inFlightFit.worseProbability(), failureEvidence.answerFit.worseProbability()), worseProbability = Math.max(deskProbability, ownProbability);
-        // Where few voices are enough, all agents share the chance that one of them is wrong.
+        // If few votes are enough to roll back, each agent gets only its share of the accepted error probability.
         double errorShare = Math.min(1, (double) settings.rollbackVotes() * settings.rollbackVotes() / fleet.agentCount);
         boolean isConvicted = ownProbability > 1 - (1 - ROLLBACK_PROBABILITY) * errorShare || deskProbability > DESK_COUNTS_PROBABILITY;
         if (isConvicted || slownessEvidence.isLasting() && slowProbability > ROLLBACK_PROBABILITY) {
@@ -66,30 +68,31 @@
         if (settings.gate() == Desk.AUTOMATIC) {
             return worseProbability > Fit.HOLD_PROBABILITY ? Build.VOTE_HOLD : Build.VOTE_NONE;
         }
-        // With no earlier appliance up a wait spares no RPC, and it can go back after the release, too.
-        // A slow build convicts itself nowhere; what it does to a part of the fleet it would do to all.
+        // If no earlier appliance is up, waiting protects no RPC, and the build can still be rolled back after the
+        // release. Slowness alone does not roll a build back here, but what slows a part of the fleet would slow all of it.
         boolean isDoubtful = slowProbability > Fit.HOLD_PROBABILITY || failureEvidence.answerFit.worseProbability(Fit.TOLERATED_RATIO) > DOUBT_PROBABILITY
                 || fleet.now < deskCounts.lastSlowAt + 2 * settings.countsInterval();
         boolean isGood = worseProbability <= Fit.HOLD_PROBABILITY && (!isDoubtful || fleet.earlierAppliances() == 0);
         return isGood && fleet.now >= advanceAllowedAt() ? Build.VOTE_ON : Build.VOTE_NONE;
     }
 
-    /** When 'on' may be said: a wait after the last listed start of the stage's appliances. */
+    /** When a vote to advance is allowed: the advance delay after the last listed start of the stage's appliances. */
     private long advanceAllowedAt() {
         Build newest = fleet.newestBuild;
         long evidenceSince = fleet.appliances.stream().filter(a -> a.state == Appliance.UP && a.build == newest)
                 .mapToLong(a -> a.startedAt).reduce(fleet.stageSince, Math::max);
         int wantedAppliances = fleet.stage < stageShares.length ? Math.max(1, (int) (stageShares[fleet.stage] * fleet.earlierAtTrialStart)) : 1;
-        // A list that lags must not hold a good build up for ever. Harm: 'on' with less of the stage seen.
-        // One of many agents hears late and sends little: nothing seen is no good word. Harm: 'on' is later.
-        // Where the desk's counts come they must reach into the time with all of the stage's appliances.
+        // A late list must not delay a good build for ever. Drawback: a vote with fewer of the stage's appliances seen.
+        // One of many agents is informed late and sends little, so the absence of failures is no evidence without
+        // enough picks. Drawback: a later vote. If the desk's counts are received, they must cover time with all of
+        // the stage's appliances up.
         long countedUntil = newest.countedUntil;
         boolean isCounted = countedUntil == Fleet.LONG_AGO || countedUntil >= evidenceSince + settings.countsInterval() / 2;
         evidenceSince += deskCounts.isUsed ? isCounted ? 0 : advanceDelay : newest.answersInStage >= DeskCounts.MIN_PICKS ? 0 : UNSEEN_DELAYS * advanceDelay;
         return advanceDelay + (newest.limit.appliances >= wantedAppliances ? evidenceSince : Math.max(evidenceSince, fleet.stageSince + 2 * advanceDelay));
     }
 
-    /** The time in which the desk takes a vote of each agent. */
+    /** Time in which the desk can accept one vote of each agent. */
     private long votingRound() {
         return (long) (Fleet.SECOND * fleet.agentCount / settings.votesPerSecond());
     }
@@ -102,7 +105,7 @@
         boolean isUnchanged = lastVote.build == fleet.newestBuild && lastVote.verdict == verdict
                 && (lastVote.stage == fleet.stage || verdict != Build.VOTE_ON && verdict != Build.VOTE_HOLD);
         if (verdict == Build.VOTE_NONE) {
-            // A vote that no longer matches its build's standing is taken away while it could still count.
+            // Withdraws a vote that no longer matches the evidence on its build while it could still count.
             return fleet.newestBuild != null && lastVote.build == fleet.newestBuild && lastVote.verdict != Build.VOTE_NONE
                     && fleet.now < lastVote.castAt + settings.voteLifetime() && fleet.phase == Build.ON_TRIAL
                     && lastVote.stage == fleet.stage;
--- a/src/main/java/honeygap/rules/work/WorkEstimate.java
+++ b/src/main/java/honeygap/rules/work/WorkEstimate.java
@@ -2,12 +2,12 @@
 
 import honeygap.fleet.*;
 
-/** What should an RPC take, by its method and its hint? */
+/** Estimates the work and the latency of an RPC from its method and its work hint. */
 public final class WorkEstimate {
 
-    /** How far a mean moves towards what came last; the same for what is counted by the second. */
+    /** Smoothing factor of exponential means: by sample, and for rates by second. */
     public static final double SMOOTHING = 1.0 / 32, RATE_SMOOTHING = 1.0 / 3;
-    /** Times the usual past which an answer is slow. */
+    /** Ratio to the expected latency above which an answer is slow. */
     public static final double SLOW_RATIO = 3;
 
     public static void rpcReceived(Rpc rpc) {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** What the RPC should take: the method's usual time, more where its hint says that it is heavy. */
+    /** Expected latency of the RPC: the method's mean, increased if its hint is above the method's mean hint. */
     public static double expectedLatency(Rpc rpc) {
         return rpc.method.meanLatency * relativeWork(rpc);
     }
@@ -30,7 +30,10 @@
         return Math.max(1, rpc.method.meanWorkHint > 0 ? rpc.workHint / rpc.method.meanWorkHint : 1);
     }
 
-    /** By the method, not the hint: those that look light would be let through alone, and often are not. */
+    /**
+     * Expected work of the RPC, by its method. Its own hint is not used: RPCs with low hints would be preferred, and
+     * often need more work than their hints say.
+     */
     public static double expectedWork(Rpc rpc) {
         return Math.max(1, rpc.method.meanWorkHint > 0 ? rpc.method.meanWorkHint : rpc.method.meanLatency);
     }
--- a/src/main/java/honeygap/spread/Others.java
+++ b/src/main/java/honeygap/spread/Others.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * How much do other processes have out at each appliance? What each has said of itself counts less the older it is, to
- * nothing when it no longer holds, and what nobody can have out counts for no more than a bound. No I/O: entries are
- * told one by one, then the sums are taken. Times are tenths of a millisecond.
+ * Sums the picks that other processes report to have in flight at each appliance. The weight of a report falls linearly
+ * with its age to zero at the end of its validity, and implausible figures are bounded. Does no I/O: reports are added
+ * one by one, then the sums are read. Times are tenths of a millisecond.
  */
 public final class Others {
 
@@ -15,16 +15,19 @@
     private final Map<String, Double> sums = new HashMap<>();
     private long outOfBounds;
 
-    /** What is older than this counts for nothing; one process has at most so many picks out at one appliance. */
+    /**
+     * @param validity age from which a report no longer counts
+     * @param maxPerProcess maximum number of picks of one process in flight at one appliance
+     */
     public Others(long validity, double maxPerProcess) {
         this.validity = validity;
         this.maxPerProcess = maxPerProcess;
     }
 
-    /** One process has so many picks out there, as of so long ago. */
+    /** Adds one process's report of its picks in flight at the appliance. */
     public void told(String appliance, double inFlight, long age) {
         if (!(inFlight >= 0 && inFlight <= maxPerProcess)) {
-            // Guards against a member that says none always, or a billion: neither draws nor repels all.
+            // A member that reports a negative or huge figure must neither attract nor repel all traffic.
             outOfBounds++;
         }
         double bounded = inFlight >= 0 ? Math.min(inFlight, maxPerProcess) : 0;
@@ -32,12 +35,12 @@
         sums.merge(appliance, bounded * weight, Double::sum);
     }
 
-    /** Picks of others by appliance. */
+    /** Weighted picks of other processes, by appliance. */
     public Map<String, Double> sums() {
         return Map.copyOf(sums);
     }
 
-    /** Figures that were out of bounds. */
+    /** Number of reported figures that were out of bounds. */
     public long beyond() {
         return outOfBounds;
     }
--- a/src/main/java/honeygap/stats/PartialLikelihood.java
+++ b/src/main/java/honeygap/stats/PartialLikelihood.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The Breslow partial likelihood of one effect, theta, of a new arm against an old one, with a normal prior of mean 0
+ * Breslow partial likelihood of one effect, theta, of a new arm against an old one, with a normal prior of mean 0
  * and variance 1. The hazard ratio of the new arm is exp(-theta), so a higher theta means fewer failures. Newton's
  * method finds the one maximum of the concave log posterior:
  *
@@ -34,7 +34,7 @@
     private double curvature = 1;
     private boolean isStale;
 
-    /** Opens groups of tied events; returns the number of the first. */
+    /** Adds groups of tied events; returns the index of the first. */
     public int openGroups(int count) {
         for (int i = 0; i < count; i++) {
             groups.add(new Group());
@@ -42,7 +42,7 @@
         return groups.size() - count;
     }
 
-    /** Adds to a group so many at risk in one arm, and so many failures among them. */
+    /** Adds subjects at risk in one arm to a group, and the failures among them. */
     public void add(int index, boolean isNew, double atRisk, double failed) {
         Group group = groups.get(index);
         group.failures += failed;
@@ -57,7 +57,7 @@
         isStale = true;
     }
 
-    /** Keeps only this part of the new arm of all groups, and of its failures; the old arm stays. */
+    /** Scales the new arm of all groups and its failures by this factor; the old arm is unchanged. */
     public void fade(double factor) {
         for (Group group : groups) {
             group.failures -= (1 - factor) * group.failuresOfNew;
@@ -69,12 +69,10 @@
         isStale = true;
     }
 
-    /** Failures of both arms. */
     public double failures() {
         return failures;
     }
 
-    /** Failures of the new arm. */
     public double failuresOfNew() {
         return failuresOfNew;
     }
@@ -106,7 +104,7 @@
         }
     }
 
-    /** The slope of the log posterior at the mode so far; leaves the negative curvature there. */
+    /** Slope of the log posterior at the current mode; also sets the negative curvature there. */
     private double slope() {
         double slope = -failuresOfNew - mode;
         double ratio = Math.exp(-mode);
--- a/src/main/java/honeygap/stats/package-info.java
+++ b/src/main/java/honeygap/stats/package-info.java
@@ -1,2 +1,2 @@
-/** Statistics without thresholds or decisions: likelihoods that the decision modules fit. */
+/** Statistics without thresholds or decisions: likelihoods that the decision module fits. */
 package honeygap.stats;
--- a/src/main/java/honeygap/terms/Listing.java
+++ b/src/main/java/honeygap/terms/Listing.java
@@ -1,11 +1,11 @@
 package honeygap.terms;
 
 /**
- * The list of appliances.
+ * How the list of appliances is obtained. Times are tenths of a millisecond.
  *
- * @param watched whether the module must call discovery for it
- * @param pushed whether its changes count as told without a call; discovery has no queue of calls then
- * @param askWithin for how long it may go without a call, in tenths of a millisecond
- * @param lease for how long it may be relied on after discovery confirmed it, in tenths of a millisecond; 0 for ever
+ * @param watched whether the decision module must call discovery for it
+ * @param pushed whether changes are pushed without a call; discovery then has no queue of calls
+ * @param askWithin maximum time without a call
+ * @param lease how long the list is valid after discovery confirmed it; 0 means for ever
  */
 public record Listing(boolean watched, boolean pushed, long askWithin, long lease) { }
--- a/src/main/java/honeygap/terms/Tries.java
+++ b/src/main/java/honeygap/terms/Tries.java
@@ -1,4 +1,10 @@
 package honeygap.terms;
 
-/** Picks of one RPC at most, and whether and how long clients heed being told to stay away. */
+/**
+ * Limits on retries.
+ *
+ * @param maxPicks maximum number of picks of an RPC
+ * @param retryAfterHonored whether clients honor a retry-after
+ * @param maxRetryAfter longest retry-after that they honor, in tenths of a millisecond
+ */
 public record Tries(int maxPicks, boolean retryAfterHonored, long maxRetryAfter) { }
