--- a/src/main/java/honeygap/Rules.java
+++ b/src/main/java/honeygap/Rules.java
@@ -189,6 +189,7 @@
         fleet.listStarted(isFull, isFromDisk);
     }
 
+    /** One entry of the list. */
     public void listed(Appliance appliance, Build build, Location zone, int cell, int state, long startedAt) {
         if (fleet.applianceListed(appliance, build, zone, cell, state, startedAt)) {
             appliance.resetObservations();
@@ -196,6 +197,7 @@
         }
     }
 
+    /** The list, or the change to it, is complete. */
     public void listEnds() {
         fleet.currentList.forEach(appliance -> registerBuild(appliance.build));
         if (!fleet.listCompleted()) {
@@ -278,7 +280,7 @@
             }
         }
         long wakeAt = Math.min(listCallSchedule.callAt(),
-                fleet.isRolloutCurrent() ? fleet.now + Fleet.SECOND / 10 : Long.MAX_VALUE);
+                fleet.isNewestActive() ? fleet.now + Fleet.SECOND / 10 : Long.MAX_VALUE);
         wakeAt = Math.min(wakeAt, shutdown.nextWakeAt());
         wakeAt = waiting.isEmpty() ? wakeAt : Math.min(wakeAt, fleet.now + 2 * fleet.tick);
         if (wakeAt < nextWakeAt) {
@@ -301,9 +303,10 @@
         }
         // If one RPC that may go to any appliance found no capacity in this iteration, the next one of its
         // method will not either. This saves repeated searches while many RPCs wait.
-        boolean isFree = rpc.picks.isEmpty() && !fleet.isRoutedToNewest(rpc.key);
-        Appliance appliance = isFree && rpc.method.noCapacityAt == fleet.now ? null : selector.select(rpc, mayHaveRun);
-        rpc.method.noCapacityAt = isFree && appliance == null ? fleet.now : rpc.method.noCapacityAt;
+        boolean isUnrestricted = rpc.picks.isEmpty() && !fleet.isRoutedToNewest(rpc.key);
+        Appliance appliance = isUnrestricted && rpc.method.noCapacityAt == fleet.now
+                ? null : selector.select(rpc, mayHaveRun);
+        rpc.method.noCapacityAt = isUnrestricted && appliance == null ? fleet.now : rpc.method.noCapacityAt;
         if (appliance != null) {
             sendPick(rpc, appliance, mayHaveRun, handler);
             return true;
--- a/src/main/java/honeygap/fleet/Fleet.java
+++ b/src/main/java/honeygap/fleet/Fleet.java
@@ -162,7 +162,7 @@
     }
 
     /** Whether the newest build is on trial or released: votes count and keys stay with the build. */
-    public boolean isRolloutCurrent() {
+    public boolean isNewestActive() {
         return newestBuild != null && (phase == Build.ON_TRIAL || phase == Build.RELEASED);
     }
 }
--- a/src/main/java/honeygap/rules/builds/ExposureLimit.java
+++ b/src/main/java/honeygap/rules/builds/ExposureLimit.java
@@ -58,7 +58,7 @@
 
     /** A key that was sent to the newest build is not sent to an earlier one until the build is rolled back. */
     public boolean allowsKey(Rpc rpc, Build build) {
-        return !exposure.keysStay() || !fleet.isRolloutCurrent() || fleet.isNewestOrLater(build)
+        return !exposure.keysStay() || !fleet.isNewestActive() || fleet.isNewestOrLater(build)
                 || !fleet.isRoutedToNewest(rpc.key);
     }
 }
--- a/src/main/java/honeygap/rules/discovery/ListCalls.java
+++ b/src/main/java/honeygap/rules/discovery/ListCalls.java
@@ -3,12 +3,17 @@
 import honeygap.fleet.Chance;
 import honeygap.terms.Listing;
 
-/** Schedules calls to discovery for the list of appliances: the first call, and retries with back-off and full jitter. */
+/**
+ * Schedules calls to discovery for the list of appliances: the first call, and retries with back-off and full jitter.
+ */
 public final class ListCalls {
 
     /** Share of the call interval over which agents that have a stored list spread their first calls. */
     private static final double FIRST_CALL_SPREAD = 0.5;
-    /** Bounds of a retry delay, as shares of the call interval: the first one after a watch or a failed call, and the maxima. */
+    /**
+     * Bounds of a retry delay, as shares of the call interval: the first one after a watch or a failed call, and the
+     * maxima.
+     */
     private static final double RETRY_AFTER_WATCH = 0.05, RETRY_AFTER_FAILURE = 0.25,
             MAX_RETRY = 1, MAX_RETRY_PUSHED = 0.25;
 
@@ -34,8 +39,8 @@
     }
 
     /**
-     * The watch has ended, or the call for one has failed. A failed call still uses discovery's time, and an early retry
-     * keeps its queue full. So only a received list resets the back-off; an accepted call alone does not.
+     * The watch has ended, or the call for one has failed. A failed call still uses discovery's time, and an early
+     * retry keeps its queue full. So only a received list resets the back-off; an accepted call alone does not.
      */
     public void failed(long now) {
         boolean pushed = settings.pushed();
@@ -59,7 +64,9 @@
         failures = 0;
     }
 
-    /** When the next call is due. Only one call is open at a time, so that it keeps its position in discovery's queue. */
+    /**
+     * When the next call is due. Only one call is open at a time, so that it keeps its position in discovery's queue.
+     */
     public long callAt() {
         return settings.watched() ? nextCallAt : Long.MAX_VALUE;
     }
--- a/src/main/java/honeygap/rules/discovery/ListLease.java
+++ b/src/main/java/honeygap/rules/discovery/ListLease.java
@@ -7,13 +7,13 @@
 
 /**
  * Determines which appliances are still known to serve. The list from discovery is a lease: it is valid for a bounded
- * time after discovery last confirmed it. A list of unknown age, such as a stored one, has no lease. After the lease has
- * expired, an appliance is still known to serve in two cases:
+ * time after discovery last confirmed it. A list of unknown age, such as a stored one, has no lease. After the lease
+ * has expired, an appliance is still known to serve in two cases:
  *
  * <ul>
  * <li>It has answered on a connection opened before the list was last confirmed. Then it is the listed process and was
- * serving when the pick was sent, which gives it a lease of its own from that time. On a newer connection the answer may
- * come from another process, which was drained and has restarted unlisted.
+ * serving when the pick was sent, which gives it a lease of its own from that time. On a newer connection the answer
+ * may come from another process, which was drained and has restarted unlisted.
  * <li>It runs the newest build, and the desk's last report is no older than the lease. Machines are drained only when a
  * newer build replaces theirs or theirs is rolled back, and the desk reports both.
  * </ul>
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Whether the desk has reported within the lease time that this appliance's build is the newest and not rolled back. An
-     * appliance that did not respond since the list was confirmed is excluded: it may have been removed.
+     * Whether the desk has reported within the lease time that this appliance's build is the newest and not rolled
+     * back. An appliance that did not respond since the list was confirmed is excluded: it may have been removed.
      */
     private boolean isOfNewestBuild(Appliance appliance) {
-        return appliance.lastUnansweredAt <= confirmedAt && fleet.isRolloutCurrent()
+        return appliance.lastUnansweredAt <= confirmedAt && fleet.isNewestActive()
                 && appliance.build == fleet.newestBuild && fleet.now < fleet.rolloutReportedAt + leaseDuration;
     }
 
@@ -122,7 +122,8 @@
 
     /** Number of the appliances listed as up that are known to serve now. */
     public long coveredCount() {
-        return fleet.appliances.stream().filter(appliance -> appliance.state == Appliance.UP && covers(appliance)).count();
+        return fleet.appliances.stream().filter(appliance -> appliance.state == Appliance.UP && covers(appliance))
+                .count();
     }
 
     /** Tenths of a millisecond since discovery last confirmed the list; negative if it never has. */
--- a/src/main/java/honeygap/rules/evidence/DeskCounts.java
+++ b/src/main/java/honeygap/rules/evidence/DeskCounts.java
@@ -41,9 +41,9 @@
 
     /**
      * Adds the desk's counts of all agents in a period, as one group of tied events for each method. Used if the desk
-     * samples more picks than this agent sends, so that hundreds of agents with few RPCs each need not wait for failures
-     * of their own. A baseline of failures is added to both arms: failures of a cold start must not count against
-     * the build. Drawback: a bad build is detected later.
+     * samples more picks than this agent sends, so that hundreds of agents with few RPCs each need not wait for
+     * failures of their own. A baseline of failures is added to both arms: failures of a cold start must not count
+     * against the build. Drawback: a bad build is detected later.
      */
     public void countsReceived(Build build, Method method, long picks, long failed, long meanLatency) {
         if (fleet.evaluatedBuild == null || !isUsed) {
@@ -59,7 +59,8 @@
         // accumulates all counts of the earlier builds.
         Fit fit = fits.get(method.index);
         boolean isNew = build == fleet.evaluatedBuild;
-        boolean isSlow = isNew && method.meanLatency > 0 && picks >= MIN_PICKS && meanLatency > Fit.TOLERATED_RATIO * method.meanLatency;
+        boolean isSlow = isNew && method.meanLatency > 0 && picks >= MIN_PICKS
+                && meanLatency > Fit.TOLERATED_RATIO * method.meanLatency;
         lastSlowAt = isSlow ? fleet.now : lastSlowAt;
         // If even its ok answers are far too slow, its few appliances are overloaded: failures are no evidence.
         if (isNew && method.meanLatency > 0 && meanLatency > WorkEstimate.SLOW_RATIO * method.meanLatency) {
--- a/src/main/java/honeygap/rules/evidence/FailureEvidence.java
+++ b/src/main/java/honeygap/rules/evidence/FailureEvidence.java
@@ -35,9 +35,11 @@
         boolean isFairEvidence = !isAnswered || health.recordAnswer(pick, failed);
         pick.build.answersInStage += isAnswered ? 1 : 0;
         // Connections to a zone that break at the same time are one event: the zone is lost, the build is not to blame.
-        boolean isRepeatedReset = outcome == Pick.RESET && fleet.now < pick.zone.lastResetAt + pick.rpc.method.meanLatency;
+        boolean isRepeatedReset = outcome == Pick.RESET
+                && fleet.now < pick.zone.lastResetAt + pick.rpc.method.meanLatency;
         pick.zone.lastResetAt = outcome == Pick.RESET ? fleet.now : pick.zone.lastResetAt;
-        boolean isEvidence = outcome == Pick.OK || isUnanswered || failed && !isRepeatedReset && isFairEvidence && !health.isOutlier(pick.appliance);
+        boolean isEvidence = outcome == Pick.OK || isUnanswered
+                || failed && !isRepeatedReset && isFairEvidence && !health.isOutlier(pick.appliance);
         Build evaluated = fleet.evaluatedBuild;
         if (evaluated == null || !isEvidence) {
             return;
@@ -46,11 +48,13 @@
         // bias the comparison.
         int method = pick.rpc.method.index;
         boolean isNew = pick.build == evaluated;
-        int oldInFlight = fleet.builds.stream().mapToInt(b -> b == evaluated ? 0 : b.inFlightPicks(isUnanswered)[method]).sum();
+        int oldInFlight = fleet.builds.stream()
+                .mapToInt(b -> b == evaluated ? 0 : b.inFlightPicks(isUnanswered)[method]).sum();
         // An unresponsive appliance is one event however many picks it had, and a cold one may time out because
         // it is cold: neither must count against its build. Drawback: a build whose picks only ever time out is
         // detected later.
-        if (failed && (oldInFlight > 0 || !isNew) || isUnanswered && pick.appliance.consecutiveUnanswered == 0 && !pick.cold) {
+        if (failed && (oldInFlight > 0 || !isNew)
+                || isUnanswered && pick.appliance.consecutiveUnanswered == 0 && !pick.cold) {
             inFlightFit.addEvent(oldInFlight, evaluated.inFlightPicks(isUnanswered)[method], isNew);
         }
         if (isUnanswered) {
@@ -68,7 +72,8 @@
         double oldAnswers = fleet.builds.stream().mapToDouble(b -> b == evaluated ? 0 : b.recentAnswers[method]).sum();
         boolean isOnlyBuild = fleet.earlierAppliances() == 0;
         answerFit.add(method, isNew, 1 - failureCount, 0);
-        answerFit.add(fleet.methods.size() + method, isNew, isNew && !isOnlyBuild ? 0 : 1, isNew && !isOnlyBuild ? 0 : failureCount);
+        answerFit.add(fleet.methods.size() + method, isNew, isNew && !isOnlyBuild ? 0 : 1,
+                isNew && !isOnlyBuild ? 0 : failureCount);
         if (failed && !isOnlyBuild) {
             answerFit.addEvent(oldAnswers, evaluated.recentAnswers[method], isNew);
         }
--- a/src/main/java/honeygap/rules/evidence/SlownessEvidence.java
+++ b/src/main/java/honeygap/rules/evidence/SlownessEvidence.java
@@ -41,7 +41,8 @@
     /** A second that began at {@code since} has ended. */
     public void secondEnded(long since) {
         fit.fade(FADE_PER_SECOND);
-        firstTryRate += WorkEstimate.RATE_SMOOTHING * (firstTries * (double) Fleet.SECOND / (fleet.now - since) - firstTryRate);
+        firstTryRate += WorkEstimate.RATE_SMOOTHING
+                * (firstTries * (double) Fleet.SECOND / (fleet.now - since) - firstTryRate);
         firstTries = 0;
     }
 
@@ -55,11 +56,14 @@
         Method method = pick.rpc.method;
         // While earlier appliances are up, only they count: those of a new build are slow because they are few.
         boolean isEvidence = outcome == Pick.OK || outcome == Pick.TIMEOUT && pick.appliance.consecutiveUnanswered == 0;
-        if (pick.cold || method.meanLatency == 0 || !isEvidence || pick.build == fleet.evaluatedBuild && fleet.earlierAppliances() > 0) {
+        if (pick.cold || method.meanLatency == 0 || !isEvidence
+                || pick.build == fleet.evaluatedBuild && fleet.earlierAppliances() > 0) {
             return;
         }
-        double baseline = isTrialInEffect() && method.meanLatencyBeforeTrial > 0 ? method.meanLatencyBeforeTrial : method.meanLatency;
-        fit.add(method.index, isTrialInEffect(), 1, latency > WorkEstimate.SLOW_RATIO * baseline * WorkEstimate.relativeWork(pick.rpc) ? 1 : 0);
+        double baseline = isTrialInEffect() && method.meanLatencyBeforeTrial > 0
+                ? method.meanLatencyBeforeTrial : method.meanLatency;
+        fit.add(method.index, isTrialInEffect(), 1,
+                latency > WorkEstimate.SLOW_RATIO * baseline * WorkEstimate.relativeWork(pick.rpc) ? 1 : 0);
         if (fit.worseProbability() <= Fit.HOLD_PROBABILITY || firstTryRate > BURST_RATIO * firstTryRateBeforeTrial) {
             slowSince = fleet.now;
         }
--- a/src/main/java/honeygap/rules/health/ApplianceHealth.java
+++ b/src/main/java/honeygap/rules/health/ApplianceHealth.java
@@ -22,7 +22,8 @@
     public boolean recordAnswer(Pick pick, boolean failed) {
         Tenant tenant = pick.rpc.tenant;
         int failure = failed ? 1 : 0;
-        tenant.failureShare += pick.build != fleet.evaluatedBuild ? FAST_SMOOTHING * (failure - tenant.failureShare) : 0;
+        tenant.failureShare += pick.build != fleet.evaluatedBuild
+                ? FAST_SMOOTHING * (failure - tenant.failureShare) : 0;
         boolean isEvidence = !failed || !isFailingTenant(tenant);
         pick.appliance.failureShare += isEvidence ? FAST_SMOOTHING * (failure - pick.appliance.failureShare) : 0;
         return isEvidence;
@@ -38,13 +39,15 @@
             appliance.consecutiveUnanswered = 0;
             appliance.avoidedUntil = Fleet.LONG_AGO;
             if (pick.rpc.method.meanLatency > 0) {
-                appliance.latencyRatio += 2 * WorkEstimate.SMOOTHING * (latency / WorkEstimate.expectedLatency(pick.rpc) - appliance.latencyRatio);
+                appliance.latencyRatio += 2 * WorkEstimate.SMOOTHING
+                        * (latency / WorkEstimate.expectedLatency(pick.rpc) - appliance.latencyRatio);
             }
         } else if (outcome == Pick.TIMEOUT || outcome == Pick.CONNECT_FAILED
                 || outcome == Pick.ERROR && isOutlier(appliance)) {
             Method method = pick.rpc.method;
             if (++appliance.consecutiveUnanswered >= UNANSWERED_TO_AVOID) {
-                double latencies = AVOID_MEAN_LATENCIES * (1 << Math.min(3, appliance.consecutiveUnanswered - UNANSWERED_TO_AVOID));
+                double latencies = AVOID_MEAN_LATENCIES
+                        * (1 << Math.min(3, appliance.consecutiveUnanswered - UNANSWERED_TO_AVOID));
                 double meanLatency = Math.max(method.meanLatency, method.softDeadline / 4);
                 appliance.avoidedUntil = fleet.now + (long) (latencies * meanLatency);
             }
@@ -67,7 +70,8 @@
     public void recordZoneLatency(Location zone, Rpc rpc, int outcome, long latency) {
         boolean isOk = outcome == Pick.OK;
         if (rpc.method.meanLatency > 0 && (isOk || outcome == Pick.TIMEOUT || outcome == Pick.CONNECT_FAILED)) {
-            double ratio = Math.max(latency / WorkEstimate.expectedLatency(rpc), isOk ? 0 : 2 * WorkEstimate.SLOW_RATIO);
+            double ratio = Math.max(latency / WorkEstimate.expectedLatency(rpc),
+                    isOk ? 0 : 2 * WorkEstimate.SLOW_RATIO);
             zone.latencyRatio += FAST_SMOOTHING * (Math.min(ratio, 4 * WorkEstimate.SLOW_RATIO) - zone.latencyRatio);
         }
     }
--- a/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
+++ b/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
@@ -14,7 +14,10 @@
     private static final double LATE_SHARE_OF_DEADLINE = 0.5;
     private static final double TOLERATED_LATE_SHARE = 0.2;
     private static final double DECREASE = 0.5;
-    /** Lower bound of the limit even under overload, as a share of the initial limit. */
+    /**
+     * Lower bound of a build's limit even under overload, as a share of the initial limit; initial limit of a new build
+     * against the work rate of a warm appliance; bound of fast growth as a multiple of the initial limit.
+     */
     private static final double MIN_LIMIT = 0.25, TRIAL_START_RATIO = 3, MAX_FAST_GROWTH = 3;
 
     public void applianceRestarted(Appliance appliance) {
@@ -42,9 +45,9 @@
 
     /**
      * Adjusts the limits of the appliance and of its whole build. A limit for the build is needed because a single pick
-     * of each of hundreds of agents already overloads it. A limit shrinks while more than a tolerated share of the
-     * answers is late; below one pick, picks are spaced out in time. This handles overload of any cause: load, a
-     * burst, slowness of one or all appliances, the few appliances of a new build. Drawback: answers that are late
+     * of each of hundreds of agents already overloads an appliance. A limit shrinks while more than a tolerated share
+     * of the answers is late; below one pick, picks are spaced out in time. This handles overload of any cause: load,
+     * a burst, slowness of one or all appliances, the few appliances of a new build. Drawback: answers that are late
      * for other reasons count as well, except for early timeouts, unresponsive appliances and slow zones.
      */
     public void pickEnded(Pick pick, int outcome, long latency) {
@@ -65,7 +68,8 @@
         } else if (limit.out + 1 >= total / 2) {
             // While few answers are late, grow by one pick an answer up to three times the initial limit, since the
             // loads of agents differ by that much.
-            boolean isFastGrowth = limit.lateShare < TOLERATED_LATE_SHARE / 2 && limit.perAppliance < MAX_FAST_GROWTH * INITIAL_LIMIT / fleet.agentCount;
+            boolean isFastGrowth = limit.lateShare < TOLERATED_LATE_SHARE / 2
+                    && limit.perAppliance < MAX_FAST_GROWTH * INITIAL_LIMIT / fleet.agentCount;
             double increase = isFastGrowth ? 1 : DECREASE * TOLERATED_LATE_SHARE / (1 - TOLERATED_LATE_SHARE);
             limit.perAppliance *= 1 + increase / total;
         }
@@ -77,8 +81,10 @@
      * the limit shrinks in proportion at once.
      */
     public boolean hasCapacity(ConcurrencyLimit limit, Rpc rpc) {
-        double lateAfter = LATE_SHARE_OF_DEADLINE * rpc.method.softDeadline, scale = Math.min(1, lateAfter / Math.max(1, limit.meanAge(fleet.now)));
-        return limit.out < limit.perAppliance * limit.appliances * scale && (limit.out > 0 || fleet.now >= limit.pausedUntil);
+        double lateAfter = LATE_SHARE_OF_DEADLINE * rpc.method.softDeadline,
+                scale = Math.min(1, lateAfter / Math.max(1, limit.meanAge(fleet.now)));
+        return limit.out < limit.perAppliance * limit.appliances * scale
+                && (limit.out > 0 || fleet.now >= limit.pausedUntil);
     }
 
     /**
--- a/src/main/java/honeygap/rules/routing/ApplianceSelector.java
+++ b/src/main/java/honeygap/rules/routing/ApplianceSelector.java
@@ -12,14 +12,18 @@
 import java.util.List;
 
 /** Selects the appliance for the next pick of an RPC. */
-public record ApplianceSelector(Fleet fleet, Chance random, ExposureLimit exposureLimit, FailureEvidence failureEvidence, ApplianceHealth health,
-                     ConcurrencyLimits concurrencyLimits, ColdStartLimit coldStartLimit, RetryPolicy retryPolicy, ListLease lease) {
+public record ApplianceSelector(Fleet fleet, Chance random, ExposureLimit exposureLimit,
+                                FailureEvidence failureEvidence, ApplianceHealth health,
+                                ConcurrencyLimits concurrencyLimits, ColdStartLimit coldStartLimit,
+                                RetryPolicy retryPolicy, ListLease lease) {
 
     /** Counts first picks sent to the earlier builds and to the evaluated one. */
     public void pickSent(Pick pick) {
         if (pick.rpc.picks.size() == 1 && fleet.evaluatedBuild != null) {
-            fleet.firstPicksOld = fleet.firstPicksOld * (1 - WorkEstimate.SMOOTHING) + (pick.build == fleet.evaluatedBuild ? 0 : 1);
-            fleet.firstPicksNew = fleet.firstPicksNew * (1 - WorkEstimate.SMOOTHING) + (pick.build == fleet.evaluatedBuild ? 1 : 0);
+            fleet.firstPicksOld = fleet.firstPicksOld * (1 - WorkEstimate.SMOOTHING)
+                    + (pick.build == fleet.evaluatedBuild ? 0 : 1);
+            fleet.firstPicksNew = fleet.firstPicksNew * (1 - WorkEstimate.SMOOTHING)
+                    + (pick.build == fleet.evaluatedBuild ? 1 : 0);
         }
     }
 
@@ -38,10 +42,12 @@
         List<Appliance> allowedNew = allowed.stream().filter(a -> a.build == trialBuild).toList();
         // Among the builds not on trial only the newest counts, such as one just released.
         int newestOld = allowed.stream().mapToInt(a -> a.build == trialBuild ? 0 : a.build.number).max().orElse(0);
-        List<Appliance> allowedOld = allowed.stream().filter(a -> a.build != trialBuild && a.build.number >= newestOld).toList();
+        List<Appliance> allowedOld = allowed.stream()
+                .filter(a -> a.build != trialBuild && a.build.number >= newestOld).toList();
         List<Appliance> healthyOld = withoutAvoided(rpc, allowedOld), healthyNew = withoutAvoided(rpc, allowedNew);
         boolean noneHealthy = healthyOld.isEmpty() && healthyNew.isEmpty();
-        Appliance oldCandidate = lessLoaded(rpc, noneHealthy ? allowedOld : healthyOld), newCandidate = lessLoaded(rpc, noneHealthy ? allowedNew : healthyNew);
+        Appliance oldCandidate = lessLoaded(rpc, noneHealthy ? allowedOld : healthyOld),
+                newCandidate = lessLoaded(rpc, noneHealthy ? allowedNew : healthyNew);
         if (oldCandidate == null || newCandidate == null) {
             return oldCandidate == null ? newCandidate : oldCandidate;
         }
@@ -60,7 +66,8 @@
             rpc.drewTrial = fit.failures() == 0 ? random.nextUniform() < 0.5
                     : fit.mode() + fit.standardDeviation() * random.nextNormal() > 0;
         }
-        double oldShare = (double) fleet.earlierAppliances() / (fleet.earlierAppliances() + fleet.evaluatedBuild.limit.appliances);
+        double oldShare = (double) fleet.earlierAppliances()
+                / (fleet.earlierAppliances() + fleet.evaluatedBuild.limit.appliances);
         return rpc.drewTrial || fleet.firstPicksOld > oldShare * (fleet.firstPicksOld + fleet.firstPicksNew);
     }
 
@@ -71,7 +78,8 @@
 
     /** The less loaded of two random candidates with free capacity; null if none has any. */
     private Appliance lessLoaded(Rpc rpc, List<Appliance> candidates) {
-        List<Appliance> withCapacity = candidates.stream().filter(appliance -> concurrencyLimits.hasCapacity(appliance.room, rpc)).toList();
+        List<Appliance> withCapacity = candidates.stream()
+                .filter(appliance -> concurrencyLimits.hasCapacity(appliance.room, rpc)).toList();
         if (withCapacity.isEmpty()) {
             return null;
         }
@@ -81,7 +89,8 @@
     }
 
     private double load(Appliance appliance) {
-        double successShare = Math.max(WorkEstimate.SMOOTHING, 1 - appliance.failureShare);    // Fast failures make it look lightly loaded.
+        // Fast failures make it look lightly loaded.
+        double successShare = Math.max(WorkEstimate.SMOOTHING, 1 - appliance.failureShare);
         double inFlight = appliance.room.out + appliance.others + 1;
         return inFlight * appliance.latencyRatio / coldStartLimit.warmth(appliance) / successShare / successShare;
     }
--- a/src/main/java/honeygap/rules/routing/RetryPolicy.java
+++ b/src/main/java/honeygap/rules/routing/RetryPolicy.java
@@ -8,7 +8,10 @@
 /** Decides whether and where an RPC is retried, and the timeout of each pick. */
 public record RetryPolicy(Fleet fleet, Shutdown shutdown, int maxPicks) {
 
-    /** Budget for picks after one that may have been executed, as a share of the RPCs: retries must not add to overload. */
+    /**
+     * Budget for picks after one that may have been executed, as a share of the RPCs: retries must not add to
+     * overload.
+     */
     private static final double RETRY_SHARE = 0.1;
     /** Number of such picks that may exceed the share for a short time. */
     private static final double RETRY_BURST = 10;
@@ -77,7 +80,9 @@
         }
         // An RPC with much work must not time out because of that.
         double expectedLatency = WorkEstimate.expectedLatency(rpc);
-        long timeout = (long) Math.max(TIMEOUT_SHARE * Math.min(softTimeLeft, timeLeft), WorkEstimate.SLOW_RATIO * expectedLatency);
-        return softTimeLeft - timeout < RETRY_LATENCIES * expectedLatency ? timeLeft : Math.max(1, Math.min(timeLeft, timeout));
+        long timeout = (long) Math.max(TIMEOUT_SHARE * Math.min(softTimeLeft, timeLeft),
+                WorkEstimate.SLOW_RATIO * expectedLatency);
+        return softTimeLeft - timeout < RETRY_LATENCIES * expectedLatency ? timeLeft
+                : Math.max(1, Math.min(timeLeft, timeout));
     }
 }
--- a/src/main/java/honeygap/rules/shutdown/Shutdown.java
+++ b/src/main/java/honeygap/rules/shutdown/Shutdown.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Limits the work on RPCs in a process that is shutting down. Every accepted RPC must be answered before the process ends.
- * So all decisions use the earlier of the RPC's own deadline and the shutdown deadline.
+ * Limits the work on RPCs in a process that is shutting down. Every accepted RPC must be answered before the process
+ * ends. So all decisions use the earlier of the RPC's own deadline and the shutdown deadline.
  */
 public final class Shutdown {
 
@@ -36,15 +36,17 @@
     }
 
     /**
-     * Whether an RPC that has not been sent is refused at once because a typical answer would come too late, so that its
-     * client still has time to use another agent. Before the first answer of a method, its soft deadline is assumed.
+     * Whether an RPC that has not been sent is refused at once because a typical answer would come too late, so that
+     * its client still has time to use another agent. Before the first answer of a method, its soft deadline is
+     * assumed.
      */
     public boolean refuses(Rpc rpc) {
         if (schedule == null || !rpc.picks.isEmpty()) {
             return false;
         }
         double softTimeLeft = Math.min(rpc.receivedAt + rpc.method.softDeadline, rpc.deadline) - fleet.now;
-        double timeNeeded = rpc.method.meanLatency > 0 ? WorkEstimate.SLOW_RATIO * WorkEstimate.expectedLatency(rpc) : softTimeLeft;
+        double timeNeeded = rpc.method.meanLatency > 0 ? WorkEstimate.SLOW_RATIO * WorkEstimate.expectedLatency(rpc)
+                : softTimeLeft;
         return schedule.answersBy() - fleet.now < Math.min(softTimeLeft, timeNeeded) || phase() == ShutdownPhase.ENDED;
     }
 
--- a/src/main/java/honeygap/rules/shutdown/ShutdownSchedule.java
+++ b/src/main/java/honeygap/rules/shutdown/ShutdownSchedule.java
@@ -1,8 +1,8 @@
 package honeygap.rules.shutdown;
 
 /**
- * Times of the shutdown steps of a process, computed once when it receives the signal. Times are monotonic, in tenths of a
- * millisecond.
+ * Times of the shutdown steps of a process, computed once when it receives the signal. Times are monotonic, in tenths
+ * of a millisecond.
  *
  * @param signalledAt when the signal was received
  * @param closesAt from this time no connection is accepted, and each is closed when it is idle
@@ -11,8 +11,11 @@
  */
 public record ShutdownSchedule(long signalledAt, long closesAt, long answersBy, long endsBy) {
 
-    /** Operators kill a process no earlier than the longest deadline of all methods plus this after the signal. */
-    private static final long KILL_GRACE = 7_000;
+    /**
+     * Operators kill a process no earlier than the longest deadline of all methods plus this after the signal. Until
+     * this time after the signal connections are still accepted.
+     */
+    private static final long GRACE_PERIOD = 7_000;
     /** Upper bound of the deadline in that sum; a longer one counts as this. */
     private static final long MAX_COUNTED_DEADLINE = 30_000;
     /** Longest stall of a process between reading its clock and writing. */
@@ -24,10 +27,10 @@
 
     /** The schedule for a signal at this time, given the longest deadline of all methods. */
     public static ShutdownSchedule of(long signalledAt, long longestDeadline) {
-        long killedAt = signalledAt + KILL_GRACE + Math.min(MAX_COUNTED_DEADLINE, longestDeadline);
+        long killedAt = signalledAt + GRACE_PERIOD + Math.min(MAX_COUNTED_DEADLINE, longestDeadline);
         long endsBy = killedAt - MAX_STALL - EXIT_TIME;
         long answersBy = endsBy - LAST_READ_TIME;
-        return new ShutdownSchedule(signalledAt, Math.min(signalledAt + KILL_GRACE, answersBy), answersBy, endsBy);
+        return new ShutdownSchedule(signalledAt, Math.min(signalledAt + GRACE_PERIOD, answersBy), answersBy, endsBy);
     }
 
     /** When a stalled process exits even if its last answers may not have been written. */
--- a/src/main/java/honeygap/rules/votes/Voting.java
+++ b/src/main/java/honeygap/rules/votes/Voting.java
@@ -7,10 +7,12 @@
 import honeygap.terms.Desk;
 
 /** Decides how this agent votes on the build on trial, and when it sends its vote to the desk. */
-public record Voting(Fleet fleet, Chance random, FailureEvidence failureEvidence, SlownessEvidence slownessEvidence, DeskCounts deskCounts,
-                    Desk settings, double[] stageShares, long advanceDelay, VoteRecord lastVote) {
+public record Voting(Fleet fleet, Chance random, FailureEvidence failureEvidence, SlownessEvidence slownessEvidence,
+                     DeskCounts deskCounts, Desk settings, double[] stageShares, long advanceDelay,
+                     VoteRecord lastVote) {
 
-    private static final String[] VERDICTS = {"withdraws its vote", "votes to advance", "votes to hold", "votes to roll back"};
+    private static final String[] VERDICTS =
+            {"withdraws its vote", "votes to advance", "votes to hold", "votes to roll back"};
     /** Probability of being worse above which the vote is to roll back. */
     private static final double ROLLBACK_PROBABILITY = 0.95;
     /** Probability of being worse by wrong answers and ended picks above which the vote to advance is delayed. */
@@ -20,14 +22,17 @@
     /** Multiple of the advance delay after which the vote to advance needs no ended picks of the stage. */
     private static final int UNSEEN_DELAYS = 2;
 
+    /** The desk has answered the last vote. */
     public void voteAnswered(int outcome) {
         lastVote.isUnanswered = false;
         // Not executed: the stage has changed, as the next report will show; a retry would only load the desk.
         lastVote.isAccepted = outcome == Pick.OK || outcome == Pick.MOOT;
         // All agents vote when a stage is due; those that the desk pushed back retry spread over a voting round.
-        lastVote.nextAllowedAt = outcome == Pick.FULL ? fleet.now + (long) (random.nextUniform() * votingRound()) : lastVote.nextAllowedAt;
+        lastVote.nextAllowedAt = outcome == Pick.FULL
+                ? fleet.now + (long) (random.nextUniform() * votingRound()) : lastVote.nextAllowedAt;
     }
 
+    /** Writes the pending log line or casts a vote if one is due; false if there is nothing to do. */
     public boolean castNext(Ctl handler) {
         int verdict = verdict();
         if (lastVote.pendingNote != null) {
@@ -39,9 +44,10 @@
             return false;
         }
         if (verdict != lastVote.verdict) {
-            lastVote.pendingNote = String.format("%s: build %d, stage %d; own failures %s; counts of all agents %s; slowness %s; wrong answers %s",
-                    VERDICTS[verdict], fleet.newestBuild.number, fleet.stage, failureEvidence.inFlightFit, deskCounts.fits,
-                    slownessEvidence.fit, failureEvidence.answerFit);
+            lastVote.pendingNote = String.format(
+                    "%s: build %d, stage %d; failures %s; failures seen by all %s; slowness %s; wrong answers %s",
+                    VERDICTS[verdict], fleet.newestBuild.number, fleet.stage, failureEvidence.inFlightFit,
+                    deskCounts.fits, slownessEvidence.fit, failureEvidence.answerFit);
         }
         lastVote.recordCast(fleet.newestBuild, fleet.stage, verdict, fleet.now);
         lastVote.nextAllowedAt = fleet.now + votingRound();
@@ -50,15 +56,19 @@
     }
 
     private int verdict() {
-        if (!fleet.isRolloutCurrent() || fleet.newestBuild != fleet.evaluatedBuild) {
+        if (!fleet.isNewestActive() || fleet.newestBuild != fleet.evaluatedBuild) {
             return Build.VOTE_NONE;
         }
         double slowProbability = slownessEvidence.fit.worseProbability();
         double deskProbability = deskCounts.fits.stream().mapToDouble(Fit::worseProbability).max().orElse(0);
-        double ownProbability = Math.max(failureEvidence.inFlightFit.worseProbability(), failureEvidence.answerFit.worseProbability()), worseProbability = Math.max(deskProbability, ownProbability);
+        double ownProbability = Math.max(failureEvidence.inFlightFit.worseProbability(),
+                        failureEvidence.answerFit.worseProbability()),
+                worseProbability = Math.max(deskProbability, ownProbability);
         // If few votes are enough to roll back, each agent gets only its share of the accepted error probability.
-        double errorShare = Math.min(1, (double) settings.rollbackVotes() * settings.rollbackVotes() / fleet.agentCount);
-        boolean isConvicted = ownProbability > 1 - (1 - ROLLBACK_PROBABILITY) * errorShare || deskProbability > DESK_COUNTS_PROBABILITY;
+        double errorShare = Math.min(1,
+                (double) settings.rollbackVotes() * settings.rollbackVotes() / fleet.agentCount);
+        boolean isConvicted = ownProbability > 1 - (1 - ROLLBACK_PROBABILITY) * errorShare
+                || deskProbability > DESK_COUNTS_PROBABILITY;
         if (isConvicted || slownessEvidence.isLasting() && slowProbability > ROLLBACK_PROBABILITY) {
             return Build.VOTE_BACK;
         }
@@ -69,8 +79,10 @@
             return worseProbability > Fit.HOLD_PROBABILITY ? Build.VOTE_HOLD : Build.VOTE_NONE;
         }
         // If no earlier appliance is up, waiting protects no RPC, and the build can still be rolled back after the
-        // release. Slowness alone does not roll a build back here, but what slows a part of the fleet would slow all of it.
-        boolean isDoubtful = slowProbability > Fit.HOLD_PROBABILITY || failureEvidence.answerFit.worseProbability(Fit.TOLERATED_RATIO) > DOUBT_PROBABILITY
+        // release. Failures do not count against a build that is merely slow, but its effect on a part of the fleet
+        // would extend to the whole fleet after the release.
+        boolean isDoubtful = slowProbability > Fit.HOLD_PROBABILITY
+                || failureEvidence.answerFit.worseProbability(Fit.TOLERATED_RATIO) > DOUBT_PROBABILITY
                 || fleet.now < deskCounts.lastSlowAt + 2 * settings.countsInterval();
         boolean isGood = worseProbability <= Fit.HOLD_PROBABILITY && (!isDoubtful || fleet.earlierAppliances() == 0);
         return isGood && fleet.now >= advanceAllowedAt() ? Build.VOTE_ON : Build.VOTE_NONE;
@@ -81,15 +93,19 @@
         Build newest = fleet.newestBuild;
         long evidenceSince = fleet.appliances.stream().filter(a -> a.state == Appliance.UP && a.build == newest)
                 .mapToLong(a -> a.startedAt).reduce(fleet.stageSince, Math::max);
-        int wantedAppliances = fleet.stage < stageShares.length ? Math.max(1, (int) (stageShares[fleet.stage] * fleet.earlierAtTrialStart)) : 1;
+        int wantedAppliances = fleet.stage < stageShares.length
+                ? Math.max(1, (int) (stageShares[fleet.stage] * fleet.earlierAtTrialStart)) : 1;
         // A late list must not delay a good build for ever. Drawback: a vote with fewer of the stage's appliances seen.
         // One of many agents is informed late and sends little, so the absence of failures is no evidence without
         // enough picks. Drawback: a later vote. If the desk's counts are received, they must cover time with all of
         // the stage's appliances up.
         long countedUntil = newest.countedUntil;
-        boolean isCounted = countedUntil == Fleet.LONG_AGO || countedUntil >= evidenceSince + settings.countsInterval() / 2;
-        evidenceSince += deskCounts.isUsed ? isCounted ? 0 : advanceDelay : newest.answersInStage >= DeskCounts.MIN_PICKS ? 0 : UNSEEN_DELAYS * advanceDelay;
-        return advanceDelay + (newest.limit.appliances >= wantedAppliances ? evidenceSince : Math.max(evidenceSince, fleet.stageSince + 2 * advanceDelay));
+        boolean isCounted = countedUntil == Fleet.LONG_AGO
+                || countedUntil >= evidenceSince + settings.countsInterval() / 2;
+        evidenceSince += deskCounts.isUsed ? isCounted ? 0 : advanceDelay
+                : newest.answersInStage >= DeskCounts.MIN_PICKS ? 0 : UNSEEN_DELAYS * advanceDelay;
+        return advanceDelay + (newest.limit.appliances >= wantedAppliances ? evidenceSince
+                : Math.max(evidenceSince, fleet.stageSince + 2 * advanceDelay));
     }
 
     /** Time in which the desk can accept one vote of each agent. */
@@ -106,7 +122,8 @@
                 && (lastVote.stage == fleet.stage || verdict != Build.VOTE_ON && verdict != Build.VOTE_HOLD);
         if (verdict == Build.VOTE_NONE) {
             // Withdraws a vote that no longer matches the evidence on its build while it could still count.
-            return fleet.newestBuild != null && lastVote.build == fleet.newestBuild && lastVote.verdict != Build.VOTE_NONE
+            return fleet.newestBuild != null && lastVote.build == fleet.newestBuild
+                    && lastVote.verdict != Build.VOTE_NONE
                     && fleet.now < lastVote.castAt + settings.voteLifetime() && fleet.phase == Build.ON_TRIAL
                     && lastVote.stage == fleet.stage;
         }
--- a/src/main/java/honeygap/rules/work/WorkEstimate.java
+++ b/src/main/java/honeygap/rules/work/WorkEstimate.java
@@ -11,7 +11,8 @@
     public static final double SLOW_RATIO = 3;
 
     public static void rpcReceived(Rpc rpc) {
-        rpc.method.meanWorkHint += Math.max(SMOOTHING, 1.0 / ++rpc.method.receivedCount) * (rpc.workHint - rpc.method.meanWorkHint);
+        rpc.method.meanWorkHint += Math.max(SMOOTHING, 1.0 / ++rpc.method.receivedCount)
+                * (rpc.workHint - rpc.method.meanWorkHint);
     }
 
     public static void pickAnswered(Pick pick, boolean isOnTrial, long latency) {
--- a/src/main/java/honeygap/stats/PartialLikelihood.java
+++ b/src/main/java/honeygap/stats/PartialLikelihood.java
@@ -10,11 +10,11 @@
  *
  * <pre>sum over groups of [-n_new theta - n log(o_old + o_new exp(-theta))] - theta^2 / 2</pre>
  *
- * <p>Source: the project's paper, section on partial likelihood; ties after Breslow. Not safe for use by several threads.
+ * <p>Source: the project's paper, section on partial likelihood; ties after Breslow. Not thread-safe.
  */
 public class PartialLikelihood {
 
-    private static final int MAX_STEPS = 50;
+    private static final int MAX_ITERATIONS = 50;
     private static final double MAX_STEP = 1;
     private static final double TOLERANCE = 1e-9;
 
@@ -94,7 +94,7 @@
             return;
         }
         isStale = false;
-        for (int i = 0; i < MAX_STEPS; i++) {
+        for (int i = 0; i < MAX_ITERATIONS; i++) {
             double slope = slope();
             double step = slope / curvature;
             mode += Math.max(-MAX_STEP, Math.min(MAX_STEP, step));
--- /dev/null
+++ b/src/test/java/honeygap/DecisionEngineHarness.java
@@ -0,0 +1,192 @@
+package honeygap;
+
+import honeygap.fleet.Appliance;
+import honeygap.fleet.Build;
+import honeygap.fleet.Location;
+import honeygap.fleet.Fleet;
+import honeygap.fleet.Method;
+import honeygap.fleet.Rpc;
+import honeygap.fleet.Tenant;
+import honeygap.terms.Cold;
+import honeygap.terms.Desk;
+import honeygap.terms.Exposure;
+import honeygap.terms.Listing;
+import honeygap.terms.Tries;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** One agent's rules under test: a small fleet, a clock, and the decisions written down as words. */
+final class DecisionEngineHarness implements Ctl {
+
+    static final long SECOND = 10_000;
+
+    final List<Method> methods = new ArrayList<>();
+    final List<Appliance> appliances = new ArrayList<>();
+    final Map<Integer, Location> zones = new HashMap<>();
+    final List<String> decisions = new ArrayList<>();
+    final List<Rpc> sentRpcs = new ArrayList<>();
+    final Build oldBuild = new Build(1, 3);
+    final Build newBuild = new Build(2, 3);
+    final Rules engine;
+    long now = 100 * SECOND;
+    Tenant tenant = new Tenant();
+    /** How long the last pick may take. */
+    long lastTimeout;
+    private int rpcCount;
+
+    DecisionEngineHarness(long seed, int agentCount, Tries retryLimits, Listing listSettings, Desk deskSettings,
+           Exposure exposureSettings, int scope) {
+        for (int effect = 0; effect < 3; effect++) {
+            methods.add(new Method(effect, effect, scope, 2 * SECOND, SECOND, 3 * SECOND, 1, 0));
+        }
+        engine = new Rules(now, seed, agentCount, 50, methods, retryLimits, listSettings,
+                new Cold(0.4, 4 * SECOND, 2.5, SECOND), deskSettings, exposureSettings);
+        engine.told(oldBuild, Build.RELEASED, 0, 1, false, now, 0);
+    }
+
+    /** Plain: three picks, a pushed list, 20% in the only shielded stage, one-way keys. */
+    static DecisionEngineHarness withDefaults(int gate, int scope) {
+        return oneOfMany(7, 2, gate, scope);
+    }
+
+    /** One of so many agents, each with a seed of its own. */
+    static DecisionEngineHarness oneOfMany(long seed, int agentCount, int gate, int scope) {
+        return new DecisionEngineHarness(seed, agentCount, new Tries(3, true, SECOND / 2),
+                new Listing(false, false, 10 * SECOND, 0),
+                new Desk(gate, 6 * SECOND, 2 * SECOND, SECOND, 1, 30, 1, 2 * SECOND),
+                new Exposure(new double[] {0.2, 1}, new double[] {0.2, 1}, 2 * SECOND, 1, false, 1,
+                        true), scope);
+    }
+
+    Appliance listAppliance(int id, Build build, int zone, int cell, int state, long startedAt) {
+        Appliance appliance = appliances.stream().filter(a -> a.id == id).findFirst().orElseGet(() -> {
+            appliances.add(new Appliance(id));
+            return appliances.get(appliances.size() - 1);
+        });
+        engine.listBegins(false, false);
+        Location location = zones.computeIfAbsent(zone, z -> new Location());
+        engine.listed(appliance, build, location, cell, state, startedAt);
+        engine.listEnds();
+        return appliance;
+    }
+
+    Appliance listWarm(int id, Build build) {
+        return listAppliance(id, build, 0, 0, Appliance.UP, Fleet.LONG_AGO);
+    }
+
+    DecisionEngineHarness advance(long time) {
+        now += time;
+        engine.now(now);
+        return this;
+    }
+
+    Rpc receiveRpc(int method, String key) {
+        Rpc rpc = new Rpc("rpc" + rpcCount++, methods.get(method), tenant, key, now, now + 3 * SECOND, 0, false);
+        engine.taken(rpc);
+        return rpc;
+    }
+
+    /** Pulls all decisions; what was said, without the wake-up calls. */
+    String pullDecisions() {
+        decisions.clear();
+        while (engine.next(this)) {
+            if (decisions.size() > 10_000) {
+                throw new IllegalStateException("no end of decisions");
+            }
+        }
+        return String.join(" ", decisions);
+    }
+
+    void endLastPick(Rpc rpc, int outcome) {
+        int index = rpc.picks.size() - 1;
+        engine.ended(rpc, index, outcome, outcome == 0, now - rpc.picks.get(index).sentAt);
+    }
+
+    /** One RPC after another, each answered after this time. */
+    void answerRpcs(int count, long latency, int zone, long zoneLatency) {
+        for (int i = 0; i < count; i++) {
+            advance(200);
+            Rpc rpc = receiveRpc(0, null);
+            pullDecisions();
+            if (rpc.out > 0) {
+                boolean isInZone = rpc.picks.get(0).appliance.zone == zones.get(zone);
+                advance(isInZone ? zoneLatency : latency);
+                endLastPick(rpc, 0);
+            }
+        }
+    }
+
+    /** One RPC after another, each answered at once: ok, or with this outcome on the fresh build. */
+    void serveRpcs(int count, int method, int outcomeOnNew) {
+        for (int i = 0; i < count; i++) {
+            advance(200);
+            Rpc rpc = receiveRpc(method, null);
+            pullDecisions();
+            advance(500);
+            boolean isOnNew = !rpc.picks.isEmpty() && rpc.picks.get(rpc.picks.size() - 1).build == newBuild;
+            if (rpc.out > 0) {
+                endLastPick(rpc, isOnNew ? outcomeOnNew : 0);
+            }
+            while (!rpc.closed) {
+                pullDecisions();
+                if (rpc.out > 0) {
+                    endLastPick(rpc, 0);
+                }
+            }
+        }
+    }
+
+    @Override
+    public void pick(Rpc rpc, Appliance appliance, long timeout) {
+        sentRpcs.add(rpc);
+        this.lastTimeout = timeout;
+        decisions.add("pick" + appliance.id);
+    }
+
+    @Override
+    public void pushBack(Rpc rpc, long retryAfter) {
+        decisions.add("pushback");
+    }
+
+    @Override
+    public void abort(Rpc rpc) {
+        decisions.add("abort");
+    }
+
+    @Override
+    public void cancel(Rpc rpc, int pickIndex) {
+        decisions.add("cancel");
+    }
+
+    @Override
+    public void probe(Appliance appliance) {
+        decisions.add("probe" + appliance.id);
+    }
+
+    @Override
+    public void vote(Build build, int stage, int verdict) {
+        decisions.add("vote" + verdict);
+    }
+
+    @Override
+    public void watch() {
+        decisions.add("watch");
+    }
+
+    @Override
+    public void fetch() {
+        decisions.add("fetch");
+    }
+
+    @Override
+    public void wake(long delay) {
+        // Waking is the host's business here: each test moves the clock.
+    }
+
+    @Override
+    public void note(String line) {
+        // Notes are for people.
+    }
+}
--- a/src/test/java/honeygap/FitTest.java
+++ b/src/test/java/honeygap/FitTest.java
@@ -62,7 +62,7 @@
 
     @ParameterizedTest
     @CsvSource({"1,0.5", "2.718281828,0.158655", "7.389056,0.02275"})
-    void chanceOfWorseIsNormal(double times, double chance) {
-        assertEquals(chance, new Fit(0).worseProbability(times), 1e-5);
+    void worseProbabilityIsNormal(double ratio, double probability) {
+        assertEquals(probability, new Fit(0).worseProbability(ratio), 1e-5);
     }
 }
--- a/src/test/java/honeygap/ShutdownRulesTest.java
+++ b/src/test/java/honeygap/ShutdownRulesTest.java
@@ -15,25 +15,27 @@
 /** What is decided about RPCs in a process that has been told to end. */
 class ShutdownRulesTest {
 
-    private static final long SECOND = Agency.SECOND;
+    private static final long SECOND = DecisionEngineHarness.SECOND;
     private static final int READ = 0;
     private static final int UNSAFE = 2;
     private static final int ZONE = 1;
 
-    private static Agency agency() {
-        Agency agency = Agency.plain(Desk.FIRST_VOICE, ZONE);
-        agency.warm(1, agency.old);
-        agency.warm(2, agency.old);
-        return agency;
+    private static DecisionEngineHarness newHarness() {
+        DecisionEngineHarness harness = DecisionEngineHarness.withDefaults(Desk.FIRST_VOICE, ZONE);
+        harness.listWarm(1, harness.oldBuild);
+        harness.listWarm(2, harness.oldBuild);
+        return harness;
     }
 
-    private static ShutdownSchedule signal(Agency agency) {
-        ShutdownSchedule schedule = ShutdownSchedule.of(agency.now, 3 * SECOND);
-        agency.rules.ending(schedule);
+    private static ShutdownSchedule signal(DecisionEngineHarness harness) {
+        ShutdownSchedule schedule = ShutdownSchedule.of(harness.now, 3 * SECOND);
+        harness.engine.ending(schedule);
         return schedule;
     }
 
-    /** Kills come 0.7 s after the longest deadline, which counts as 3 s at most; all in milliseconds after the signal. */
+    /**
+     * Kills come 0.7 s after the longest deadline, which counts as 3 s at most; all in milliseconds after the signal.
+     */
     @ParameterizedTest
     @CsvSource({"3000, 700, 3350, 3450", "5000, 700, 3350, 3450", "800, 700, 1150, 1250", "200, 550, 550, 650"})
     void schedule(long longestMs, long closesMs, long answersMs, long endsMs) {
@@ -42,90 +44,91 @@
         assertEquals(SECOND + 10 * answersMs, schedule.answersBy());
         assertEquals(SECOND + 10 * endsMs, schedule.endsBy());
         assertEquals(ShutdownPhase.DRAINING, schedule.phase(schedule.closesAt() - 1));
-        assertEquals(longestMs < 700 ? ShutdownPhase.ENDED : ShutdownPhase.CLOSING, schedule.phase(schedule.closesAt()));
+        assertEquals(longestMs < 700 ? ShutdownPhase.ENDED : ShutdownPhase.CLOSING,
+                schedule.phase(schedule.closesAt()));
         assertEquals(ShutdownPhase.ENDED, schedule.phase(schedule.answersBy()));
     }
 
     /** A pick that is out at the shutdown deadline is given up, and its RPC answered as its method allows. */
     @ParameterizedTest
     @CsvSource({"0, pushback", "1, abort", "2, abort"})
-    void givenUpAtTheDeadline(int method, String answer) {
-        Agency agency = agency();
-        ShutdownSchedule schedule = signal(agency);
-        agency.after(SECOND);
-        Rpc rpc = agency.take(method, null);
-        assertTrue(agency.pull().startsWith("pick"));
-        agency.after(schedule.answersBy() - 1 - agency.now);
-        assertEquals("", agency.pull());
-        agency.after(1);
-        assertEquals("cancel", agency.pull());
-        agency.end(rpc, Pick.CANCELLED);
-        assertEquals(answer, agency.pull());
+    void cancelsPicksAtTheDeadline(int method, String expected) {
+        DecisionEngineHarness harness = newHarness();
+        ShutdownSchedule schedule = signal(harness);
+        harness.advance(SECOND);
+        Rpc rpc = harness.receiveRpc(method, null);
+        assertTrue(harness.pullDecisions().startsWith("pick"));
+        harness.advance(schedule.answersBy() - 1 - harness.now);
+        assertEquals("", harness.pullDecisions());
+        harness.advance(1);
+        assertEquals("cancel", harness.pullDecisions());
+        harness.endLastPick(rpc, Pick.CANCELLED);
+        assertEquals(expected, harness.pullDecisions());
     }
 
     /** One taken before the signal as well. */
     @Test
-    void takenBeforeTheSignal() {
-        Agency agency = agency();
-        Rpc rpc = agency.take(UNSAFE, null);
-        agency.pull();
-        agency.after(SECOND / 100);
+    void cancelsPicksSentBeforeTheSignal() {
+        DecisionEngineHarness harness = newHarness();
+        Rpc rpc = harness.receiveRpc(UNSAFE, null);
+        harness.pullDecisions();
+        harness.advance(SECOND / 100);
         // By the settings read again the longest deadline is shorter than this RPC's own.
-        ShutdownSchedule schedule = ShutdownSchedule.of(agency.now, SECOND);
-        agency.rules.ending(schedule);
-        agency.after(schedule.answersBy() - agency.now);
-        assertEquals("cancel", agency.pull());
-        agency.end(rpc, Pick.MOOT);
-        assertEquals("pushback", agency.pull());
+        ShutdownSchedule schedule = ShutdownSchedule.of(harness.now, SECOND);
+        harness.engine.ending(schedule);
+        harness.advance(schedule.answersBy() - harness.now);
+        assertEquals("cancel", harness.pullDecisions());
+        harness.endLastPick(rpc, Pick.MOOT);
+        assertEquals("pushback", harness.pullDecisions());
     }
 
     /** A pick is told no more time than is left to the shutdown deadline. */
     @Test
-    void timeTold() {
-        Agency agency = agency();
-        ShutdownSchedule schedule = signal(agency);
-        agency.after(SECOND);
-        agency.take(READ, null);
-        agency.pull();
-        assertTrue(agency.within <= schedule.answersBy() - agency.now, "told " + agency.within);
+    void pickTimeoutEndsAtTheDeadline() {
+        DecisionEngineHarness harness = newHarness();
+        ShutdownSchedule schedule = signal(harness);
+        harness.advance(SECOND);
+        harness.receiveRpc(READ, null);
+        harness.pullDecisions();
+        assertTrue(harness.lastTimeout <= schedule.answersBy() - harness.now, "told " + harness.lastTimeout);
     }
 
     /** No further pick begins once the shutdown deadline is near, though the RPC's own is far. */
     @Test
-    void noFurtherPick() {
-        Agency agency = agency();
-        ShutdownSchedule schedule = signal(agency);
-        agency.after(SECOND);
-        Rpc rpc = agency.take(READ, null);
-        agency.pull();
-        agency.after(schedule.answersBy() - agency.now - 1);
-        agency.end(rpc, Pick.ERROR);
-        assertEquals("pushback", agency.pull());
+    void noRetryNearTheDeadline() {
+        DecisionEngineHarness harness = newHarness();
+        ShutdownSchedule schedule = signal(harness);
+        harness.advance(SECOND);
+        Rpc rpc = harness.receiveRpc(READ, null);
+        harness.pullDecisions();
+        harness.advance(schedule.answersBy() - harness.now - 1);
+        harness.endLastPick(rpc, Pick.ERROR);
+        assertEquals("pushback", harness.pullDecisions());
     }
 
     /** What can't be answered in time any more is refused at once; with answers to go by, by three times the usual. */
     @ParameterizedTest
     @CsvSource({"1.01, 0, pick", "0.99, 0, pushback", "0.31, 1000, pick", "0.29, 1000, pushback"})
-    void refusedAtOnce(double secondsLeft, long usual, String then) {
-        Agency agency = agency();
-        agency.methods.get(UNSAFE).meanLatency = usual;
-        ShutdownSchedule schedule = signal(agency);
-        agency.after((long) (schedule.answersBy() - secondsLeft * SECOND) - agency.now);
-        agency.take(UNSAFE, null);
-        assertTrue(agency.pull().startsWith(then));
+    void refusesWhatCannotBeAnsweredInTime(double secondsLeft, long meanLatency, String expected) {
+        DecisionEngineHarness harness = newHarness();
+        harness.methods.get(UNSAFE).meanLatency = meanLatency;
+        ShutdownSchedule schedule = signal(harness);
+        harness.advance((long) (schedule.answersBy() - secondsLeft * SECOND) - harness.now);
+        harness.receiveRpc(UNSAFE, null);
+        assertTrue(harness.pullDecisions().startsWith(expected));
     }
 
     /** A second signal does not move the deadline. */
     @Test
-    void signalledAgain() {
-        Agency agency = agency();
-        ShutdownSchedule first = signal(agency);
-        Rpc rpc = agency.take(UNSAFE, null);
-        agency.pull();
-        agency.after(SECOND);
-        signal(agency);
-        agency.after(first.answersBy() - agency.now);
-        assertEquals("cancel", agency.pull());
+    void secondSignalKeepsTheSchedule() {
+        DecisionEngineHarness harness = newHarness();
+        ShutdownSchedule first = signal(harness);
+        Rpc rpc = harness.receiveRpc(UNSAFE, null);
+        harness.pullDecisions();
+        harness.advance(SECOND);
+        signal(harness);
+        harness.advance(first.answersBy() - harness.now);
+        assertEquals("cancel", harness.pullDecisions());
         assertEquals(1, rpc.picks.size());
     }
 }
--- a/src/test/java/honeygap/rules/discovery/ListCallsTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListCallsTest.java
@@ -14,21 +14,21 @@
 class ListCallsTest {
 
     private static final long SECOND = Fleet.SECOND;
-    private static final Listing ASKED = new Listing(true, false, 10 * SECOND, 0);
+    private static final Listing POLLED = new Listing(true, false, 10 * SECOND, 0);
     private static final Listing PUSHED = new Listing(true, true, 10 * SECOND, 0);
     private static final int AGENTS = 200;
 
-    private static ListCalls calls(long seed, Listing listing) {
+    private static ListCalls schedule(long seed, Listing listing) {
         return new ListCalls(0, new Chance(seed), listing);
     }
 
     /** Guards against hundreds of agents that start at once and time each other out in discovery's queue. */
     @Test
-    void firstCallsAreSpreadWhereAListIsKnown() {
+    void firstCallsAreSpreadWithAStoredList() {
         long[] times = LongStream.range(0, AGENTS).map(seed -> {
-            ListCalls calls = calls(seed, ASKED);
-            calls.known(0);
-            return calls.callAt();
+            ListCalls schedule = schedule(seed, POLLED);
+            schedule.known(0);
+            return schedule.callAt();
         }).sorted().toArray();
         assertTrue(times[AGENTS / 4] > SECOND / 2, "a quarter within " + times[AGENTS / 4]);
         assertTrue(times[AGENTS / 2] > SECOND, "half within " + times[AGENTS / 2]);
@@ -37,29 +37,29 @@
 
     /** What is pushed counts as told from the first moment; and without any list nothing can be served. */
     @Test
-    void callsAtOnceWhereListsArePushedOrNoneIsKnown() {
-        ListCalls pushed = calls(1, PUSHED);
+    void callsAtOnceForPushedListsOrWithoutAStoredOne() {
+        ListCalls pushed = schedule(1, PUSHED);
         pushed.known(0);
         assertTrue(pushed.calls(0));
-        assertTrue(calls(1, ASKED).calls(0));
+        assertTrue(schedule(1, POLLED).calls(0));
     }
 
     @Test
-    void callsNeverWhereListsComeByThemselves() {
-        ListCalls calls = calls(1, new Listing(false, true, 0, 0));
-        calls.failed(0);
-        assertEquals(Long.MAX_VALUE, calls.callAt());
-        assertFalse(calls.calls(Long.MAX_VALUE - 1));
+    void neverCallsForUnwatchedLists() {
+        ListCalls schedule = schedule(1, new Listing(false, true, 0, 0));
+        schedule.failed(0);
+        assertEquals(Long.MAX_VALUE, schedule.callAt());
+        assertFalse(schedule.calls(Long.MAX_VALUE - 1));
     }
 
     /** A call in the queue keeps its place: a second one would only make the queue longer. */
     @Test
     void oneCallIsOpenAtATime() {
-        ListCalls calls = calls(1, ASKED);
-        assertTrue(calls.calls(0));
-        assertFalse(calls.calls(10 * SECOND - 1));
-        calls.callAccepted();
-        assertFalse(calls.calls(1_000 * SECOND));
+        ListCalls schedule = schedule(1, POLLED);
+        assertTrue(schedule.calls(0));
+        assertFalse(schedule.calls(10 * SECOND - 1));
+        schedule.callAccepted();
+        assertFalse(schedule.calls(1_000 * SECOND));
     }
 
     /** Delays lie anywhere below a bound that doubles up to a limit, and starts anew with a list that came. */
@@ -70,12 +70,12 @@
             double sum = 0;
             double longest = 0;
             for (int seed = 0; seed < AGENTS; seed++) {
-                ListCalls calls = calls(seed, ASKED);
+                ListCalls schedule = schedule(seed, POLLED);
                 for (int i = 0; i < failures; i++) {
-                    calls.failed(0);
+                    schedule.failed(0);
                 }
-                sum += calls.callAt();
-                longest = Math.max(longest, calls.callAt());
+                sum += schedule.callAt();
+                longest = Math.max(longest, schedule.callAt());
             }
             assertTrue(longest <= bound && longest > 0.9 * bound, failures + " failures: longest " + longest);
             assertEquals(bound / 2, sum / AGENTS, bound / 8, failures + " failures: mean");
@@ -85,38 +85,38 @@
     /** A head alone says that the call was taken; it may time out in the queue still. */
     @Test
     void onlyAListResetsTheBackOff() {
-        ListCalls calls = calls(3, ASKED);
+        ListCalls schedule = schedule(3, POLLED);
         for (int i = 0; i < 10; i++) {
-            calls.failed(0);
+            schedule.failed(0);
         }
         long longest = 0;
         for (int i = 0; i < 20; i++) {
-            calls.callAccepted();
-            calls.failed(0);
-            longest = Math.max(longest, calls.callAt());
+            schedule.callAccepted();
+            schedule.failed(0);
+            longest = Math.max(longest, schedule.callAt());
         }
         assertTrue(longest > 5 * SECOND, "longest " + longest);
     }
 
     /** What a watch that ended has missed counts as told soon. */
     @Test
-    void callsSoonAfterAWatchThatHadTold() {
+    void callsSoonAfterAWatchThatHadReported() {
         for (int seed = 0; seed < AGENTS; seed++) {
-            ListCalls calls = calls(seed, ASKED);
-            calls.failed(0);
-            calls.answered();
-            calls.failed(0);
-            assertTrue(calls.callAt() <= SECOND / 2, "after a watch: " + calls.callAt());
+            ListCalls schedule = schedule(seed, POLLED);
+            schedule.failed(0);
+            schedule.answered();
+            schedule.failed(0);
+            assertTrue(schedule.callAt() <= SECOND / 2, "after a watch: " + schedule.callAt());
         }
     }
 
     /** Where lists are pushed discovery has no queue that calls could fill. */
     @Test
-    void callsSoonWhereListsArePushed() {
-        ListCalls calls = calls(1, PUSHED);
+    void callsSoonForPushedLists() {
+        ListCalls schedule = schedule(1, PUSHED);
         for (int i = 0; i < 20; i++) {
-            calls.failed(0);
-            assertTrue(calls.callAt() <= 2.5 * SECOND, i + " failures: " + calls.callAt());
+            schedule.failed(0);
+            assertTrue(schedule.callAt() <= 2.5 * SECOND, i + " failures: " + schedule.callAt());
         }
     }
 }
--- a/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
@@ -26,8 +26,8 @@
     private final Fleet fleet = new Fleet(0, 10, 100, List.of(method));
     private final ListLease lease = new ListLease(fleet, new Listing(true, false, 10 * SECOND, LEASE));
     private final Build build = new Build(1, 1);
-    private final Appliance one = listed(1);
-    private final Appliance other = listed(2);
+    private final Appliance first = listed(1);
+    private final Appliance second = listed(2);
 
     private Appliance listed(long id) {
         Appliance appliance = new Appliance(id);
@@ -42,11 +42,11 @@
         return this;
     }
 
-    private void answered(Appliance appliance, double sentAt, double endedAt, int outcome) {
-        answered(appliance, 0, sentAt, endedAt, outcome);
+    private void endPick(Appliance appliance, double sentAt, double endedAt, int outcome) {
+        endPick(appliance, 0, sentAt, endedAt, outcome);
     }
 
-    private void answered(Appliance appliance, double connectedAt, double sentAt, double endedAt, int outcome) {
+    private void endPick(Appliance appliance, double connectedAt, double sentAt, double endedAt, int outcome) {
         at(sentAt);
         Rpc rpc = new Rpc("r", method, new Tenant(), null, fleet.now, fleet.now + SECOND, 0, false);
         Pick pick = new Pick(rpc, appliance, fleet.now, false);
@@ -58,69 +58,69 @@
 
     @Test
     void unknownAgeCoversNothing() {
-        assertFalse(lease.covers(one));
+        assertFalse(lease.covers(first));
         assertEquals(-1, lease.age());
     }
 
     @Test
-    void endsWhenNobodyConfirms() {
+    void expiresWithoutConfirmation() {
         lease.confirm(SECOND);
-        assertTrue(at(6.9).lease.covers(one));
-        assertFalse(at(7).lease.covers(one));
+        assertTrue(at(6.9).lease.covers(first));
+        assertFalse(at(7).lease.covers(first));
     }
 
     /** A sign of life may run ahead of a change that waits in discovery's queue. */
     @Test
-    void signOfLifeCountsAsOfEarlier() {
+    void heartbeatCountsAsEarlier() {
         lease.confirm(SECOND);
         lease.heartbeat(10 * SECOND);
-        assertTrue(at(14.9).lease.covers(one));
-        assertFalse(at(15).lease.covers(one));
+        assertTrue(at(14.9).lease.covers(first));
+        assertFalse(at(15).lease.covers(first));
     }
 
     /** Without discovery an agent goes on with those that answer, each for as long as a list would hold. */
     @Test
-    void answersCoverTheirOwnApplianceFromWhenTheyWereAsked() {
+    void answersCoverTheirApplianceFromTheSendTime() {
         lease.confirm(0);
         lease.watchLost();
-        answered(one, 5, 5.5, Pick.OK);
-        assertTrue(at(10.9).lease.covers(one));
-        assertFalse(lease.covers(other));
+        endPick(first, 5, 5.5, Pick.OK);
+        assertTrue(at(10.9).lease.covers(first));
+        assertFalse(lease.covers(second));
         assertEquals(1, lease.coveredCount());
-        assertFalse(at(11).lease.covers(one));
+        assertFalse(at(11).lease.covers(first));
     }
 
     /** On a connection opened since, another process may answer: one that drained, left and came back unlisted. */
     @Test
     void answersOnNewConnectionsCoverNothing() {
         lease.confirm(SECOND);
-        answered(one, 1, 5, 5.1, Pick.OK);
-        answered(other, 1.1, 5, 5.1, Pick.OK);
+        endPick(first, 1, 5, 5.1, Pick.OK);
+        endPick(second, 1.1, 5, 5.1, Pick.OK);
         at(8);
-        assertTrue(lease.covers(one));
-        assertFalse(lease.covers(other));
+        assertTrue(lease.covers(first));
+        assertFalse(lease.covers(second));
     }
 
     /** The newest build's appliance that falls silent may have left: the desk does not tell of that. */
     @Test
-    void newsDoesNotCoverWhatFellSilent() {
+    void rolloutDoesNotCoverUnresponsiveAppliances() {
         fleet.rolloutReported(build, Build.RELEASED, 0, 1, 0);
-        answered(one, 0, 0, Pick.TIMEOUT);
-        answered(other, 0, 0, Pick.ERROR);
-        assertFalse(lease.covers(one));
-        assertTrue(lease.covers(other));
+        endPick(first, 0, 0, Pick.TIMEOUT);
+        endPick(second, 0, 0, Pick.ERROR);
+        assertFalse(lease.covers(first));
+        assertTrue(lease.covers(second));
         lease.confirm(1);
         fleet.rolloutReportedAt = 10 * SECOND;
         at(10);
-        assertTrue(lease.covers(one), "listed since");
+        assertTrue(lease.covers(first), "listed since");
     }
 
     @Test
     void noOtherOutcomeCovers() {
         for (int outcome : new int[] {Pick.ERROR, Pick.FULL, Pick.TIMEOUT, Pick.CONNECT_FAILED, Pick.RESET,
             Pick.CANCELLED, Pick.MOOT}) {
-            answered(one, 5, 5.5, outcome);
-            assertFalse(lease.covers(one), "outcome " + outcome);
+            endPick(first, 5, 5.5, outcome);
+            assertFalse(lease.covers(first), "outcome " + outcome);
         }
     }
 
@@ -128,37 +128,37 @@
     @Test
     void refusalsCountWhileTheListIsOld() {
         lease.confirm(0);
-        answered(one, 1, 1, Pick.FULL);
-        assertTrue(lease.covers(one), "the list would say so");
+        endPick(first, 1, 1, Pick.FULL);
+        assertTrue(lease.covers(first), "the list would say so");
         lease.watchLost();
-        answered(one, 2, 2, Pick.FULL);
-        assertFalse(at(2.2).lease.covers(one));
-        assertTrue(at(2.3).lease.covers(one));
-        answered(one, 2.3, 2.3, Pick.FULL);
-        assertFalse(at(2.7).lease.covers(one));
-        answered(one, 2.9, 2.9, Pick.OK);
-        assertTrue(lease.covers(one));
-        answered(one, 3, 3, Pick.FULL);
+        endPick(first, 2, 2, Pick.FULL);
+        assertFalse(at(2.2).lease.covers(first));
+        assertTrue(at(2.3).lease.covers(first));
+        endPick(first, 2.3, 2.3, Pick.FULL);
+        assertFalse(at(2.7).lease.covers(first));
+        endPick(first, 2.9, 2.9, Pick.OK);
+        assertTrue(lease.covers(first));
+        endPick(first, 3, 3, Pick.FULL);
         lease.confirm(fleet.now);
-        assertTrue(lease.covers(one), "the list says that it serves");
+        assertTrue(lease.covers(first), "the list says that it serves");
     }
 
     /** Drains follow from rollouts: the newest build's appliances serve on while the desk says so. */
     @Test
-    void freshNewsCoversTheNewestBuild() {
+    void recentRolloutReportCoversTheNewestBuild() {
         Build newer = new Build(2, 1);
         Appliance third = new Appliance(3);
         fleet.listStarted(false, false);
         fleet.applianceListed(third, newer, new Location(), 0, Appliance.UP, Fleet.LONG_AGO);
         fleet.listCompleted();
         fleet.rolloutReported(build, Build.RELEASED, 0, 1, 0);
-        assertTrue(at(5.9).lease.covers(one));
+        assertTrue(at(5.9).lease.covers(first));
         assertTrue(lease.mayAcceptClients(), "two of three are known to serve");
         assertFalse(lease.covers(third), "not announced yet");
-        assertFalse(at(6).lease.covers(one), "the news is as old as a list may be");
+        assertFalse(at(6).lease.covers(first), "the news is as old as a list may be");
         fleet.previousNow = fleet.now;
         fleet.rolloutReported(newer, Build.ON_TRIAL, 0, 0.1, 0);
-        assertFalse(lease.covers(one), "it will be replaced");
+        assertFalse(lease.covers(first), "it will be replaced");
         assertTrue(lease.covers(third));
         fleet.rolloutReported(newer, Build.REVERTING, 0, 0, 0);
         assertFalse(lease.covers(third), "it goes back");
@@ -166,38 +166,38 @@
 
     /** What is told in a turn may have waited since the turn before, as after a standstill. */
     @Test
-    void newsCountsAsOfTheTurnBefore() {
+    void rolloutReportCountsAsOfThePreviousIteration() {
         at(10);
         fleet.previousNow = 2 * SECOND;
         fleet.rolloutReported(build, Build.RELEASED, 0, 1, 0);
-        assertFalse(lease.covers(one));
+        assertFalse(lease.covers(first));
     }
 
     @Test
-    void endsSoonerWhereDiscoveryMoves() {
+    void expiresSoonerWhenDiscoveryMoves() {
         lease.confirm(SECOND);
         at(1).lease.discoveryMoved();
-        assertTrue(at(4.9).lease.covers(one));
-        assertFalse(at(5).lease.covers(one));
+        assertTrue(at(4.9).lease.covers(first));
+        assertFalse(at(5).lease.covers(first));
     }
 
     /** Clients come when the list is current, or else when an agent has waited for two thirds of the lease. */
     @Test
-    void opensWithACurrentListOrAfterAWhile() {
+    void acceptsClientsWithACurrentListOrAfterAWait() {
         assertFalse(at(3.9).lease.mayAcceptClients());
         assertTrue(at(4).lease.mayAcceptClients());
         lease.confirm(fleet.now);
         assertTrue(lease.mayAcceptClients());
-        ListLease soon = new ListLease(fleet, new Listing(true, false, 10 * SECOND, LEASE));
-        soon.confirm(fleet.now);
-        assertTrue(soon.mayAcceptClients());
+        ListLease confirmed = new ListLease(fleet, new Listing(true, false, 10 * SECOND, LEASE));
+        confirmed.confirm(fleet.now);
+        assertTrue(confirmed.mayAcceptClients());
     }
 
     @Test
     void withoutALeaseEverythingIsCovered() {
-        ListLease none = new ListLease(fleet, new Listing(true, false, 10 * SECOND, 0));
-        assertTrue(at(1000).lease.mayAcceptClients() && none.covers(one) && none.isConfirmed());
-        answered(one, 1, 1, Pick.FULL);
-        assertTrue(none.covers(one));
+        ListLease unlimited = new ListLease(fleet, new Listing(true, false, 10 * SECOND, 0));
+        assertTrue(at(1000).lease.mayAcceptClients() && unlimited.covers(first) && unlimited.isConfirmed());
+        endPick(first, 1, 1, Pick.FULL);
+        assertTrue(unlimited.covers(first));
     }
 }
