--- a/src/test/java/honeygap/DecisionEngineHarness.java
+++ b/src/test/java/honeygap/DecisionEngineHarness.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One agent's rules under test: a small fleet, a clock, and the decisions written down as words. */
+/** Runs the decision engine of one agent with a small fleet and a manual clock, and records its decisions as words. */
 final class DecisionEngineHarness implements Ctl {
 
     static final long SECOND = 10_000;
@@ -32,7 +32,7 @@
     final Rules engine;
     long now = 100 * SECOND;
     Tenant tenant = new Tenant();
-    /** How long the last pick may take. */
+    /** Timeout of the last pick. */
     long lastTimeout;
     private int rpcCount;
 
@@ -46,12 +46,15 @@
         engine.told(oldBuild, Build.RELEASED, 0, 1, false, now, 0);
     }
 
-    /** Plain: three picks, a pushed list, 20% in the only shielded stage, one-way keys. */
+    /**
+     * Default settings: two agents, three picks, a list without calls, 20% in the only stage limited to idempotent
+     * methods, sticky keys.
+     */
     static DecisionEngineHarness withDefaults(int gate, int scope) {
         return oneOfMany(7, 2, gate, scope);
     }
 
-    /** One of so many agents, each with a seed of its own. */
+    /** The same settings for one of several agents, each with its own seed. */
     static DecisionEngineHarness oneOfMany(long seed, int agentCount, int gate, int scope) {
         return new DecisionEngineHarness(seed, agentCount, new Tries(3, true, SECOND / 2),
                 new Listing(false, false, 10 * SECOND, 0),
@@ -88,12 +91,12 @@
         return rpc;
     }
 
-    /** Pulls all decisions; what was said, without the wake-up calls. */
+    /** Makes all decisions that are due; returns them without requests for wake-ups. */
     String pullDecisions() {
         decisions.clear();
         while (engine.next(this)) {
             if (decisions.size() > 10_000) {
-                throw new IllegalStateException("no end of decisions");
+                throw new IllegalStateException("the engine does not stop making decisions");
             }
         }
         return String.join(" ", decisions);
@@ -104,7 +107,7 @@
         engine.ended(rpc, index, outcome, outcome == 0, now - rpc.picks.get(index).sentAt);
     }
 
-    /** One RPC after another, each answered after this time. */
+    /** Sends RPCs one after another, each answered after the latency of the zone or of the others. */
     void answerRpcs(int count, long latency, int zone, long zoneLatency) {
         for (int i = 0; i < count; i++) {
             advance(200);
@@ -118,7 +121,7 @@
         }
     }
 
-    /** One RPC after another, each answered at once: ok, or with this outcome on the fresh build. */
+    /** Sends RPCs one after another; picks end with ok, or with this outcome at the new build. */
     void serveRpcs(int count, int method, int outcomeOnNew) {
         for (int i = 0; i < count; i++) {
             advance(200);
@@ -182,11 +185,11 @@
 
     @Override
     public void wake(long delay) {
-        // Waking is the host's business here: each test moves the clock.
+        // Not needed: each test advances the clock itself.
     }
 
     @Override
     public void note(String line) {
-        // Notes are for people.
+        // Log lines are not checked.
     }
 }
--- a/src/test/java/honeygap/FitTest.java
+++ b/src/test/java/honeygap/FitTest.java
@@ -8,7 +8,7 @@
 
 class FitTest {
 
-    /** Events as o_old:o_new:of_new, against the posterior mode and curvature found on a dense grid. */
+    /** Compares the fit with the posterior mode and curvature on a dense grid; events are o_old:o_new:of_new. */
     @ParameterizedTest
     @CsvSource({"''", "10:2:1", "10:2:0", "30:2:1 30:2:1 30:2:1", "5:0:0 7:0:0", "0:4:1 0:3:1", "0:0:0",
         "8:4:0 8:4:0 9:3:1 6:6:0 1:9:1", "20:1:1 20:1:1 20:1:1 20:1:1 20:1:1 20:1:1 20:1:1 20:1:1"})
@@ -41,7 +41,7 @@
         return sum;
     }
 
-    /** A group is the same as its events one by one. */
+    /** A group of tied events gives the same fit as its events added one by one. */
     @ParameterizedTest
     @CsvSource({"5,1,0,3", "40,10,2,2", "0,6,0,6"})
     void groupsAreTiedEvents(int picksOld, int picksNew, int failedOld, int failedNew) {
--- a/src/test/java/honeygap/RulesTest.java
+++ b/src/test/java/honeygap/RulesTest.java
@@ -25,7 +25,7 @@
 
     private static final long SECOND = DecisionEngineHarness.SECOND;
 
-    /** No effect happens twice: what follows a first pick, by effect, scope, outcome and place. */
+    /** No effect happens twice: the decision after a first pick, by effect, scope, outcome, zone and cell. */
     @ParameterizedTest
     @CsvSource({
         "0,0,1,0,0,pick", "0,0,3,1,1,pick", "0,0,2,0,0,pick",
@@ -45,7 +45,7 @@
         assertEquals(expected.equals("pick") ? "pick2" : expected, harness.pullDecisions());
     }
 
-    /** After the time for which repeats are dropped an RPC gets its one final answer. */
+    /** After the time for which duplicates are dropped, an RPC gets its single final answer. */
     @ParameterizedTest
     @CsvSource({"0,2.5,pick", "1,1.5,pick", "1,2.5,pushback", "2,2.5,abort"})
     void tokenWindow(int effect, double seconds, String expected) {
@@ -59,7 +59,7 @@
         assertEquals(expected.equals("pick") ? 0 : 1, rpc.closed ? 1 : 0);
     }
 
-    /** Without a place an RPC is held for a part of its soft deadline, then pushed back; never lost. */
+    /** Without capacity an RPC waits for a share of its soft deadline and is then pushed back; it is never lost. */
     @ParameterizedTest
     @CsvSource({"0.04,''", "0.1,pushback", "2.999,pushback", "3.5,abort"})
     void waitsWithoutCapacity(double seconds, String expected) {
@@ -68,10 +68,14 @@
         assertEquals("", harness.pullDecisions());
         harness.advance((long) (seconds * SECOND));
         assertEquals(expected, harness.pullDecisions());
-        assertEquals("", harness.advance(SECOND).pullDecisions().replace("pushback", expected.isEmpty() ? "" : "again"));
+        assertEquals("", harness.advance(SECOND).pullDecisions().replace("pushback", expected.isEmpty() ? ""
+                : "again"));
     }
 
-    /** Picks on trial stay under free plus cap times taken; none at cap 0 or for effects when shielded. */
+    /**
+     * Picks at the build on trial stay below the allowance plus the cap's share of the RPCs. There are none at cap 0,
+     * nor for methods that are not idempotent in a stage limited to idempotent ones.
+     */
     @ParameterizedTest
     @CsvSource({"0,2,0,0.2,0", "0,2,0,0.2,1", "0,2,0,0.2,2", "0,2,0,0,0", "0,2,1,1,1", "1,2,0,0.5,0",
         "3,2,0,0.2,0",        "0,1,0,1,0"})
@@ -81,21 +85,21 @@
                 announced == 2 ? phase : Build.RELEASED, stage, cap, false, harness.now, 0);
         harness.listWarm(1, harness.oldBuild);
         harness.listWarm(2, harness.newBuild);
-        int fresh = 0;
+        int picksAtNew = 0;
         for (int i = 0; i < 40; i++) {
             harness.advance(100);
             Rpc rpc = harness.receiveRpc(method, null);
-            fresh += harness.pullDecisions().contains("pick2") ? 1 : 0;
+            picksAtNew += harness.pullDecisions().contains("pick2") ? 1 : 0;
             harness.advance(10);
             harness.endLastPick(rpc, Pick.OK);
         }
         double bound = announced == 1 ? 0.2 : phase == Build.WITHDRAWN ? 0 : cap;
         boolean shielded = method != 0 && stage == 0;
-        assertTrue(fresh <= (bound == 0 || shielded ? 0 : 1 + bound * 2 * 40), fresh + " picks");
-        assertEquals(bound > 0 && !shielded, fresh > 0);
+        assertTrue(picksAtNew <= (bound == 0 || shielded ? 0 : 1 + bound * 2 * 40), picksAtNew + " picks");
+        assertEquals(bound > 0 && !shielded, picksAtNew > 0);
     }
 
-    /** A key that the build on trial has answered goes to no earlier one while it is on trial or released. */
+    /** A key answered by the build on trial is sent to no earlier one while that build is on trial or released. */
     @ParameterizedTest
     @CsvSource({"0,0,pick2", "0,2,pick2", "0,1,pick1", "0,3,pick1", "2,2,pick2"})
     void stickyKeys(int before, int phase, String expected) {
@@ -116,7 +120,7 @@
         }
     }
 
-    /** Nothing new to an appliance that drains or is gone; a fresh start under its id counts as cold. */
+    /** An appliance that is draining or removed receives no picks. */
     @ParameterizedTest
     @CsvSource({"0,true", "1,false", "2,false"})
     void drainingApplianceGetsNoPicks(int state, boolean picked) {
@@ -127,7 +131,7 @@
         assertEquals(picked, harness.pullDecisions().contains("pick1"));
     }
 
-    /** A cold appliance gets a part of what a warm one takes, though a burst finds no other place. */
+    /** A cold appliance gets a share of a warm one's picks, even if a burst finds no other appliance. */
     @ParameterizedTest
     @CsvSource({"0,true", "1,true", "3,true", "5,false"})
     void coldStart(int age, boolean bounded) {
@@ -148,7 +152,7 @@
         assertEquals(bounded, picks < 30, picks + " picks");
     }
 
-    /** Votes by gate, stage of the evidence and phase: 1 on, 2 hold, 3 back. */
+    /** Votes by gate, outcome at the new build and phase: 1 is advance, 2 hold, 3 roll back. */
     @ParameterizedTest
     @CsvSource({"0,0,0,vote1", "1,0,0,vote1", "2,0,0,''", "0,1,0,vote3", "1,1,0,vote3", "2,1,0,vote3",
         "0,1,2,vote3", "0,0,2,''", "0,1,3,''"})
@@ -167,24 +171,24 @@
     }
 
     /**
-     * 'On' waits three seconds from the last listed start, longer for appliances that the list lacks, and longest
-     * while few picks have ended at the build since the stage began.
+     * A vote to advance waits three seconds after the last listed start, longer if the list lacks appliances of the
+     * stage, and longest while few picks have ended at the build since the stage began.
      */
     @ParameterizedTest
     @CsvSource({"2,1,8,''", "3,1,8,vote1", "8,0,8,''", "9,0,8,vote1", "3,1,7,''", "8,1,7,''", "9,1,0,vote1"})
-    void advanceVoteWaitsForEvidence(int seconds, int listed, int seen, String expected) {
+    void advanceVoteWaitsForEvidence(int seconds, int listed, int answers, String expected) {
         DecisionEngineHarness harness = DecisionEngineHarness.oneOfMany(7, 1, Desk.FIRST_VOICE, 0);
         harness.listWarm(1, harness.oldBuild);
         harness.engine.told(harness.newBuild, Build.ON_TRIAL, 0, 0.2, false, harness.now, 0);
         if (listed == 1) {
             harness.listAppliance(2, harness.newBuild, 0, 0, Appliance.UP, harness.now);
         }
-        harness.newBuild.answersInStage = seen;
+        harness.newBuild.answersInStage = answers;
         harness.advance(seconds * SECOND);
         assertEquals(expected, harness.pullDecisions());
     }
 
-    /** A vote is renewed before it lapses, sent again when its call failed, and not while the call is out. */
+    /** A vote is renewed before it expires and sent again after a failed call, but not while a call is open. */
     @ParameterizedTest
     @CsvSource({"0,1,''", "0,5,vote1", "1,1,vote1", "3,1,vote1", "2,1,vote1", "7,1,''", "-1,0.5,''",
         "-1,2,vote1"})
@@ -202,7 +206,7 @@
         assertEquals(expected, harness.advance((long) (seconds * SECOND)).pullDecisions());
     }
 
-    /** One silent appliance, or one that is cold, is left out and does not convict its build. */
+    /** One unresponsive or cold appliance is avoided and does not count against its build. */
     @ParameterizedTest
     @CsvSource({"0", "2"})
     void unresponsiveApplianceDoesNotConvictItsBuild(int age) {
@@ -218,7 +222,7 @@
         assertFalse(harness.pullDecisions().contains("vote3"));
     }
 
-    /** Errors that begin when no earlier build is at risk are set against what the earlier one did. */
+    /** Errors that begin when no earlier build is in use are compared with the earlier build's past results. */
     @Test
     void lateFailuresRollBack() {
         DecisionEngineHarness harness = DecisionEngineHarness.withDefaults(Desk.FIRST_VOICE, 0);
@@ -233,12 +237,13 @@
         assertEquals("vote3", harness.advance(2 * SECOND).pullDecisions());
     }
 
-    /** Without a list discovery is called at once, and again after a failure, or no word for the time for asking. */
+    /** Without a list discovery is called at once, and again after a failure or a call interval without a response. */
     @ParameterizedTest
     @CsvSource({"none,9,''", "none,10,watch", "fail,3,watch", "answer,20,''", "taken,20,''", "disk,9,''",
             "disk,10,watch"})
     void callsDiscovery(String what, int seconds, String expected) {
-        DecisionEngineHarness harness = new DecisionEngineHarness(7, 2, new Tries(3, false, 0), new Listing(true, false, 10 * SECOND, 0),
+        DecisionEngineHarness harness =
+                new DecisionEngineHarness(7, 2, new Tries(3, false, 0), new Listing(true, false, 10 * SECOND, 0),
                 new Desk(0, SECOND, SECOND, SECOND, 1, 1, 0, 0),
                 new Exposure(new double[0], new double[0], SECOND, 0, false, 0, false), 0);
         assertEquals("watch", harness.pullDecisions());
@@ -253,7 +258,7 @@
         assertEquals(expected, harness.advance(seconds * SECOND).pullDecisions());
     }
 
-    /** All agents that hear of a start at the same moment do not each send a pick at once. */
+    /** Agents that learn of a start at the same time do not all send a pick at once. */
     @ParameterizedTest
     @CsvSource({"3", "150"})
     void agentsSpreadPicksAtColdAppliance(int agents) {
@@ -270,10 +275,10 @@
         assertTrue(picks <= 1 + agents / 10, picks + " picks at once");
     }
 
-    /** Answers later than half of the soft deadline shrink the room of an agent, timely ones do not. */
+    /** Answers later than half of the soft deadline shrink an agent's limit, timely ones do not. */
     @ParameterizedTest
     @CsvSource({"0.1,true", "0.9,false"})
-    void lateAnswersShrinkTheLimit(double seconds, boolean wide) {
+    void lateAnswersShrinkTheLimit(double seconds, boolean isAllSent) {
         DecisionEngineHarness harness = DecisionEngineHarness.oneOfMany(7, 10, Desk.FIRST_VOICE, 0);
         for (int id = 1; id < 9; id++) {
             harness.listWarm(id, harness.oldBuild);
@@ -283,10 +288,10 @@
         for (int i = 0; i < 5; i++) {
             harness.receiveRpc(0, null);
         }
-        assertEquals(wide, harness.pullDecisions().split("pick").length == 6, harness.decisions + "");
+        assertEquals(isAllSent, harness.pullDecisions().split("pick").length == 6, harness.decisions + "");
     }
 
-    /** Picks that are long out shrink the room before they end; one goes out within the soft deadline all the same. */
+    /** Picks long in flight shrink the limit before they end; one is still sent within each soft deadline. */
     @ParameterizedTest
     @CsvSource({"0.3,true", "0.9,false", "1.1,true"})
     void oldPicksInFlightShrinkTheLimit(double seconds, boolean isSent) {
@@ -302,7 +307,7 @@
         assertEquals(isSent, harness.pullDecisions().contains("pick"), harness.decisions + "");
     }
 
-    /** Guards against an agent of hundreds whose one pick hangs, and which turns away all that it gets meanwhile. */
+    /** One of hundreds of agents must not push back all its RPCs while its only pick hangs. */
     @ParameterizedTest
     @CsvSource({"12", "120", "930"})
     void sendsOccasionalPicksWhileOneHangs(int agents) {
@@ -311,7 +316,7 @@
         for (int id = 1; id <= appliances; id++) {
             harness.listWarm(id, harness.oldBuild);
         }
-        // All agents together send eight picks an appliance in a soft deadline at most.
+        // All agents together send at most eight picks to an appliance in a soft deadline.
         long bound = SECOND * Math.max(1, agents / (8 * appliances) + 1);
         long lastAt = harness.now;
         long longest = 0;
@@ -327,8 +332,8 @@
     }
 
     /**
-     * The desk's counts of all agents convict by method, also where those of one period come one after another; a
-     * jammed build's, and few failures, do not.
+     * Failures in the desk's counts of all agents roll a build back, for each method and also if the counts of a period
+     * arrive one by one. Failures of an overloaded build, or few of them, do not.
      */
     @ParameterizedTest
     @CsvSource({"20,0.1,0,true", "20,0.1,35,true", "20,9,0,false", "0,0.1,0,false", "1,0.1,35,false"})
@@ -347,21 +352,21 @@
         assertEquals(isRolledBack, harness.advance(SECOND).pullDecisions().contains("vote3"));
     }
 
-    /** One of many agents that takes several times the mean has room for it soon, as long as few answers are late. */
+    /** One of many agents with several times the mean traffic soon gets a limit for it while few answers are late. */
     @ParameterizedTest
     @CsvSource({"4000,true", "6000,false"})
-    void limitGrowsForABusyAgent(int latency, boolean all) {
+    void limitGrowsForABusyAgent(int latency, boolean isAllServed) {
         DecisionEngineHarness harness = DecisionEngineHarness.oneOfMany(3, 93, Desk.BY_COUNT, 0);
         for (int id = 1; id <= 60; id++) {
             harness.listWarm(id, harness.oldBuild);
         }
         ArrayDeque<Rpc> out = new ArrayDeque<>();
-        int turnedDown = 0;
+        int pushedBack = 0;
         for (int i = 0; i < 200; i++) {
             harness.advance(250);
             out.add(harness.receiveRpc(0, null));
             String decisions = harness.pullDecisions();
-            turnedDown += i >= 56 ? decisions.split("pushback", -1).length - 1 : 0;
+            pushedBack += i >= 56 ? decisions.split("pushback", -1).length - 1 : 0;
             while (!out.isEmpty() && (out.peek().out == 0 || harness.now - out.peek().picks.get(0).sentAt >= latency)) {
                 Rpc rpc = out.poll();
                 if (rpc.out > 0) {
@@ -372,10 +377,10 @@
                 }
             }
         }
-        assertEquals(all, turnedDown == 0, turnedDown + " pushed back");
+        assertEquals(isAllServed, pushedBack == 0, pushedBack + " pushed back");
     }
 
-    /** 'On' waits for counts of the time with all of the stage's appliances, where the desk's counts come at all. */
+    /** If the desk sends counts, a vote to advance waits for those of a time with all of the stage's appliances. */
     @ParameterizedTest
     @CsvSource({"-1,-1,true", "0.5,-1,false", "0.5,2.5,true"})
     void advanceVoteWaitsForDeskCounts(double early, double late, boolean isAdvanceExpected) {
@@ -396,10 +401,11 @@
             }
         }
         assertEquals(isAdvanceExpected, harness.decisions.contains("vote1"));
-        assertTrue(isAdvanceExpected || harness.advance(3 * SECOND).pullDecisions().contains("vote1"), "it waits no longer than one wait more");
+        assertTrue(isAdvanceExpected || harness.advance(3 * SECOND).pullDecisions().contains("vote1"),
+                "it waits for one more advance delay at most");
     }
 
-    /** While good answers of the new build take far more than is usual for eight picks or more, 'on' is not said. */
+    /** No vote to advance while ok answers of the new build are far slower than the mean, for eight picks or more. */
     @ParameterizedTest
     @CsvSource({"20,900,true", "20,2500,false", "5,2500,true"})
     void advanceVoteWaitsWhileAnswersAreSlow(int picks, long meanLatency, boolean isAdvanceExpected) {
@@ -408,19 +414,19 @@
         harness.answerRpcs(20, 1000, 0, 1000);
         harness.engine.told(harness.newBuild, Build.ON_TRIAL, 0, 0.2, false, harness.now, 0);
         harness.listAppliance(2, harness.newBuild, 0, 0, Appliance.UP, harness.now);
-        boolean decisions = false;
+        boolean hasVotedToAdvance = false;
         for (int i = 0; i < 60; i++) {
             harness.advance(SECOND / 10);
             if (i % 20 == 10) {
                 harness.engine.counted(harness.oldBuild, harness.methods.get(0), 100, 0, 1000, 0);
                 harness.engine.counted(harness.newBuild, harness.methods.get(0), picks, 0, meanLatency, 0);
             }
-            decisions |= harness.pullDecisions().contains("vote1");
+            hasVotedToAdvance |= harness.pullDecisions().contains("vote1");
         }
-        assertEquals(isAdvanceExpected, decisions);
+        assertEquals(isAdvanceExpected, hasVotedToAdvance);
     }
 
-    /** All agents stand for a stage at once: those that the desk has no room for come again spread over a round. */
+    /** All agents vote on a stage at once: those that the desk pushes back retry spread over a voting round. */
     @Test
     void pushedBackVotesAreSpread() {
         double round = 93.0 / 30;
@@ -445,7 +451,7 @@
         assertTrue(again.size() > round * 10 / 2, "steps of 0.1 s in which votes came again: " + again);
     }
 
-    /** RPCs of a customer that fail at earlier builds as well get one pick, others a further one. */
+    /** RPCs of a tenant that fail at earlier builds as well get one pick, others also a retry. */
     @ParameterizedTest
     @CsvSource({"0,2", "10,1"})
     void badRequestsGetOnePick(int before, int picks) {
@@ -467,10 +473,10 @@
         }
     }
 
-    /** A location whose answers take far longer than the other's gets single picks only. */
+    /** A zone whose answers take far longer than the other's gets only occasional picks. */
     @ParameterizedTest
     @CsvSource({"500,true", "4000,false"})
-    void slowZoneIsAvoided(int latency, boolean used) {
+    void slowZoneIsAvoided(int latency, boolean isUsed) {
         DecisionEngineHarness harness = DecisionEngineHarness.withDefaults(Desk.FIRST_VOICE, 0);
         harness.listAppliance(1, harness.oldBuild, 0, 0, Appliance.UP, Fleet.LONG_AGO);
         harness.listAppliance(2, harness.oldBuild, 1, 1, Appliance.UP, Fleet.LONG_AGO);
@@ -484,16 +490,16 @@
             harness.advance(100);
             harness.endLastPick(rpc, Pick.OK);
         }
-        assertEquals(used, picksInZone > 2, picksInZone + " picks");
+        assertEquals(isUsed, picksInZone > 2, picksInZone + " picks");
     }
 
     /**
-     * An appliance that fails at once, among three of its build: it looks light but gets few picks, its build is
-     * not sent back, and one where all fail is.
+     * One of three appliances of a build fails fast: it looks lightly loaded but gets few picks, and its build is not
+     * rolled back. A build of which all appliances fail is.
      */
     @ParameterizedTest
     @CsvSource({"1,false", "3,true"})
-    void failingAppliance(int sick, boolean isRolledBack) {
+    void failingAppliance(int failingCount, boolean isRolledBack) {
         DecisionEngineHarness harness = DecisionEngineHarness.withDefaults(Desk.FIRST_VOICE, 0);
         for (int i = 0; i < 3; i++) {
             harness.listWarm(i, harness.oldBuild);
@@ -509,15 +515,15 @@
             while (rpc.out > 0) {
                 long id = rpc.picks.get(rpc.picks.size() - 1).appliance.id;
                 picksAtFailing += id == 10 ? 1 : 0;
-                harness.endLastPick(rpc, id >= 10 && id < 10 + sick ? Pick.ERROR : Pick.OK);
+                harness.endLastPick(rpc, id >= 10 && id < 10 + failingCount ? Pick.ERROR : Pick.OK);
                 decisions += harness.pullDecisions();
             }
         }
         assertEquals(isRolledBack, decisions.contains("vote" + Build.VOTE_BACK));
-        assertTrue(sick > 1 || picksAtFailing < 15, "picks at the sick one: " + picksAtFailing);
+        assertTrue(failingCount > 1 || picksAtFailing < 15, "picks at the failing one: " + picksAtFailing);
     }
 
-    /** Failures that come at every build alike convict none, also where the earlier one has left. */
+    /** Failures that affect both builds alike roll none back, even after the earlier one has been removed. */
     @ParameterizedTest
     @CsvSource({"10,10,false", "0,3,true"})
     void failuresOfBothBuilds(int everyOld, int everyNew, boolean isRolledBack) {
@@ -553,18 +559,19 @@
     }
 
     /**
-     * Of 14 agents each sends the build on trial a few picks: where it fails a part of them and its picks take
-     * four times as long, three send it back within ten seconds of traffic, also while one of the old appliances
-     * is sick; no half of them is for it before. A good build with a sick appliance of its own goes on.
+     * Each of 14 agents sends a few picks to the build on trial. If a share of them fails and they take four times as
+     * long, three agents vote to roll it back within ten seconds of traffic, also while an old appliance fails, and
+     * fewer than half vote to advance before. A good build with one failing appliance advances.
      */
     @ParameterizedTest
     @CsvSource({"3,false,1", "3,true,1", "3,true,2", "0,false,1", "0,true,1"})
-    void failingBuildAmongManyAgents(int failsOneIn, boolean sick, int seed) {
+    void failingBuildAmongManyAgents(int failsOneIn, boolean hasFailingAppliance, int seed) {
         int rollbacks = 0;
         int advances = 0;
         Random random = new Random(seed);
         for (int i = 0; i < 14; i++) {
-            DecisionEngineHarness harness = new DecisionEngineHarness(seed * 100 + i, 14, new Tries(3, true, SECOND / 2),
+            DecisionEngineHarness harness =
+                    new DecisionEngineHarness(seed * 100 + i, 14, new Tries(3, true, SECOND / 2),
                     new Listing(false, false, 10 * SECOND, 0),
                     new Desk(Desk.BY_COUNT, 6 * SECOND, SECOND, SECOND, 3, 30, 0, 0),
                     new Exposure(new double[] {0.3, 1}, new double[] {0.2, 1}, 2 * SECOND, 1, false, 0,
@@ -584,32 +591,33 @@
                 if (rpc.out > 0 && rpc.picks.get(0).build == harness.newBuild) {
                     slow.add(rpc);
                 } else if (rpc.out > 0) {
-                    boolean isSick = sick && rpc.picks.get(0).appliance.id == 3;
-                    harness.endLastPick(rpc, isSick ? Pick.ERROR : Pick.OK);
+                    boolean isFailing = hasFailingAppliance && rpc.picks.get(0).appliance.id == 3;
+                    harness.endLastPick(rpc, isFailing ? Pick.ERROR : Pick.OK);
                 }
                 while (!slow.isEmpty() && slow.peek().receivedAt <= harness.now - 1000) {
                     Rpc done = slow.remove();
-                    boolean isSick = sick && failsOneIn == 0 && done.picks.get(0).appliance.id == 18;
+                    boolean isFailing = hasFailingAppliance && failsOneIn == 0 && done.picks.get(0).appliance.id == 18;
                     boolean fails = failsOneIn > 0 && random.nextInt(failsOneIn) == 0;
                     if (done.picks.size() == 1 && done.out > 0) {
-                        harness.endLastPick(done, fails || isSick ? Pick.ERROR : Pick.OK);
+                        harness.endLastPick(done, fails || isFailing ? Pick.ERROR : Pick.OK);
                     }
                 }
             }
             rollbacks += decisions.contains("vote" + Build.VOTE_BACK) ? 1 : 0;
             advances += advanceAt < 200 ? 1 : 0;
         }
-        String seen = rollbacks + " for back, " + advances + " for on, seed " + seed;
-        assertEquals(failsOneIn > 0, rollbacks >= 3, seen);
-        assertEquals(failsOneIn == 0, advances >= 7, seen);
+        String summary = rollbacks + " to roll back, " + advances + " to advance, seed " + seed;
+        assertEquals(failsOneIn > 0, rollbacks >= 3, summary);
+        assertEquals(failsOneIn == 0, advances >= 7, summary);
     }
 
-    /** A location that is lost breaks all that was out there at once: one event, not a verdict on its build. */
+    /** When a zone is lost, all its picks in flight fail at once: one event, which does not convict its build. */
     @Test
     void lostZone() {
         DecisionEngineHarness harness = DecisionEngineHarness.withDefaults(Desk.FIRST_VOICE, 0);
         for (int id = 0; id < 12; id++) {
-            harness.listAppliance(id, id < 6 ? harness.oldBuild : harness.newBuild, id < 6 ? 0 : 1, 0, Appliance.UP, Fleet.LONG_AGO);
+            harness.listAppliance(id, id < 6 ? harness.oldBuild : harness.newBuild, id < 6 ? 0 : 1, 0, Appliance.UP,
+                    Fleet.LONG_AGO);
         }
         harness.engine.told(harness.newBuild, Build.ON_TRIAL, 1, 1, false, harness.now, 0);
         harness.serveRpcs(60, 0, Pick.OK);
@@ -621,15 +629,16 @@
         }
         for (Rpc rpc : harness.sentRpcs) {
             if (rpc.out > 0) {
-                boolean isFresh = rpc.picks.get(0).build == harness.newBuild;
-                harness.endLastPick(rpc, isFresh ? Pick.RESET : Pick.OK);
+                boolean isOnNew = rpc.picks.get(0).build == harness.newBuild;
+                harness.endLastPick(rpc, isOnNew ? Pick.RESET : Pick.OK);
                 decisions += harness.pullDecisions();
             }
         }
-        assertFalse((decisions + harness.advance(2 * SECOND).pullDecisions()).contains("vote" + Build.VOTE_BACK), decisions);
+        assertFalse((decisions + harness.advance(2 * SECOND).pullDecisions()).contains("vote" + Build.VOTE_BACK),
+                decisions);
     }
 
-    /** A build that takes over the traffic within a second or two is not charged for the failures that come with it. */
+    /** A build that takes over the traffic in a second or two is not blamed for the failures that come with it. */
     @ParameterizedTest
     @CsvSource({"1", "2", "3", "4"})
     void buildThatTakesOverTheTraffic(int seed) {
@@ -644,7 +653,7 @@
         Random random = new Random(seed);
         String decisions = "";
         for (int i = 0; i < 1500; i++) {
-            // From the 500th on one of the old goes every eight RPCs, but the last, for which a new one comes.
+            // From RPC 500 on, every eight RPCs a new appliance replaces an old one, except the last.
             if (i == 500) {
                 harness.engine.told(harness.newBuild, Build.ON_TRIAL, 1, 1, false, harness.now, 0);
             }
@@ -658,10 +667,10 @@
             harness.endLastPick(rpc, random.nextInt(12) == 0 ? Pick.ERROR : Pick.OK);
             decisions += harness.pullDecisions();
         }
-        assertFalse(decisions.contains("vote" + Build.VOTE_BACK), "sent back, seed " + seed);
+        assertFalse(decisions.contains("vote" + Build.VOTE_BACK), "rolled back, seed " + seed);
     }
 
-    /** A dozen choices in a row go round among a few appliances, whatever the seed. */
+    /** A dozen choices in a row are spread over a few appliances with any seed. */
     @ParameterizedTest
     @CsvSource({"1", "2", "3", "4", "5", "6", "7", "8", "9"})
     void randomChoicesAreSpread(int seed) {
@@ -681,7 +690,7 @@
                 Arrays.toString(picks) + ", seed " + seed);
     }
 
-    /** Doubt keeps a build from going on only while an earlier appliance is up, for which a wait spares RPCs. */
+    /** Doubt delays a vote to advance only while an earlier appliance is up, since only then waiting protects RPCs. */
     @ParameterizedTest
     @CsvSource({"true,5,''", "false,4,vote1"})
     void doubtDelaysOnlyWhileEarlierAppliancesAreUp(boolean isUp, int failures, String expected) {
@@ -711,7 +720,7 @@
         assertEquals(expected, harness.advance(8 * SECOND).pullDecisions().replace("vote0", ""));
     }
 
-    /** A sick appliance is left out also while the others of its build have no place: the other build has. */
+    /** A failing appliance is avoided even if the others of its build have no capacity, as the other build has. */
     @ParameterizedTest
     @CsvSource({"3", "4"})
     void failingApplianceAmongColdOnes(int seed) {
@@ -730,15 +739,15 @@
             Rpc rpc = harness.receiveRpc(2, null);
             harness.pullDecisions();
             if (rpc.out > 0) {
-                boolean isSick = rpc.picks.get(0).appliance.id == 8;
-                picksAtFailing += isSick ? 1 : 0;
-                harness.endLastPick(rpc, isSick ? Pick.ERROR : Pick.OK);
+                boolean isFailing = rpc.picks.get(0).appliance.id == 8;
+                picksAtFailing += isFailing ? 1 : 0;
+                harness.endLastPick(rpc, isFailing ? Pick.ERROR : Pick.OK);
             }
         }
-        assertTrue(picksAtFailing <= 12, picksAtFailing + " picks at the sick one, seed " + seed);
+        assertTrue(picksAtFailing <= 12, picksAtFailing + " picks at the failing one, seed " + seed);
     }
 
-    /** A key that was sent to the new build stays with it, whether the answer has come, could be read, or not. */
+    /** A key sent to the new build stays with it, whether or not an answer arrived and was readable. */
     @ParameterizedTest
     @CsvSource({"0", "3", "5", "6", "-1"})
     void sentKeysStayWithTheNewBuild(int outcome) {
@@ -759,7 +768,7 @@
         assertFalse(harness.pullDecisions().contains("pick1"));
     }
 
-    /** 'On' waits for one and a half of the platform's own least durations of a stage, however long these are. */
+    /** A vote to advance waits for one and a half times the configured minimum duration of a stage. */
     @ParameterizedTest
     @CsvSource({"1.2,1.7,false", "1.2,1.9,true", "2,2.9,false", "2,3.1,true"})
     void advanceVoteWaitsForTheSoak(double soak, double seconds, boolean isAdvanceExpected) {
@@ -777,8 +786,8 @@
     }
 
     /**
-     * All answers far past the usual while a build is on trial: it goes back, but not where clients ask far more
-     * than before, unless what they ask are further tries of what was turned away.
+     * If all answers are far too slow while a build is on trial, it is rolled back, except when clients send far more
+     * RPCs than before; their retries of RPCs pushed back do not count as such.
      */
     @ParameterizedTest
     @CsvSource({"300,false,true", "75,false,false", "75,true,true"})
@@ -809,37 +818,37 @@
         assertEquals(isRolledBack, decisions.contains("vote" + Build.VOTE_BACK));
     }
 
-    /** Records of earlier builds leave with their last appliance and pick, however many builds come and go. */
+    /** Earlier builds are removed with their last appliance and pick, so that records do not accumulate. */
     @ParameterizedTest
     @CsvSource({"false", "true"})
-    void unusedBuildsAreRemoved(boolean isOut) {
+    void unusedBuildsAreRemoved(boolean isInFlight) {
         DecisionEngineHarness harness = DecisionEngineHarness.withDefaults(Desk.FIRST_VOICE, 0);
         harness.listWarm(1, harness.oldBuild);
-        Rpc rpc = isOut ? harness.receiveRpc(0, null) : null;
+        Rpc rpc = isInFlight ? harness.receiveRpc(0, null) : null;
         harness.pullDecisions();
         harness.engine.told(harness.newBuild, Build.RELEASED, 0, 1, false, harness.now, 0);
         harness.listWarm(2, harness.newBuild);
         assertFalse(harness.oldBuild.left);
         harness.listAppliance(1, harness.oldBuild, 0, 0, Appliance.GONE, Fleet.LONG_AGO);
-        assertEquals(!isOut, harness.oldBuild.left);
-        if (isOut) {
+        assertEquals(!isInFlight, harness.oldBuild.left);
+        if (isInFlight) {
             harness.advance(100);
             harness.endLastPick(rpc, Pick.OK);
             harness.listWarm(2, harness.newBuild);
             assertTrue(harness.oldBuild.left);
         }
         assertFalse(harness.newBuild.left);
-        // One that comes back is known anew.
+        // A build that returns is a new record.
         Build again = new Build(1, 3);
         harness.listWarm(3, again);
         assertFalse(again.left);
         assertEquals("pick2", harness.advance(100).receiveRpc(0, null) == null ? "" : harness.pullDecisions());
     }
 
-    /** A server that wants nothing gets nothing until then, and its location no more at once than it had. */
+    /** A server gets no picks during its retry-after, and its zone no more in flight than its limit. */
     @ParameterizedTest
     @CsvSource({"0,0,pick1", "500,0,pick2", "500,1,pushback", "500,3,pick2"})
-    void retryAfterIsHonored(long barredFor, int limit, String expected) {
+    void retryAfterIsHonored(long retryAfter, int limit, String expected) {
         DecisionEngineHarness harness = DecisionEngineHarness.withDefaults(Desk.FIRST_VOICE, 0);
         harness.listWarm(1, harness.oldBuild);
         Appliance other = harness.listAppliance(2, harness.oldBuild, 0, 0, Appliance.UP, Fleet.LONG_AGO);
@@ -847,8 +856,8 @@
         harness.pullDecisions();
         Appliance first = harness.appliances.get(0);
         Appliance limited = other.room.out > 0 ? other : first;
-        if (barredFor > 0) {
-            limited.barredUntil = harness.now + barredFor * 100;
+        if (retryAfter > 0) {
+            limited.barredUntil = harness.now + retryAfter * 100;
             limited.zone.most = limit;
             limited.zone.limitedUntil = limit > 0 ? limited.barredUntil : 0;
         }
@@ -857,7 +866,8 @@
         String decisions = harness.pullDecisions();
         harness.advance(1000);
         decisions += harness.pullDecisions();
-        String wanted = expected.equals("pushback") ? expected : "pick" + (barredFor > 0 ? limited == first ? 2 : 1 : 0);
-        assertTrue(decisions.startsWith(barredFor > 0 ? wanted : "pick"), decisions);
+        String wanted = expected.equals("pushback") ? expected
+                : "pick" + (retryAfter > 0 ? limited == first ? 2 : 1 : 0);
+        assertTrue(decisions.startsWith(retryAfter > 0 ? wanted : "pick"), decisions);
     }
 }
--- a/src/test/java/honeygap/ShutdownRulesTest.java
+++ b/src/test/java/honeygap/ShutdownRulesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is decided about RPCs in a process that has been told to end. */
+/** Decisions on RPCs in a process that is shutting down. */
 class ShutdownRulesTest {
 
     private static final long SECOND = DecisionEngineHarness.SECOND;
@@ -49,7 +49,7 @@
         assertEquals(ShutdownPhase.ENDED, schedule.phase(schedule.answersBy()));
     }
 
-    /** A pick that is out at the shutdown deadline is given up, and its RPC answered as its method allows. */
+    /** A pick in flight at the shutdown deadline is cancelled, and its RPC gets the answer that its method allows. */
     @ParameterizedTest
     @CsvSource({"0, pushback", "1, abort", "2, abort"})
     void cancelsPicksAtTheDeadline(int method, String expected) {
@@ -66,14 +66,14 @@
         assertEquals(expected, harness.pullDecisions());
     }
 
-    /** One taken before the signal as well. */
+    /** The same for an RPC received before the signal. */
     @Test
     void cancelsPicksSentBeforeTheSignal() {
         DecisionEngineHarness harness = newHarness();
         Rpc rpc = harness.receiveRpc(UNSAFE, null);
         harness.pullDecisions();
         harness.advance(SECOND / 100);
-        // By the settings read again the longest deadline is shorter than this RPC's own.
+        // Reloaded settings have a longest deadline that is shorter than this RPC's own.
         ShutdownSchedule schedule = ShutdownSchedule.of(harness.now, SECOND);
         harness.engine.ending(schedule);
         harness.advance(schedule.answersBy() - harness.now);
@@ -82,7 +82,7 @@
         assertEquals("pushback", harness.pullDecisions());
     }
 
-    /** A pick is told no more time than is left to the shutdown deadline. */
+    /** The timeout of a pick is at most the time left to the shutdown deadline. */
     @Test
     void pickTimeoutEndsAtTheDeadline() {
         DecisionEngineHarness harness = newHarness();
@@ -90,10 +90,10 @@
         harness.advance(SECOND);
         harness.receiveRpc(READ, null);
         harness.pullDecisions();
-        assertTrue(harness.lastTimeout <= schedule.answersBy() - harness.now, "told " + harness.lastTimeout);
+        assertTrue(harness.lastTimeout <= schedule.answersBy() - harness.now, "timeout " + harness.lastTimeout);
     }
 
-    /** No further pick begins once the shutdown deadline is near, though the RPC's own is far. */
+    /** No retry begins close to the shutdown deadline even if the RPC's own deadline is later. */
     @Test
     void noRetryNearTheDeadline() {
         DecisionEngineHarness harness = newHarness();
@@ -106,7 +106,10 @@
         assertEquals("pushback", harness.pullDecisions());
     }
 
-    /** What can't be answered in time any more is refused at once; with answers to go by, by three times the usual. */
+    /**
+     * An RPC that cannot be answered in time is refused at once: the time needed is three mean latencies, or the soft
+     * deadline before the first answer.
+     */
     @ParameterizedTest
     @CsvSource({"1.01, 0, pick", "0.99, 0, pushback", "0.31, 1000, pick", "0.29, 1000, pushback"})
     void refusesWhatCannotBeAnsweredInTime(double secondsLeft, long meanLatency, String expected) {
@@ -118,7 +121,6 @@
         assertTrue(harness.pullDecisions().startsWith(expected));
     }
 
-    /** A second signal does not move the deadline. */
     @Test
     void secondSignalKeepsTheSchedule() {
         DecisionEngineHarness harness = newHarness();
--- a/src/test/java/honeygap/rules/discovery/ListCallsTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListCallsTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** When one agent calls discovery. */
+/** Times at which an agent calls discovery. */
 class ListCallsTest {
 
     private static final long SECOND = Fleet.SECOND;
@@ -22,7 +22,7 @@
         return new ListCalls(0, new Chance(seed), listing);
     }
 
-    /** Guards against hundreds of agents that start at once and time each other out in discovery's queue. */
+    /** If hundreds of agents start at once and all call at once, their calls time out in discovery's queue. */
     @Test
     void firstCallsAreSpreadWithAStoredList() {
         long[] times = LongStream.range(0, AGENTS).map(seed -> {
@@ -32,10 +32,10 @@
         }).sorted().toArray();
         assertTrue(times[AGENTS / 4] > SECOND / 2, "a quarter within " + times[AGENTS / 4]);
         assertTrue(times[AGENTS / 2] > SECOND, "half within " + times[AGENTS / 2]);
-        assertTrue(times[AGENTS - 1] <= 10 * SECOND, "all within the time for asking");
+        assertTrue(times[AGENTS - 1] <= 10 * SECOND, "all within the call interval");
     }
 
-    /** What is pushed counts as told from the first moment; and without any list nothing can be served. */
+    /** Pushed changes count from the first moment, and without a stored list nothing can be served. */
     @Test
     void callsAtOnceForPushedListsOrWithoutAStoredOne() {
         ListCalls pushed = schedule(1, PUSHED);
@@ -52,7 +52,7 @@
         assertFalse(schedule.calls(Long.MAX_VALUE - 1));
     }
 
-    /** A call in the queue keeps its place: a second one would only make the queue longer. */
+    /** An open call keeps its position in the queue; a second one would only make the queue longer. */
     @Test
     void oneCallIsOpenAtATime() {
         ListCalls schedule = schedule(1, POLLED);
@@ -62,7 +62,7 @@
         assertFalse(schedule.calls(1_000 * SECOND));
     }
 
-    /** Delays lie anywhere below a bound that doubles up to a limit, and starts anew with a list that came. */
+    /** Delays are uniform below a bound that doubles up to a limit and is reset by a received list. */
     @Test
     void retriesBackOffWithFullJitter() {
         for (int failures = 1; failures <= 12; failures++) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** A head alone says that the call was taken; it may time out in the queue still. */
+    /** A response header only shows that the call was accepted; it may still time out in the queue. */
     @Test
     void onlyAListResetsTheBackOff() {
         ListCalls schedule = schedule(3, POLLED);
@@ -98,7 +98,7 @@
         assertTrue(longest > 5 * SECOND, "longest " + longest);
     }
 
-    /** What a watch that ended has missed counts as told soon. */
+    /** Changes missed since the end of a watch are fetched soon. */
     @Test
     void callsSoonAfterAWatchThatHadReported() {
         for (int seed = 0; seed < AGENTS; seed++) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Where lists are pushed discovery has no queue that calls could fill. */
+    /** If lists are pushed, discovery has no queue that calls could fill. */
     @Test
     void callsSoonForPushedLists() {
         ListCalls schedule = schedule(1, PUSHED);
--- a/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What each age of the list allows. Times are tenths of a millisecond. */
+/** Which appliances are known to serve, by the age of the list. Times are tenths of a millisecond. */
 class ListLeaseRulesTest {
 
     private static final long SECOND = Fleet.SECOND;
@@ -69,7 +69,7 @@
         assertFalse(at(7).lease.covers(first));
     }
 
-    /** A sign of life may run ahead of a change that waits in discovery's queue. */
+    /** A heartbeat may precede a change that waits in discovery's queue. */
     @Test
     void heartbeatCountsAsEarlier() {
         lease.confirm(SECOND);
@@ -78,7 +78,7 @@
         assertFalse(at(15).lease.covers(first));
     }
 
-    /** Without discovery an agent goes on with those that answer, each for as long as a list would hold. */
+    /** Without discovery an agent keeps using appliances that answer, each for the duration of a lease. */
     @Test
     void answersCoverTheirApplianceFromTheSendTime() {
         lease.confirm(0);
@@ -90,7 +90,7 @@
         assertFalse(at(11).lease.covers(first));
     }
 
-    /** On a connection opened since, another process may answer: one that drained, left and came back unlisted. */
+    /** On a connection opened later, the answer may come from a process that was drained and restarted unlisted. */
     @Test
     void answersOnNewConnectionsCoverNothing() {
         lease.confirm(SECOND);
@@ -101,7 +101,7 @@
         assertFalse(lease.covers(second));
     }
 
-    /** The newest build's appliance that falls silent may have left: the desk does not tell of that. */
+    /** An unresponsive appliance of the newest build may have been removed, which the desk does not report. */
     @Test
     void rolloutDoesNotCoverUnresponsiveAppliances() {
         fleet.rolloutReported(build, Build.RELEASED, 0, 1, 0);
@@ -112,7 +112,7 @@
         lease.confirm(1);
         fleet.rolloutReportedAt = 10 * SECOND;
         at(10);
-        assertTrue(lease.covers(first), "listed since");
+        assertTrue(lease.covers(first), "the list was confirmed since");
     }
 
     @Test
@@ -124,12 +124,12 @@
         }
     }
 
-    /** While nobody tells what changes, one that refuses may drain: each refusal in a row keeps it away for longer. */
+    /** Without a watch an appliance that refuses may be draining: each further refusal lengthens its back-off. */
     @Test
     void refusalsCountWhileTheListIsOld() {
         lease.confirm(0);
         endPick(first, 1, 1, Pick.FULL);
-        assertTrue(lease.covers(first), "the list would say so");
+        assertTrue(lease.covers(first), "a watch would report a drain");
         lease.watchLost();
         endPick(first, 2, 2, Pick.FULL);
         assertFalse(at(2.2).lease.covers(first));
@@ -140,10 +140,10 @@
         assertTrue(lease.covers(first));
         endPick(first, 3, 3, Pick.FULL);
         lease.confirm(fleet.now);
-        assertTrue(lease.covers(first), "the list says that it serves");
+        assertTrue(lease.covers(first), "the confirmed list resets refusals");
     }
 
-    /** Drains follow from rollouts: the newest build's appliances serve on while the desk says so. */
+    /** Only rollouts drain appliances: those of the newest build serve while the desk reports it as the newest. */
     @Test
     void recentRolloutReportCoversTheNewestBuild() {
         Build newer = new Build(2, 1);
@@ -155,16 +155,16 @@
         assertTrue(at(5.9).lease.covers(first));
         assertTrue(lease.mayAcceptClients(), "two of three are known to serve");
         assertFalse(lease.covers(third), "not announced yet");
-        assertFalse(at(6).lease.covers(first), "the news is as old as a list may be");
+        assertFalse(at(6).lease.covers(first), "the report is as old as the lease");
         fleet.previousNow = fleet.now;
         fleet.rolloutReported(newer, Build.ON_TRIAL, 0, 0.1, 0);
         assertFalse(lease.covers(first), "it will be replaced");
         assertTrue(lease.covers(third));
         fleet.rolloutReported(newer, Build.REVERTING, 0, 0, 0);
-        assertFalse(lease.covers(third), "it goes back");
+        assertFalse(lease.covers(third), "it is rolled back");
     }
 
-    /** What is told in a turn may have waited since the turn before, as after a standstill. */
+    /** A report may have waited since the previous iteration, for example after a stall. */
     @Test
     void rolloutReportCountsAsOfThePreviousIteration() {
         at(10);
@@ -181,7 +181,7 @@
         assertFalse(at(5).lease.covers(first));
     }
 
-    /** Clients come when the list is current, or else when an agent has waited for two thirds of the lease. */
+    /** Clients are accepted with a current list, or after a wait of two thirds of the lease. */
     @Test
     void acceptsClientsWithACurrentListOrAfterAWait() {
         assertFalse(at(3.9).lease.mayAcceptClients());
