--- a/src/main/java/honeygap/Rules.java
+++ b/src/main/java/honeygap/Rules.java
@@ -20,10 +20,12 @@
 
 /**
  * Entry point of the decision module. Every decision of an agent is made here and in the classes below
- * {@code honeygap.rules}, one class for each kind of decision. The host reports events ({@link #now}, then
- * {@link #taken}, {@link #ended}, {@link #listed}, {@link #told} and so on), which only update state. It then
- * calls {@link #next} until that returns false; each call passes at most one decision to the {@link Ctl}.
- * Times are whole tenths of a millisecond. docs/design.md maps the rules to the sections of the paper.
+ * {@code honeygap.rules}, one class for each kind of decision. The host reports the time ({@link #now}) and
+ * events ({@link #taken}, {@link #ended}, {@link #listed},
+ * {@link #told} and so on), which only update state. It then calls {@link #next} until that returns false;
+ * each call passes at most one decision to the {@link Ctl}. Times are whole tenths of a millisecond.
+ *
+ * <p>docs/design.md maps the rules to the sections of the paper.
  */
 public final class Rules {
 
@@ -50,8 +52,9 @@
     private final ArrayDeque<Rpc> undecided = new ArrayDeque<>(), waiting = new ArrayDeque<>();
     private long nextWakeAt = Long.MAX_VALUE, secondStartedAt = Fleet.LONG_AGO;
 
-    public Rules(long now, long seed, int agentCount, long tick, List<Method> methods, Tries retryLimits,
-                 Listing listSettings, Cold coldStartSettings, Desk deskSettings, Exposure exposureSettings) {
+    public Rules(long now, long seed, int agentCount, long tick, List<Method> methods,
+                          Tries retryLimits, Listing listSettings, Cold coldStartSettings,
+                          Desk deskSettings, Exposure exposureSettings) {
         this.retryLimits = retryLimits;
         long advanceDelay = (long) (ADVANCE_DELAY_SOAKS * deskSettings.soak());
         Chance random = new Chance(seed);
--- a/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
+++ b/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
@@ -52,7 +52,8 @@
      */
     public void pickEnded(Pick pick, int outcome, long latency) {
         double lateAfter = LATE_SHARE_OF_DEADLINE * pick.rpc.method.softDeadline * WorkEstimate.relativeWork(pick.rpc);
-        boolean isOverloaded = outcome == Pick.FULL || latency > lateAfter && !health.isZoneAvoided(pick.appliance.zone)
+        boolean isOverloaded = outcome == Pick.FULL
+                || latency > lateAfter && !health.isZoneAvoided(pick.appliance.zone)
                 && (outcome == Pick.OK || outcome == Pick.TIMEOUT && pick.appliance.consecutiveUnanswered == 0);
         if (isOverloaded || outcome == Pick.OK) {
             adjustLimit(pick.build.limit, isOverloaded, latency);
--- a/src/main/java/honeygap/rules/routing/ApplianceSelector.java
+++ b/src/main/java/honeygap/rules/routing/ApplianceSelector.java
@@ -31,7 +31,8 @@
         Location zone = appliance.zone;
         Build build = appliance.build;
         return appliance.state == Appliance.UP && lease.covers(appliance) && fleet.now >= appliance.barredUntil
-                && (fleet.now >= zone.limitedUntil || zone.out < zone.most) && exposureLimit.allowsKey(rpc, build)
+                && (fleet.now >= zone.limitedUntil || zone.out < zone.most)
+                && exposureLimit.allowsKey(rpc, build)
                 && retryPolicy.dropsDuplicate(rpc, mayHaveRun, appliance) && concurrencyLimits.hasCapacity(build, rpc)
                 && exposureLimit.allows(build, rpc.method) && coldStartLimit.allows(appliance, rpc);
     }
--- a/src/main/java/honeygap/rules/votes/Voting.java
+++ b/src/main/java/honeygap/rules/votes/Voting.java
@@ -7,9 +7,9 @@
 import honeygap.terms.Desk;
 
 /** Decides how this agent votes on the build on trial, and when it sends its vote to the desk. */
-public record Voting(Fleet fleet, Chance random, FailureEvidence failureEvidence, SlownessEvidence slownessEvidence,
-                     DeskCounts deskCounts, Desk settings, double[] stageShares, long advanceDelay,
-                     VoteRecord lastVote) {
+public record Voting(Fleet fleet, Chance random, FailureEvidence failureEvidence,
+                     SlownessEvidence slownessEvidence, DeskCounts deskCounts, Desk settings,
+                     double[] stageShares, long advanceDelay, VoteRecord lastVote) {
 
     private static final String[] VERDICTS =
             {"withdraws its vote", "votes to advance", "votes to hold", "votes to roll back"};
--- a/src/main/java/honeygap/terms/Desk.java
+++ b/src/main/java/honeygap/terms/Desk.java
@@ -12,8 +12,8 @@
  * @param sampledShare share of all picks that the desk samples for its counts
  * @param countsInterval period of the desk's counts
  */
-public record Desk(int gate, long voteLifetime, long soak, long callTimeout, int rollbackVotes, double votesPerSecond,
-                   double sampledShare, long countsInterval) {
+public record Desk(int gate, long voteLifetime, long soak, long callTimeout, int rollbackVotes,
+                           double votesPerSecond, double sampledShare, long countsInterval) {
 
     /** The first vote to advance is enough. */
     public static final int FIRST_VOICE = 0;
--- a/src/main/java/honeygap/terms/Listing.java
+++ b/src/main/java/honeygap/terms/Listing.java
@@ -5,7 +5,7 @@
  *
  * @param watched whether the decision module must call discovery for it
  * @param pushed whether changes are pushed without a call; discovery then has no queue of calls
- * @param askWithin maximum time without a call
+ * @param callInterval maximum time without a call
  * @param lease how long the list is valid after discovery confirmed it; 0 means for ever
  */
 public record Listing(boolean watched, boolean pushed, long askWithin, long lease) { }
--- a/src/test/java/honeygap/DecisionEngineHarness.java
+++ b/src/test/java/honeygap/DecisionEngineHarness.java
@@ -36,8 +36,8 @@
     long lastTimeout;
     private int rpcCount;
 
-    DecisionEngineHarness(long seed, int agentCount, Tries retryLimits, Listing listSettings, Desk deskSettings,
-           Exposure exposureSettings, int scope) {
+    DecisionEngineHarness(long seed, int agentCount, Tries retryLimits, Listing listSettings,
+                          Desk deskSettings, Exposure exposureSettings, int scope) {
         for (int effect = 0; effect < 3; effect++) {
             methods.add(new Method(effect, effect, scope, 2 * SECOND, SECOND, 3 * SECOND, 1, 0));
         }
--- a/src/test/java/honeygap/RulesTest.java
+++ b/src/test/java/honeygap/RulesTest.java
@@ -201,7 +201,8 @@
         harness.advance(3 * SECOND);
         assertEquals("vote1", harness.pullDecisions());
         if (answer >= 0) {
-            harness.engine.told(harness.newBuild, Build.ON_TRIAL, 0, 0.2, true, harness.now - 3 * SECOND, answer);
+            harness.engine.told(harness.newBuild, Build.ON_TRIAL, 0, 0.2, true,
+                    harness.now - 3 * SECOND, answer);
         }
         assertEquals(expected, harness.advance((long) (seconds * SECOND)).pullDecisions());
     }
@@ -243,7 +244,8 @@
             "disk,10,watch"})
     void callsDiscovery(String what, int seconds, String expected) {
         DecisionEngineHarness harness =
-                new DecisionEngineHarness(7, 2, new Tries(3, false, 0), new Listing(true, false, 10 * SECOND, 0),
+                new DecisionEngineHarness(7, 2, new Tries(3, false, 0),
+                new Listing(true, false, 10 * SECOND, 0),
                 new Desk(0, SECOND, SECOND, SECOND, 1, 1, 0, 0),
                 new Exposure(new double[0], new double[0], SECOND, 0, false, 0, false), 0);
         assertEquals("watch", harness.pullDecisions());
@@ -347,7 +349,8 @@
             harness.advance(2 * SECOND);
             harness.engine.counted(harness.oldBuild, harness.methods.get(0), 100, 0, 1000, 0);
             harness.advance(apart);
-            harness.engine.counted(harness.newBuild, harness.methods.get(0), 40, failed, (long) (seconds * SECOND), 0);
+            harness.engine.counted(harness.newBuild, harness.methods.get(0), 40, failed,
+                    (long) (seconds * SECOND), 0);
         }
         assertEquals(isRolledBack, harness.advance(SECOND).pullDecisions().contains("vote3"));
     }
@@ -360,19 +363,20 @@
         for (int id = 1; id <= 60; id++) {
             harness.listWarm(id, harness.oldBuild);
         }
-        ArrayDeque<Rpc> out = new ArrayDeque<>();
+        ArrayDeque<Rpc> inFlight = new ArrayDeque<>();
         int pushedBack = 0;
         for (int i = 0; i < 200; i++) {
             harness.advance(250);
-            out.add(harness.receiveRpc(0, null));
+            inFlight.add(harness.receiveRpc(0, null));
             String decisions = harness.pullDecisions();
             pushedBack += i >= 56 ? decisions.split("pushback", -1).length - 1 : 0;
-            while (!out.isEmpty() && (out.peek().out == 0 || harness.now - out.peek().picks.get(0).sentAt >= latency)) {
-                Rpc rpc = out.poll();
+            while (!inFlight.isEmpty()
+                    && (inFlight.peek().out == 0 || harness.now - inFlight.peek().picks.get(0).sentAt >= latency)) {
+                Rpc rpc = inFlight.poll();
                 if (rpc.out > 0) {
                     harness.endLastPick(rpc, Pick.OK);
                 } else if (!rpc.closed) {
-                    out.addLast(rpc);
+                    inFlight.addLast(rpc);
                     break;
                 }
             }
@@ -774,7 +778,8 @@
     void advanceVoteWaitsForTheSoak(double soak, double seconds, boolean isAdvanceExpected) {
         DecisionEngineHarness harness = new DecisionEngineHarness(7, 2, new Tries(3, true, SECOND / 2),
                 new Listing(false, false, 10 * SECOND, 0),
-                new Desk(Desk.FIRST_VOICE, 6 * SECOND, (long) (soak * SECOND), SECOND, 1, 30, 1, 2 * SECOND),
+                new Desk(Desk.FIRST_VOICE, 6 * SECOND, (long) (soak * SECOND), SECOND, 1, 30, 1,
+                        2 * SECOND),
                 new Exposure(new double[] {0.2, 1}, new double[] {0.2, 1}, 2 * SECOND, 1, false, 1,
                         true), 0);
         harness.listWarm(1, harness.oldBuild);
