--- a/src/main/java/honeygap/fleet/Fleet.java
+++ b/src/main/java/honeygap/fleet/Fleet.java
@@ -94,7 +94,8 @@
         }
         appliances.removeIf(appliance -> appliance.state == Appliance.GONE);
         builds.forEach(build -> build.left = build != evaluatedBuild && newestBuild != null
-                && !isNewestOrLater(build) && build.limit.out == 0 && appliances.stream().noneMatch(appliance -> appliance.build == build));
+                && !isNewestOrLater(build) && build.limit.out == 0
+                && appliances.stream().noneMatch(appliance -> appliance.build == build));
         builds.removeIf(build -> build.left);
         builds.forEach(build -> build.limit.appliances = 0);
         appliances.forEach(appliance -> appliance.build.limit.appliances += appliance.state == Appliance.UP ? 1 : 0);
