--- a/src/main/java/honeygap/cli/CaptureCommand.java
+++ b/src/main/java/honeygap/cli/CaptureCommand.java
@@ -45,8 +45,8 @@
             CaptureCommand.Anonymise.class, CaptureCommand.Repair.class, CaptureCommand.Make.class})
 final class CaptureCommand implements Runnable {
 
-    private static final int CUT_OFF = 1;
-    private static final int UNREAD = 2;
+    private static final int EXIT_TRUNCATED = 1;
+    private static final int EXIT_UNREADABLE = 2;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -57,7 +57,7 @@
     }
 
     /** One that reads files: what is wrong with them is one line. */
-    abstract static class OnFiles implements Callable<Integer> {
+    abstract static class ReadingCommand implements Callable<Integer> {
 
         @CommandLine.Spec
         CommandLine.Model.CommandSpec spec;
@@ -75,10 +75,10 @@
             PrintWriter err = spec.commandLine().getErr();
             try (Reading reading = new Reading(files)) {
                 run(reading, spec.commandLine().getOut());
-                progress.end();
+                progress.clear();
                 spec.commandLine().getOut().flush();
                 reading.cutOff().forEach(line -> err.println(spec.name() + ": " + line));
-                return reading.cutOff().isEmpty() ? 0 : CUT_OFF;
+                return reading.cutOff().isEmpty() ? 0 : EXIT_TRUNCATED;
             } catch (Spoilt e) {
                 return fail(err, e.getMessage());
             } catch (NoSuchFileException e) {
@@ -88,43 +88,43 @@
             }
         }
 
-        private int fail(PrintWriter err, String words) {
-            progress.end();
+        private int fail(PrintWriter err, String message) {
+            progress.clear();
             spec.commandLine().getOut().flush();
-            err.println(spec.name() + ": " + words);
-            return UNREAD;
+            err.println(spec.name() + ": " + message);
+            return EXIT_UNREADABLE;
         }
 
-        final Reading.Hearer each(Reading reading) {
-            return packet -> progress.tell(() -> reading.packets() + " packets, " + (reading.bytes() >> 20) + " MiB");
+        final Reading.Hearer progressListener(Reading reading) {
+            return packet -> progress.update(() -> reading.packets() + " packets, " + (reading.bytes() >> 20) + " MiB");
         }
     }
 
     /** One that takes some of the RPCs. */
-    abstract static class OnRpcs extends OnFiles {
+    abstract static class RpcCommand extends ReadingCommand {
 
         @CommandLine.Option(names = "--where", paramLabel = "FILTER",
                 description = "Only RPCs for which this holds, as: method == \"book\" and took > 20ms and not served")
         String where;
 
-        abstract void rpc(Spoken spoken, PrintWriter out) throws IOException;
+        abstract void process(Spoken rpc, PrintWriter out) throws IOException;
 
-        void after(Map<String, Long> counts, PrintWriter out) throws IOException {
+        void finished(Map<String, Long> counts, PrintWriter out) throws IOException {
         }
 
         @Override
         void run(Reading reading, PrintWriter out) throws IOException {
-            Predicate<Spoken> wanted = Filter.of(where);
+            Predicate<Spoken> filter = Filter.of(where);
             try {
-                after(reading.conversations(spoken -> {
-                    if (wanted.test(spoken)) {
+                finished(reading.conversations(rpc -> {
+                    if (filter.test(rpc)) {
                         try {
-                            rpc(spoken, out);
+                            process(rpc, out);
                         } catch (IOException e) {
                             throw new UncheckedIOException(e);
                         }
                     }
-                }, each(reading)), out);
+                }, progressListener(reading)), out);
             } catch (UncheckedIOException e) {
                 throw e.getCause();
             }
@@ -133,94 +133,94 @@
 
     @CommandLine.Command(name = "info", mixinStandardHelpOptions = true,
             description = "Say what is in captures, and all that is out of the ordinary there.")
-    static final class Info extends OnRpcs {
+    static final class Info extends RpcCommand {
 
         @CommandLine.Option(names = "--strict", description = "Also hold each pcapng file against the letter of the"
                 + " formats, as one that this program wrote.")
         private boolean strict;
 
-        private final Map<String, Long> rpcs = new TreeMap<>();
-        private Reading read;
+        private final Map<String, Long> countsByOutcome = new TreeMap<>();
+        private Reading captures;
 
         @Override
         void run(Reading reading, PrintWriter out) throws IOException {
-            read = reading;
+            captures = reading;
             super.run(reading, out);
             if (strict) {
                 for (Path file : files) {
-                    Strict checked = new Strict(plain(file), true);
-                    out.println(file + ": " + checked.packets() + " packets held, gaps " + checked.gaps() + ", faults "
-                            + checked.faults().size());
-                    checked.faults().forEach(out::println);
+                    Strict validation = new Strict(openDecompressed(file), true);
+                    out.println(file + ": " + validation.packets() + " packets held, gaps " + validation.gaps() + ", faults "
+                            + validation.faults().size());
+                    validation.faults().forEach(out::println);
                 }
             }
         }
 
-        private static InputStream plain(Path file) throws IOException {
+        private static InputStream openDecompressed(Path file) throws IOException {
             InputStream in = Files.newInputStream(file);
             return file.toString().endsWith(".zst") ? new ZstdInputStream(in).setContinuous(true)
                     : file.toString().endsWith(".gz") ? new GZIPInputStream(in) : in;
         }
 
         @Override
-        void rpc(Spoken spoken, PrintWriter out) {
-            rpcs.merge(spoken.protocol + " " + spoken.method + " " + spoken.outcome, 1L, Long::sum);
+        void process(Spoken rpc, PrintWriter out) {
+            countsByOutcome.merge(rpc.protocol + " " + rpc.method + " " + rpc.outcome, 1L, Long::sum);
         }
 
         @Override
-        void after(Map<String, Long> counts, PrintWriter out) {
-            out.println("packets " + read.packets() + ", bytes " + read.bytes());
-            if (read.packets() > 0) {
-                Instant first = Instant.ofEpochSecond(0, read.firstAt());
-                out.println("from " + first + ", for " + Duration.ofNanos(read.lastAt() - read.firstAt()));
+        void finished(Map<String, Long> counts, PrintWriter out) {
+            out.println("packets " + captures.packets() + ", bytes " + captures.bytes());
+            if (captures.packets() > 0) {
+                Instant first = Instant.ofEpochSecond(0, captures.firstAt());
+                out.println("from " + first + ", for " + Duration.ofNanos(captures.lastAt() - captures.firstAt()));
             }
-            counts.forEach((kind, many) -> out.println(kind + " " + many));
-            rpcs.forEach((kind, many) -> out.println("  " + kind + " " + many));
+            counts.forEach((kind, count) -> out.println(kind + " " + count));
+            countsByOutcome.forEach((kind, count) -> out.println("  " + kind + " " + count));
         }
     }
 
     @CommandLine.Command(name = "list", mixinStandardHelpOptions = true, description = "A line an RPC.")
-    static final class ListRpcs extends OnRpcs {
+    static final class ListRpcs extends RpcCommand {
 
         @Override
-        void rpc(Spoken spoken, PrintWriter out) {
-            out.printf("%s %s %s -> %s %s %s %s %s%n", Instant.ofEpochSecond(0, spoken.at), spoken.protocol,
-                    spoken.client, spoken.server, spoken.method, spoken.id.isEmpty() ? "-" : spoken.id,
-                    spoken.outcome + (spoken.code.isEmpty() ? "" : "(" + spoken.code + ")"),
-                    spoken.took < 0 ? "-" : String.format("%.3fms", spoken.took / 1e6));
+        void process(Spoken rpc, PrintWriter out) {
+            out.printf("%s %s %s -> %s %s %s %s %s%n", Instant.ofEpochSecond(0, rpc.at), rpc.protocol,
+                    rpc.client, rpc.server, rpc.method, rpc.id.isEmpty() ? "-" : rpc.id,
+                    rpc.outcome + (rpc.code.isEmpty() ? "" : "(" + rpc.code + ")"),
+                    rpc.took < 0 ? "-" : String.format("%.3fms", rpc.took / 1e6));
         }
     }
 
     @CommandLine.Command(name = "show", mixinStandardHelpOptions = true,
             description = "RPCs with all that was asked and answered, control characters as dots.")
-    static final class Show extends OnRpcs {
+    static final class Show extends RpcCommand {
 
         @Override
-        void rpc(Spoken spoken, PrintWriter out) {
+        void process(Spoken rpc, PrintWriter out) {
             out.printf("%s connection %d, %s -> %s, %s %s, key %s, took %.3f ms%n  asked    %s%n  answered %s%n",
-                    Instant.ofEpochSecond(0, spoken.at), spoken.connection, spoken.client, spoken.server,
-                    spoken.method, spoken.outcome, spoken.key.isEmpty() ? "-" : spoken.key, spoken.took / 1e6,
-                    words(spoken.request), words(spoken.answer));
+                    Instant.ofEpochSecond(0, rpc.at), rpc.connection, rpc.client, rpc.server,
+                    rpc.method, rpc.outcome, rpc.key.isEmpty() ? "-" : rpc.key, rpc.took / 1e6,
+                    printable(rpc.request), printable(rpc.answer));
         }
 
-        private static String words(byte[] bytes) {
-            StringBuilder words = new StringBuilder();
-            for (byte one : bytes) {
-                words.append(one >= ' ' && one < 127 ? (char) one : '.');
+        private static String printable(byte[] bytes) {
+            StringBuilder text = new StringBuilder();
+            for (byte character : bytes) {
+                text.append(character >= ' ' && character < 127 ? (char) character : '.');
             }
-            return words.toString();
+            return text.toString();
         }
     }
 
     @CommandLine.Command(name = "export", mixinStandardHelpOptions = true,
             description = "A row an RPC, into a file: .avro, .csv or .jsonl.")
-    static final class Export extends OnRpcs {
+    static final class Export extends RpcCommand {
 
         @CommandLine.Option(names = {"-o", "--to"}, paramLabel = "FILE", required = true)
         private Path to;
 
         private Rows rows;
-        private long many;
+        private long rowCount;
 
         @Override
         void run(Reading reading, PrintWriter out) throws IOException {
@@ -241,24 +241,24 @@
             } finally {
                 rows.close();
             }
-            out.println(many + " rows in " + to);
+            out.println(rowCount + " rows in " + to);
         }
 
         @Override
-        void rpc(Spoken spoken, PrintWriter out) throws IOException {
-            rows.write(spoken);
-            many++;
+        void process(Spoken rpc, PrintWriter out) throws IOException {
+            rows.write(rpc);
+            rowCount++;
         }
     }
 
     /** One that writes packets. */
-    abstract static class OnPackets extends OnFiles {
+    abstract static class PacketCommand extends ReadingCommand {
 
         @CommandLine.Option(names = {"-o", "--to"}, paramLabel = "FILE", required = true,
                 description = "Ends in .pcap or .pcapng, then .gz or .zst where it is to be compressed.")
         Path to;
 
-        long many;
+        long packetCount;
 
         abstract void write(Reading reading, CaptureWriter writer) throws IOException;
 
@@ -267,14 +267,14 @@
             try (CaptureWriter writer = new CaptureWriter(to)) {
                 write(reading, writer);
             }
-            out.println(many + " packets in " + to);
+            out.println(packetCount + " packets in " + to);
         }
     }
 
     @CommandLine.Command(name = "cut", mixinStandardHelpOptions = true,
             description = "Some of the packets: by time, by port, or those of connections with RPCs that a filter"
                     + " takes.")
-    static final class Cut extends OnPackets {
+    static final class Cut extends PacketCommand {
 
         @CommandLine.Option(names = "--from", description = "Seconds after the first packet.", defaultValue = "0")
         private double from;
@@ -292,7 +292,7 @@
 
         @Override
         void write(Reading reading, CaptureWriter writer) throws IOException {
-            Set<List<Address>> kept = where == null ? null : connections();
+            Set<List<Address>> selectedConnections = where == null ? null : selectConnections();
             Decoder decoder = new Decoder();
             Segment segment = new Segment();
             long first = Long.MIN_VALUE;
@@ -302,55 +302,55 @@
                 if (seconds < from || seconds > until) {
                     continue;
                 }
-                if ((port != null || kept != null) && (!decoder.read(packet, segment)
+                if ((port != null || selectedConnections != null) && (!decoder.read(packet, segment)
                         || port != null && segment.from.port() != port && segment.to.port() != port
-                        || kept != null && !kept.contains(List.of(segment.from, segment.to))
-                        && !kept.contains(List.of(segment.to, segment.from)))) {
+                        || selectedConnections != null && !selectedConnections.contains(List.of(segment.from, segment.to))
+                        && !selectedConnections.contains(List.of(segment.to, segment.from)))) {
                     continue;
                 }
                 writer.write(packet);
-                many++;
+                packetCount++;
             }
         }
 
-        private Set<List<Address>> connections() throws IOException {
-            Set<List<Address>> kept = new HashSet<>();
-            Predicate<Spoken> wanted = Filter.of(where);
-            try (Reading once = new Reading(files)) {
-                once.conversations(spoken -> {
-                    if (wanted.test(spoken)) {
-                        kept.add(List.of(spoken.client, spoken.server));
+        private Set<List<Address>> selectConnections() throws IOException {
+            Set<List<Address>> selected = new HashSet<>();
+            Predicate<Spoken> filter = Filter.of(where);
+            try (Reading firstPass = new Reading(files)) {
+                firstPass.conversations(rpc -> {
+                    if (filter.test(rpc)) {
+                        selected.add(List.of(rpc.client, rpc.server));
                     }
-                }, each(once));
+                }, progressListener(firstPass));
             }
-            return kept;
+            return selected;
         }
     }
 
     @CommandLine.Command(name = "merge", mixinStandardHelpOptions = true,
             description = "All packets of several captures, in the order of their times.")
-    static final class Merge extends OnPackets {
+    static final class Merge extends PacketCommand {
 
         @Override
         void write(Reading reading, CaptureWriter writer) throws IOException {
-            Reading.Hearer each = each(reading);
+            Reading.Hearer progressListener = progressListener(reading);
             for (Packet packet = reading.next(); packet != null; packet = reading.next()) {
-                each.packet(packet);
+                progressListener.packet(packet);
                 writer.write(packet);
-                many++;
+                packetCount++;
             }
         }
     }
 
     @CommandLine.Command(name = "repair", mixinStandardHelpOptions = true,
             description = "All that is whole of a capture that was cut off, up to its last whole packet.")
-    static final class Repair extends OnPackets {
+    static final class Repair extends PacketCommand {
 
         @Override
         void write(Reading reading, CaptureWriter writer) throws IOException {
             for (Packet packet = reading.next(); packet != null; packet = reading.next()) {
                 writer.write(packet);
-                many++;
+                packetCount++;
             }
         }
 
@@ -358,14 +358,14 @@
         public Integer call() {
             int code = super.call();
             // A file that was cut off is what this is for.
-            return code == CUT_OFF ? 0 : code;
+            return code == EXIT_TRUNCATED ? 0 : code;
         }
     }
 
     @CommandLine.Command(name = "anonymise", mixinStandardHelpOptions = true,
             description = "The same conversations with keys and values as keyed hashes of their length; the same"
                     + " secret gives the same hashes. What can't be read is blacked out.")
-    static final class Anonymise extends OnPackets {
+    static final class Anonymise extends PacketCommand {
 
         @CommandLine.Option(names = "--secret", paramLabel = "FILE", required = true,
                 description = "A file with the secret of the hashes.")
@@ -373,12 +373,12 @@
 
         @Override
         void write(Reading reading, CaptureWriter writer) throws IOException {
-            Anonymous anonymous = new Anonymous(new Mask(Files.readAllBytes(secret)), packet -> {
+            Anonymous anonymiser = new Anonymous(new Mask(Files.readAllBytes(secret)), packet -> {
                 writer.write(packet);
-                many++;
+                packetCount++;
             });
             try {
-                reading.streams(anonymous, each(reading));
+                reading.streams(anonymiser, progressListener(reading));
             } catch (UncheckedIOException e) {
                 throw e.getCause();
             }
@@ -414,16 +414,16 @@
         @Override
         public Integer call() throws IOException {
             int colon = server.lastIndexOf(':');
-            InetSocketAddress at = new InetSocketAddress(server.substring(0, colon),
+            InetSocketAddress serverAddress = new InetSocketAddress(server.substring(0, colon),
                     Integer.parseInt(server.substring(colon + 1)));
             // A morning begins at six.
-            long from = Instant.parse("2026-01-05T06:00:00Z").getEpochSecond() * 1_000_000_000L;
+            long startTime = Instant.parse("2026-01-05T06:00:00Z").getEpochSecond() * 1_000_000_000L;
             try (CaptureWriter writer = new CaptureWriter(to)) {
                 writer.begin(Synthesis.RAW);
-                Morning morning = new Morning(writer::write, seed, rate, (long) (seconds * 1e9), from, keys,
-                        Address.of(at));
-                long made = morning.make();
-                spec.commandLine().getOut().println(made + " RPCs on " + morning.connections() + " connections in "
+                Morning generator = new Morning(writer::write, seed, rate, (long) (seconds * 1e9), startTime, keys,
+                        Address.of(serverAddress));
+                long rpcCount = generator.make();
+                spec.commandLine().getOut().println(rpcCount + " RPCs on " + generator.connections() + " connections in "
                         + to + ", seed " + seed);
             }
             return 0;
--- a/src/main/java/honeygap/cli/Check.java
+++ b/src/main/java/honeygap/cli/Check.java
@@ -13,30 +13,30 @@
 
     @Override
     void run(Agent agent, PrintWriter out) throws Malformed {
-        if (told() != null) {
-            queries(told(), out);
+        if (agentSettings() != null) {
+            printAgentSettings(agentSettings(), out);
         }
-        if (sheet() != null) {
-            flags(sheet(), out);
+        if (flagSettings() != null) {
+            printFlagSettings(flagSettings(), out);
         }
     }
 
-    private static void queries(Fields told, PrintWriter out) throws Malformed {
-        out.println("listens on " + told.text("listen") + ", list at " + told.text("discovery") + ", desk at "
-                + told.object("rollouts").text("address"));
-        for (Fields method : told.object("settings").objects("Classes")) {
+    private static void printAgentSettings(Fields settings, PrintWriter out) throws Malformed {
+        out.println("listens on " + settings.text("listen") + ", list at " + settings.text("discovery") + ", desk at "
+                + settings.object("rollouts").text("address"));
+        for (Fields method : settings.object("settings").objects("Classes")) {
             out.println("method " + method.text("Name") + ": " + method.text("Effect"));
         }
-        int known = told.has("known") ? told.object("known").objects("endpoints").size() : 0;
-        out.println("starts with " + known + " appliances known");
+        int applianceCount = settings.has("known") ? settings.object("known").objects("endpoints").size() : 0;
+        out.println("starts with " + applianceCount + " appliances known");
     }
 
-    private static void flags(FlagSheet sheet, PrintWriter out) {
-        out.println("answers flags on " + sheet.listen + ", " + (sheet.list != null ? "servers listed at "
-                + sheet.list : sheet.servers.size() + " servers named"));
-        out.println("votes " + (sheet.desk != null ? "at the desk at " + sheet.desk : "alone, through stages with"
-                + " caps " + java.util.Arrays.toString(sheet.caps)));
-        sheet.allowances.forEach(rule -> out.println("last good answers for flags " + rule.flags() + ": cached for "
+    private static void printFlagSettings(FlagSheet settings, PrintWriter out) {
+        out.println("answers flags on " + settings.listen + ", " + (settings.list != null ? "servers listed at "
+                + settings.list : settings.servers.size() + " servers named"));
+        out.println("votes " + (settings.desk != null ? "at the desk at " + settings.desk : "alone, through stages with"
+                + " caps " + java.util.Arrays.toString(settings.caps)));
+        settings.allowances.forEach(rule -> out.println("last good answers for flags " + rule.flags() + ": cached for "
                 + rule.cachedFor() / 10 + " ms, stale for " + rule.staleFor() / 10 + " ms"));
     }
 }
--- a/src/main/java/honeygap/cli/Configured.java
+++ b/src/main/java/honeygap/cli/Configured.java
@@ -52,11 +52,11 @@
     private PrintWriter plainOut, plainErr;
 
     private final List<Agent.Source> sources = new ArrayList<>();
-    private Fields told;
-    private FlagSheet sheet;
+    private Fields agentSettings;
+    private FlagSheet flagSettings;
 
     /** Without a command line: goes by this file, and writes there. */
-    final Configured plain(String file, PrintWriter out, PrintWriter err) {
+    final Configured withoutCommandLine(String file, PrintWriter out, PrintWriter err) {
         config = file == null ? null : Path.of(file);
         plainOut = out;
         plainErr = err;
@@ -64,7 +64,7 @@
     }
 
     /** The agent's loop, before anything is on it. */
-    void made(Loop loop) throws IOException {
+    void loopCreated(Loop loop) throws IOException {
     }
 
     /** Goes on with the agent, not yet started. */
@@ -81,31 +81,31 @@
         Path file = config;
         try {
             Loop loop = new Loop();
-            made(loop);
+            loopCreated(loop);
             List<Protocol> protocols = new ArrayList<>();
             if (config != null) {
-                told = read();
-                Queries queries = new Queries(loop, told);
+                agentSettings = readConfig();
+                Queries queries = new Queries(loop, agentSettings);
                 protocols.add(queries);
-                sources.add(() -> queries.reread(read()));
-                if (told.has("name")) {
-                    Events.agent(told.text("name"));
+                sources.add(() -> queries.reread(readConfig()));
+                if (agentSettings.has("name")) {
+                    Events.agent(agentSettings.text("name"));
                 }
             }
             file = flags;
             if (flags != null) {
-                sheet = FlagSheet.of(Template.read(flags));
-                if (config == null && !sheet.name.isEmpty()) {
-                    Events.agent(sheet.name);
+                flagSettings = FlagSheet.of(Template.read(flags));
+                if (config == null && !flagSettings.name.isEmpty()) {
+                    Events.agent(flagSettings.name);
                 }
-                Flags protocol = new Flags(loop, sheet, new SecureRandom().nextLong());
+                Flags protocol = new Flags(loop, flagSettings, new SecureRandom().nextLong());
                 protocols.add(protocol);
                 sources.add(() -> protocol.reread(FlagSheet.of(Template.read(flags))));
             }
             run(new Agent(loop, protocols), spec == null ? plainOut : spec.commandLine().getOut());
             return 0;
         } catch (Malformed e) {
-            e.getMessage().lines().forEach(line -> fail(fileOf(e) + ": " + line));
+            e.getMessage().lines().forEach(line -> fail(faultyFile(e) + ": " + line));
             return 2;
         } catch (NoSuchFileException e) {
             return fail(e.getFile() + ": no such file");
@@ -116,14 +116,14 @@
         }
     }
 
-    private Path fileOf(Malformed e) {
-        return told == null && config != null ? config : sheet == null && flags != null ? flags : config;
+    private Path faultyFile(Malformed e) {
+        return agentSettings == null && config != null ? config : flagSettings == null && flags != null ? flags : config;
     }
 
-    private int fail(String why) {
+    private int fail(String message) {
         String name = spec == null ? SERVE : spec.name();
         PrintWriter err = spec == null ? plainErr : spec.commandLine().getErr();
-        err.println(name + ": " + why.lines().findFirst().orElse(""));
+        err.println(name + ": " + message.lines().findFirst().orElse(""));
         return 2;
     }
 
@@ -133,16 +133,16 @@
     }
 
     /** What the agent is told at start; null where it answers flags alone. */
-    final Fields told() {
-        return told;
+    final Fields agentSettings() {
+        return agentSettings;
     }
 
     /** Null where no flags are answered. */
-    final FlagSheet sheet() {
-        return sheet;
+    final FlagSheet flagSettings() {
+        return flagSettings;
     }
 
-    private Fields read() throws IOException, Malformed {
+    private Fields readConfig() throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(config))) {
             return Fields.document(parser);
         }
--- a/src/main/java/honeygap/cli/Fleet.java
+++ b/src/main/java/honeygap/cli/Fleet.java
@@ -31,9 +31,9 @@
             Fleet.Resume.class, picocli.AutoComplete.GenerateCompletion.class})
 final class Fleet implements Runnable {
 
-    private static final int OTHERWISE = 1;
-    private static final int NOT_UNDERSTOOD = 2;
-    private static final int BUSY = 3;
+    private static final int EXIT_NOT_DONE = 1;
+    private static final int EXIT_ERROR = 2;
+    private static final int EXIT_BUSY = 3;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -44,7 +44,7 @@
     }
 
     /** One that asks the manager. */
-    abstract static class Asking implements Callable<Integer> {
+    abstract static class ManagerCommand implements Callable<Integer> {
 
         @CommandLine.Spec
         CommandLine.Model.CommandSpec spec;
@@ -73,48 +73,48 @@
                 return fail(e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                return OTHERWISE;
+                return EXIT_NOT_DONE;
             }
         }
 
-        private int fail(String words) {
-            spec.commandLine().getErr().println(spec.name() + ": " + words);
-            return NOT_UNDERSTOOD;
+        private int fail(String message) {
+            spec.commandLine().getErr().println(spec.name() + ": " + message);
+            return EXIT_ERROR;
         }
 
         final int status() {
             return status;
         }
 
-        final String ask(String method, String path, String body) throws IOException, InterruptedException {
+        final String call(String method, String path, String body) throws IOException, InterruptedException {
             HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + manager + path))
                     .timeout(Duration.ofSeconds(10)).method(method, body.isEmpty()
                             ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body));
             if (tokenFile != null) {
                 request.header("Authorization", "Bearer " + Files.readString(tokenFile).strip());
             }
-            HttpResponse<String> answer = HttpClient.newHttpClient().send(request.build(),
+            HttpResponse<String> response = HttpClient.newHttpClient().send(request.build(),
                     HttpResponse.BodyHandlers.ofString());
-            status = answer.statusCode();
-            return answer.body();
+            status = response.statusCode();
+            return response.body();
         }
 
-        static Fields fields(String words) throws IOException, Malformed {
-            try (JsonParser parser = new JsonFactory().createParser(words)) {
+        static Fields parse(String json) throws IOException, Malformed {
+            try (JsonParser parser = new JsonFactory().createParser(json)) {
                 return Fields.document(parser);
             }
         }
 
-        final Fields heard(String words) throws IOException, Malformed {
-            Fields fields = fields(words);
-            if (status >= 400 && fields.has("error")) {
-                throw new Malformed(fields.text("error"));
+        final Fields parseResponse(String json) throws IOException, Malformed {
+            Fields response = parse(json);
+            if (status >= 400 && response.has("error")) {
+                throw new Malformed(response.text("error"));
             }
-            return fields;
+            return response;
         }
 
         /** A table with columns as wide as what is in them. */
-        static void table(PrintWriter out, List<String[]> rows) {
+        static void printTable(PrintWriter out, List<String[]> rows) {
             int[] widths = new int[rows.get(0).length];
             for (String[] row : rows) {
                 for (int i = 0; i < row.length; i++) {
@@ -130,7 +130,7 @@
             }
         }
 
-        static void operation(PrintWriter out, Fields operation) throws Malformed {
+        static void printOperation(PrintWriter out, Fields operation) throws Malformed {
             out.println("operation " + operation.text("id") + " (number " + operation.whole("number") + "): "
                     + operation.text("action") + ", " + operation.text("state"));
             List<String[]> rows = new ArrayList<>();
@@ -139,13 +139,13 @@
                 rows.add(new String[] {step.text("instance"), step.text("state"), step.text("generation"),
                     Long.toString(step.whole("tries")), step.text("word")});
             }
-            table(out, rows);
+            printTable(out, rows);
         }
     }
 
     @CommandLine.Command(name = "list", aliases = "inspect", mixinStandardHelpOptions = true,
             description = "All agents, or those that a selector takes, and how they stand.")
-    static final class ListAgents extends Asking {
+    static final class ListAgents extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "SELECTOR", defaultValue = "",
                 description = "By labels, as location=east,build<43 (default: all).")
@@ -153,43 +153,43 @@
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            Predicate<Map<String, String>> wanted = Selector.of(selector);
-            String words = ask("GET", "/v1/fleet", "");
-            Fields fleet = heard(words);
+            Predicate<Map<String, String>> selected = Selector.of(selector);
+            String response = call("GET", "/v1/fleet", "");
+            Fields fleet = parseResponse(response);
             if (json) {
-                out.println(words);
+                out.println(response);
                 return 0;
             }
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"NAME", "STANDING", "DRAINED", "CLIENTS", "AGE", "RESTARTS", "GENERATION", "FAULT"});
-            boolean isWell = true;
-            for (Fields one : fleet.objects("instances")) {
-                if (wanted.test(labels(one))) {
-                    isWell &= one.text("standing").equals("ALIVE");
-                    rows.add(new String[] {one.text("name"), one.text("standing"), one.flag("drained") ? "yes" : "no",
-                        Long.toString(one.whole("clients")), one.whole("ageMs") + "ms",
-                        Long.toString(one.whole("restarts")), one.text("generation"), one.text("fault")});
+            boolean allAlive = true;
+            for (Fields instance : fleet.objects("instances")) {
+                if (selected.test(labels(instance))) {
+                    allAlive &= instance.text("standing").equals("ALIVE");
+                    rows.add(new String[] {instance.text("name"), instance.text("standing"), instance.flag("drained") ? "yes" : "no",
+                        Long.toString(instance.whole("clients")), instance.whole("ageMs") + "ms",
+                        Long.toString(instance.whole("restarts")), instance.text("generation"), instance.text("fault")});
                 }
             }
             if (fleet.flag("cutOff")) {
                 out.println("the manager hears of too few agents to judge any: it may be cut off itself");
             }
-            table(out, rows);
-            return isWell ? 0 : OTHERWISE;
+            printTable(out, rows);
+            return allAlive ? 0 : EXIT_NOT_DONE;
         }
 
         static Map<String, String> labels(Fields instance) throws Malformed {
             Map<String, String> labels = new HashMap<>();
-            Fields all = instance.object("labels");
-            for (String name : all.names()) {
-                labels.put(name, all.text(name));
+            Fields labelObject = instance.object("labels");
+            for (String name : labelObject.names()) {
+                labels.put(name, labelObject.text(name));
             }
             return labels;
         }
     }
 
     /** One that begins an operation and, if asked, waits for its end. */
-    abstract static class Commanding extends Asking {
+    abstract static class OperationCommand extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "SELECTOR", defaultValue = "",
                 description = "By labels, as location=east,build<43 (default: all).")
@@ -225,11 +225,11 @@
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            Predicate<Map<String, String>> wanted = Selector.of(selector);
+            Predicate<Map<String, String>> selected = Selector.of(selector);
             List<String> names = new ArrayList<>();
-            for (Fields one : heard(ask("GET", "/v1/fleet", "")).objects("instances")) {
-                if (wanted.test(ListAgents.labels(one))) {
-                    names.add(one.text("name"));
+            for (Fields instance : parseResponse(call("GET", "/v1/fleet", "")).objects("instances")) {
+                if (selected.test(ListAgents.labels(instance))) {
+                    names.add(instance.text("name"));
                 }
             }
             if (names.isEmpty()) {
@@ -239,17 +239,17 @@
                 out.println("would " + action() + ": " + String.join(", ", names));
                 return 0;
             }
-            String begun = ask("POST", "/v1/operations", "{\"id\":\"" + new String(JsonStringEncoder.getInstance()
+            String submitResponse = call("POST", "/v1/operations", "{\"id\":\"" + new String(JsonStringEncoder.getInstance()
                     .quoteAsString(id == null ? UUID.randomUUID().toString() : id)) + "\",\"action\":\"" + action()
                     + "\",\"argument\":\"\",\"instances\":\"" + String.join(",", names) + "\",\"atOnce\":" + atOnce
                     + ",\"failuresToPause\":" + failures + ",\"withinMs\":" + 1000L * within + ",\"again\":" + again + "}");
-            Fields taken = heard(begun);
-            Fields operation = taken.object("operation");
-            switch (taken.text("taken")) {
+            Fields submitted = parseResponse(submitResponse);
+            Fields operation = submitted.object("operation");
+            switch (submitted.text("taken")) {
                 case "BUSY":
                     spec.commandLine().getErr().println(spec.name() + ": operation " + operation.text("id") + " ("
                             + operation.text("action") + ") has some of these agents in hand; wait for it or cancel it");
-                    return BUSY;
+                    return EXIT_BUSY;
                 case "INVALID":
                     throw new Malformed("the id " + id + " is another command's");
                 case "SAME":
@@ -258,38 +258,38 @@
                 default:
                     break;
             }
-            String words = "";
-            while (!noWait && isOpen(operation)) {
+            String response = "";
+            while (!noWait && isRunning(operation)) {
                 Thread.sleep(100);
-                words = ask("GET", "/v1/operations/" + operation.text("id"), "");
-                operation = heard(words);
-                progress.now(operation.text("action") + ": " + ended(operation) + " of " + names.size());
+                response = call("GET", "/v1/operations/" + operation.text("id"), "");
+                operation = parseResponse(response);
+                progress.show(operation.text("action") + ": " + finishedSteps(operation) + " of " + names.size());
             }
-            progress.end();
+            progress.clear();
             if (json) {
-                out.println(words.isEmpty() ? begun : words);
+                out.println(response.isEmpty() ? submitResponse : response);
             } else {
-                operation(out, operation);
+                printOperation(out, operation);
             }
-            return operation.text("state").equals("DONE") ? 0 : OTHERWISE;
+            return operation.text("state").equals("DONE") ? 0 : EXIT_NOT_DONE;
         }
 
-        private static long ended(Fields operation) throws Malformed {
-            long ended = 0;
+        private static long finishedSteps(Fields operation) throws Malformed {
+            long finished = 0;
             for (Fields step : operation.objects("steps")) {
-                ended += List.of("APPLIED", "NOT_APPLIED").contains(step.text("state")) ? 1 : 0;
+                finished += List.of("APPLIED", "NOT_APPLIED").contains(step.text("state")) ? 1 : 0;
             }
-            return ended;
+            return finished;
         }
 
-        private static boolean isOpen(Fields operation) throws Malformed {
+        private static boolean isRunning(Fields operation) throws Malformed {
             return List.of("RUNNING", "CANCELLING").contains(operation.text("state"));
         }
     }
 
     @CommandLine.Command(name = "drain", mixinStandardHelpOptions = true,
             description = "Agents take no more clients and close connections between RPCs.")
-    static final class Drain extends Commanding {
+    static final class Drain extends OperationCommand {
 
         @Override
         String action() {
@@ -298,7 +298,7 @@
     }
 
     @CommandLine.Command(name = "undrain", mixinStandardHelpOptions = true, description = "Agents take clients again.")
-    static final class Undrain extends Commanding {
+    static final class Undrain extends OperationCommand {
 
         @Override
         String action() {
@@ -308,7 +308,7 @@
 
     @CommandLine.Command(name = "update", mixinStandardHelpOptions = true,
             description = "Agents read their files again, as on SIGHUP.")
-    static final class Update extends Commanding {
+    static final class Update extends OperationCommand {
 
         @Override
         String action() {
@@ -317,74 +317,74 @@
     }
 
     /** One on an operation by its id. */
-    abstract static class OnOperation extends Asking {
+    abstract static class ExistingOperationCommand extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "ID")
         private String id;
 
-        abstract String then();
+        abstract String pathSuffix();
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            String words = ask(then().isEmpty() ? "GET" : "POST", "/v1/operations/" + id + then(), "");
-            Fields operation = heard(words);
+            String response = call(pathSuffix().isEmpty() ? "GET" : "POST", "/v1/operations/" + id + pathSuffix(), "");
+            Fields operation = parseResponse(response);
             if (json) {
-                out.println(words);
+                out.println(response);
             } else {
-                operation(out, operation);
+                printOperation(out, operation);
             }
-            return operation.text("state").equals("DONE") || !then().isEmpty() ? 0 : OTHERWISE;
+            return operation.text("state").equals("DONE") || !pathSuffix().isEmpty() ? 0 : EXIT_NOT_DONE;
         }
     }
 
     @CommandLine.Command(name = "report", mixinStandardHelpOptions = true,
             description = "What became of an operation at each agent.")
-    static final class Report extends OnOperation {
+    static final class Report extends ExistingOperationCommand {
 
         @Override
-        String then() {
+        String pathSuffix() {
             return "";
         }
     }
 
     @CommandLine.Command(name = "cancel", mixinStandardHelpOptions = true,
             description = "Call an operation off: what is not sent is not, what is on its way is fenced.")
-    static final class Cancel extends OnOperation {
+    static final class Cancel extends ExistingOperationCommand {
 
         @Override
-        String then() {
+        String pathSuffix() {
             return "/cancel";
         }
     }
 
     @CommandLine.Command(name = "resume", mixinStandardHelpOptions = true,
             description = "Let an operation go on that was paused by failures.")
-    static final class Resume extends OnOperation {
+    static final class Resume extends ExistingOperationCommand {
 
         @Override
-        String then() {
+        String pathSuffix() {
             return "/resume";
         }
     }
 
     @CommandLine.Command(name = "history", mixinStandardHelpOptions = true, description = "All operations kept.")
-    static final class History extends Asking {
+    static final class History extends ManagerCommand {
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            String words = ask("GET", "/v1/operations", "");
-            Fields all = heard(words);
+            String response = call("GET", "/v1/operations", "");
+            Fields history = parseResponse(response);
             if (json) {
-                out.println(words);
+                out.println(response);
                 return 0;
             }
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"NUMBER", "ACTION", "STATE", "INSTANCES", "ID"});
-            for (Fields one : all.objects("operations")) {
-                rows.add(new String[] {Long.toString(one.whole("number")), one.text("action"), one.text("state"),
-                    Integer.toString(one.objects("steps").size()), one.text("id")});
+            for (Fields operation : history.objects("operations")) {
+                rows.add(new String[] {Long.toString(operation.whole("number")), operation.text("action"), operation.text("state"),
+                    Integer.toString(operation.objects("steps").size()), operation.text("id")});
             }
-            table(out, rows);
+            printTable(out, rows);
             return 0;
         }
     }
--- a/src/main/java/honeygap/cli/HangUp.java
+++ b/src/main/java/honeygap/cli/HangUp.java
@@ -11,7 +11,7 @@
 final class HangUp {
 
     private static Runnable task;
-    private static boolean isOwed;
+    private static boolean isPending;
     private static boolean isIgnored;
     private static ReflectiveOperationException failure;
 
@@ -19,42 +19,42 @@
     }
 
     /** From now on a signal is kept until there is something to do for it. */
-    static synchronized void hear() {
+    static synchronized void installHandler() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object told = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+            Object handlerProxy = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
                     (proxy, method, arguments) -> {
-                        came();
+                        signalReceived();
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), told);
+            Object previousHandler = signal.getMethod("handle", signal, handler).invoke(null,
+                    signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
             // The runtime takes the handler and drops it where the signal was ignored at the start, as under nohup.
-            isIgnored = before == handler.getField("SIG_IGN").get(null);
+            isIgnored = previousHandler == handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             failure = e;
         }
     }
 
-    private static void came() {
-        Runnable now;
+    private static void signalReceived() {
+        Runnable currentTask;
         synchronized (HangUp.class) {
-            isOwed = task == null;
-            now = task;
+            isPending = task == null;
+            currentTask = task;
         }
-        if (now != null) {
-            now.run();
+        if (currentTask != null) {
+            currentTask.run();
         }
     }
 
     /** What is to be done for each signal, and now for one that has come; told in the log where none can come. */
-    static void then(Runnable task) {
-        boolean owed;
+    static void setTask(Runnable task) {
+        boolean wasPending;
         synchronized (HangUp.class) {
             HangUp.task = task;
-            owed = isOwed;
-            isOwed = false;
+            wasPending = isPending;
+            isPending = false;
         }
         if (isIgnored) {
             Logger.warn("SIGHUP is ignored by whoever started this process: new configurations go unheard");
@@ -62,7 +62,7 @@
         if (failure != null) {
             Logger.warn(failure, "SIGHUP can't be heard here");
         }
-        if (owed) {
+        if (wasPending) {
             task.run();
         }
     }
--- a/src/main/java/honeygap/cli/JsonLinesWriter.java
+++ b/src/main/java/honeygap/cli/JsonLinesWriter.java
@@ -19,7 +19,7 @@
  */
 public final class JsonLinesWriter implements Writer {
 
-    private final JsonFactory json = new JsonFactory();
+    private final JsonFactory jsonFactory = new JsonFactory();
     private final PrintStream out = System.out;
 
     /** The library hands over the properties of its own; none is known here. */
@@ -35,28 +35,28 @@
     @Override
     public void write(LogEntry entry) throws IOException {
         StringWriter line = new StringWriter();
-        try (JsonGenerator to = json.createGenerator(line)) {
-            to.writeStartObject();
-            to.writeStringField("time", entry.getTimestamp().toInstant().toString());
-            to.writeStringField("level", entry.getLevel().name());
-            String name = entry.getClassName();
-            to.writeStringField("class", name.substring(name.lastIndexOf('.') + 1));
-            boolean counts = entry.getContext() != null && entry.getContext().containsKey(Events.COUNTERS);
-            to.writeStringField("message", counts ? "counters" : entry.getMessage());
+        try (JsonGenerator generator = jsonFactory.createGenerator(line)) {
+            generator.writeStartObject();
+            generator.writeStringField("time", entry.getTimestamp().toInstant().toString());
+            generator.writeStringField("level", entry.getLevel().name());
+            String className = entry.getClassName();
+            generator.writeStringField("class", className.substring(className.lastIndexOf('.') + 1));
+            boolean hasCounters = entry.getContext() != null && entry.getContext().containsKey(Events.COUNTERS);
+            generator.writeStringField("message", hasCounters ? "counters" : entry.getMessage());
             if (entry.getContext() != null) {
-                for (Map.Entry<String, String> id : entry.getContext().entrySet()) {
-                    to.writeFieldName(id.getKey());
-                    if (id.getKey().equals(Events.COUNTERS)) {
-                        to.writeRawValue(id.getValue());
+                for (Map.Entry<String, String> contextEntry : entry.getContext().entrySet()) {
+                    generator.writeFieldName(contextEntry.getKey());
+                    if (contextEntry.getKey().equals(Events.COUNTERS)) {
+                        generator.writeRawValue(contextEntry.getValue());
                     } else {
-                        to.writeString(id.getValue());
+                        generator.writeString(contextEntry.getValue());
                     }
                 }
             }
             if (entry.getException() != null) {
-                to.writeStringField("thrown", entry.getException().toString());
+                generator.writeStringField("thrown", entry.getException().toString());
             }
-            to.writeEndObject();
+            generator.writeEndObject();
         }
         out.println(line);
     }
--- a/src/main/java/honeygap/cli/Manage.java
+++ b/src/main/java/honeygap/cli/Manage.java
@@ -27,12 +27,12 @@
     @Override
     public Integer call() throws InterruptedException {
         try {
-            FleetSheet sheet = FleetSheet.of(Template.read(fleet));
-            String token = sheet.tokenFile.isEmpty() ? "" : Files.readString(Path.of(sheet.tokenFile)).strip();
-            Manager manager = new Manager(sheet, token);
+            FleetSheet settings = FleetSheet.of(Template.read(fleet));
+            String token = settings.tokenFile.isEmpty() ? "" : Files.readString(Path.of(settings.tokenFile)).strip();
+            Manager manager = new Manager(settings, token);
             Runtime.getRuntime().addShutdownHook(new Thread(manager::close, "leaving"));
             manager.start();
-            Logger.info("manages {} agents, asked at {}", sheet.instances.size(), manager.address());
+            Logger.info("manages {} agents, asked at {}", settings.instances.size(), manager.address());
             new CountDownLatch(1).await();
             return 0;
         } catch (Malformed e) {
--- a/src/main/java/honeygap/cli/Progress.java
+++ b/src/main/java/honeygap/cli/Progress.java
@@ -5,35 +5,35 @@
 /** One line on a terminal that says how far a command is; nothing at all in a pipe. */
 final class Progress {
 
-    private static final long EVERY = 200_000_000;
+    private static final long UPDATE_INTERVAL_NS = 200_000_000;
 
-    private final boolean isShown = System.console() != null;
-    private long told = System.nanoTime();
-    private boolean hasTold;
+    private final boolean isTerminal = System.console() != null;
+    private long lastShownAt = System.nanoTime();
+    private boolean isLineShown;
     private int calls;
 
     /** The words are made only when they are shown. */
-    void tell(Supplier<String> words) {
-        if (!isShown || (++calls & 255) != 0 || System.nanoTime() - told < EVERY) {
+    void update(Supplier<String> text) {
+        if (!isTerminal || (++calls & 255) != 0 || System.nanoTime() - lastShownAt < UPDATE_INTERVAL_NS) {
             return;
         }
-        now(words.get());
+        show(text.get());
     }
 
-    void now(String words) {
-        if (isShown) {
-            told = System.nanoTime();
-            hasTold = true;
-            System.err.print("\r" + words + "\033[K");
+    void show(String text) {
+        if (isTerminal) {
+            lastShownAt = System.nanoTime();
+            isLineShown = true;
+            System.err.print("\r" + text + "\033[K");
             System.err.flush();
         }
     }
 
-    void end() {
-        if (hasTold) {
+    void clear() {
+        if (isLineShown) {
             System.err.print("\r\033[K");
             System.err.flush();
-            hasTold = false;
+            isLineShown = false;
         }
     }
 }
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -30,7 +30,7 @@
         description = "Start an agent on loopback, let it answer one RPC and end: the build archives its classes so.")
 final class Rehearse implements Callable<Integer> {
 
-    private static final int WAIT_MS = 5000;
+    private static final int READ_TIMEOUT_MS = 5000;
     /** What an agent runs; the rest of the jar is for other subcommands. */
     private static final List<String> PARTS = List.of("honeygap/Rules", "honeygap/Ctl", "honeygap/rules/",
             "honeygap/terms/", "honeygap/fleet/", "honeygap/net/", "honeygap/read/", "honeygap/cli/Serve",
@@ -41,13 +41,13 @@
 
     @Override
     public Integer call() throws IOException, Malformed, ReflectiveOperationException {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        InetSocketAddress store = new StoreServer(any).address();
+        InetSocketAddress anyLoopbackPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress applianceAddress = new StoreServer(anyLoopbackPort).address();
         Loop loop = new Loop();
-        Agent agent = new Agent(loop, List.of(new Queries(loop, told(store.getPort()))));
+        Agent agent = new Agent(loop, List.of(new Queries(loop, agentSettings(applianceAddress.getPort()))));
         agent.start();
-        try (Socket client = new Socket(any.getAddress(), agent.address(0).getPort())) {
-            client.setSoTimeout(WAIT_MS);
+        try (Socket client = new Socket(anyLoopbackPort.getAddress(), agent.address(0).getPort())) {
+            client.setSoTimeout(READ_TIMEOUT_MS);
             write(client, Words.startup());
             write(client, Words.query("SELECT content FROM kv WHERE name = 'k1' /* id=1,c=look,t=t,d=2000 */"));
             InputStream in = client.getInputStream();
@@ -56,7 +56,7 @@
                 type = in.read();
             }
         }
-        int loaded = load();
+        int loaded = loadAgentClasses();
         agent.end();
         spec.commandLine().getOut().println("rehearsed, " + loaded + " classes of the agent");
         return 0;
@@ -68,7 +68,7 @@
         client.getOutputStream().write(bytes);
     }
 
-    private static int load() throws IOException, ReflectiveOperationException {
+    private static int loadAgentClasses() throws IOException, ReflectiveOperationException {
         int loaded = 0;
         Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().getPath());
         if (!Files.isRegularFile(jar)) {
@@ -85,7 +85,7 @@
         return loaded;
     }
 
-    private static Fields told(int port) throws IOException, Malformed {
+    private static Fields agentSettings(int port) throws IOException, Malformed {
         String json = """
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256},
                  "rollouts": {"address": "127.0.0.1:1", "news": {"Revision": 2, "Wave": 0, "State": "Progressing",
--- a/src/main/java/honeygap/cli/Replay.java
+++ b/src/main/java/honeygap/cli/Replay.java
@@ -27,7 +27,7 @@
 final class Replay implements Callable<Integer> {
 
     /** RPCs are heard when they end, up to so long, in nanoseconds, after those that began later. */
-    private static final long LONGEST = 20_000_000_000L;
+    private static final long REORDER_WINDOW_NS = 20_000_000_000L;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -80,15 +80,15 @@
             int colon = to.lastIndexOf(':');
             InetSocketAddress target = new InetSocketAddress(to.substring(0, Math.max(0, colon)),
                     Integer.parseInt(to.substring(colon + 1)));
-            Predicate<Spoken> wanted = Filter.of(where);
-            Plan plan = new Plan(speed, effects, wanted, 10_000_000_000L);
+            Predicate<Spoken> filter = Filter.of(where);
+            Plan plan = new Plan(speed, effects, filter, 10_000_000_000L);
             Mask mask = mapKeys ? new Mask(ByteBuffer.allocate(8).putLong(seed).array()) : null;
             Tally tally = new Tally();
             Progress progress = new Progress();
-            new Replayer(target, plan, new Rewriting(seed, deadline, mask), tally, byValue).play(this::read, repeat,
-                    () -> progress.now("sent " + tally.sent() + ", ended " + tally.ended() + ", late " + tally.late()
+            new Replayer(target, plan, new Rewriting(seed, deadline, mask), tally, byValue).play(this::readByStartTime, repeat,
+                    () -> progress.show("sent " + tally.sent() + ", ended " + tally.ended() + ", late " + tally.late()
                             + ", differ " + tally.different()));
-            progress.end();
+            progress.clear();
             tally.print(spec.commandLine().getOut(), plan);
             return tally.different() == 0 && tally.sent() == tally.ended() ? 0 : 1;
         } catch (Spoilt | IllegalArgumentException e) {
@@ -100,25 +100,25 @@
     }
 
     /** RPCs in the order of their beginnings: a capture tells of each when it ends. */
-    private void read(Consumer<Spoken> each) throws Exception {
-        PriorityQueue<Spoken> sorted = new PriorityQueue<>(Comparator.comparingLong(spoken -> spoken.at));
-        long[] first = {Long.MIN_VALUE};
-        Consumer<Spoken> cut = spoken -> {
-            first[0] = first[0] == Long.MIN_VALUE ? spoken.at : first[0];
-            double seconds = (spoken.at - first[0]) / 1e9;
+    private void readByStartTime(Consumer<Spoken> consumer) throws Exception {
+        PriorityQueue<Spoken> sorted = new PriorityQueue<>(Comparator.comparingLong(rpc -> rpc.at));
+        long[] firstStart = {Long.MIN_VALUE};
+        Consumer<Spoken> timeRange = rpc -> {
+            firstStart[0] = firstStart[0] == Long.MIN_VALUE ? rpc.at : firstStart[0];
+            double seconds = (rpc.at - firstStart[0]) / 1e9;
             if (seconds >= from && seconds <= until) {
-                each.accept(spoken);
+                consumer.accept(rpc);
             }
         };
         try (Reading reading = new Reading(files)) {
             reading.conversations(sorted::add, packet -> {
-                while (!sorted.isEmpty() && sorted.peek().at < packet.at - LONGEST) {
-                    cut.accept(sorted.poll());
+                while (!sorted.isEmpty() && sorted.peek().at < packet.at - REORDER_WINDOW_NS) {
+                    timeRange.accept(sorted.poll());
                 }
             });
         }
         while (!sorted.isEmpty()) {
-            cut.accept(sorted.poll());
+            timeRange.accept(sorted.poll());
         }
     }
 }
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -24,7 +24,7 @@
                 + " servers are those named there from then on.")
 final class Serve extends Configured {
 
-    private static final int RING = 8 << 20;
+    private static final int RECORDER_BUFFER_BYTES = 8 << 20;
 
     @CommandLine.Option(names = "--record", paramLabel = "FOLDER",
             description = "Write all that is sent and received into captures there (off unless named).")
@@ -65,11 +65,11 @@
     private Loop loop;
 
     @Override
-    void made(Loop loop) throws IOException {
+    void loopCreated(Loop loop) throws IOException {
         this.loop = loop;
         if (record != null) {
             Mask mask = redact == null ? null : new Mask(Files.readAllBytes(redact));
-            recorder = new Recorder(record, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RING,
+            recorder = new Recorder(record, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RECORDER_BUFFER_BYTES,
                     mask);
             loop.tap(recorder);
         }
@@ -77,25 +77,25 @@
 
     @Override
     void run(Agent agent, PrintWriter out) throws IOException, Malformed, InterruptedException {
-        HangUp.then(() -> agent.reread(sources()));
+        HangUp.setTask(() -> agent.reread(sources()));
         if (recorder != null) {
             agent.count("recording", recorder);
         }
-        Door opened = null;
+        Door adminEndpoint = null;
         Sites sites = null;
         if (door != null) {
             String token = doorToken == null ? "" : Files.readString(doorToken).strip();
-            String name = told() != null && told().has("name") ? told().text("name") : sheet() != null ? sheet().name : "";
+            String name = agentSettings() != null && agentSettings().has("name") ? agentSettings().text("name") : flagSettings() != null ? flagSettings().name : "";
             // Another process is another generation, also on a machine whose clock stands still.
             long generation = new SecureRandom().nextLong() & Long.MAX_VALUE | 1;
             // Files are read beside the loop, which goes on serving.
-            opened = new Door(loop, agent, name, ledger, token, generation,
+            adminEndpoint = new Door(loop, agent, name, ledger, token, generation,
                     () -> new Thread(() -> agent.reread(sources()), "rereading").start());
-            agent.count("door", opened);
+            agent.count("door", adminEndpoint);
             if (sitesFile != null) {
                 // Later lives go before earlier ones by the clock; one that went back is found out by the others.
                 sites = new Sites(SitesSheet.of(Template.read(sitesFile), name), System.currentTimeMillis(), token);
-                opened.aside(sites);
+                adminEndpoint.aside(sites);
                 agent.count("sites", sites);
             }
         } else if (sitesFile != null) {
@@ -112,19 +112,19 @@
                 Thread.currentThread().interrupt();
             }
         }, "leaving"));
-        loop.startedAt(Start.BEGUN);
+        loop.startedAt(Start.STARTED_AT);
         agent.start();
-        if (opened != null) {
+        if (adminEndpoint != null) {
             int colon = door.lastIndexOf(':');
             try {
-                opened.listen(new InetSocketAddress(door.substring(0, Math.max(0, colon)),
+                adminEndpoint.listen(new InetSocketAddress(door.substring(0, Math.max(0, colon)),
                         Integer.parseInt(door.substring(colon + 1))));
             } catch (NumberFormatException e) {
                 throw new Malformed("not an address: " + door);
             }
-            Logger.info("the door is at {}", opened.address());
+            Logger.info("the door is at {}", adminEndpoint.address());
             if (sites != null) {
-                sites.start(opened.address());
+                sites.start(adminEndpoint.address());
                 agent.share(sites);
             }
         }
--- a/src/main/java/honeygap/cli/Standin.java
+++ b/src/main/java/honeygap/cli/Standin.java
@@ -50,7 +50,7 @@
         public Integer call() throws IOException, InterruptedException {
             try {
                 for (int i = 0; i < count; i++) {
-                    new FlagServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i), read());
+                    new FlagServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i), readFlags());
                 }
             } catch (Malformed e) {
                 spec.commandLine().getErr().println("standin: " + flags + ": " + e.getMessage());
@@ -62,7 +62,7 @@
             return 0;
         }
 
-        private Fields read() throws IOException, Malformed {
+        private Fields readFlags() throws IOException, Malformed {
             if (flags != null) {
                 return Template.read(flags);
             }
@@ -93,7 +93,7 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             for (int i = 0; i < count; i++) {
-                new StoreServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i)).delay(delay);
+                new StoreServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i)).setDelay(delay);
             }
             spec.commandLine().getOut().println("appliances on 127.0.0.1, ports " + port + " to " + (port + count - 1)
                     + "; end with Ctrl-C");
--- a/src/main/java/honeygap/cli/Start.java
+++ b/src/main/java/honeygap/cli/Start.java
@@ -10,21 +10,21 @@
 public final class Start {
 
     /** The program's first line, by the runtime's clock; the runtime's own start before it is not in it. */
-    static final long BEGUN = System.nanoTime();
+    static final long STARTED_AT = System.nanoTime();
 
     private Start() {
     }
 
     public static void main(String[] args) throws InterruptedException {
         if (args.length > 0 && args[0].equals(Configured.SERVE)) {
-            HangUp.hear();
+            HangUp.installHandler();
         }
-        System.exit(args.length == 1 && args[0].equals(Configured.SERVE) ? plain()
+        System.exit(args.length == 1 && args[0].equals(Configured.SERVE) ? serveFromEnvironment()
                 : Main.run(args, System.in, System.out, System.err));
     }
 
-    private static int plain() throws InterruptedException {
-        return new Serve().plain(System.getenv("PROXY_CONFIG"), new PrintWriter(System.out, true),
+    private static int serveFromEnvironment() throws InterruptedException {
+        return new Serve().withoutCommandLine(System.getenv("PROXY_CONFIG"), new PrintWriter(System.out, true),
                 new PrintWriter(System.err, true)).call();
     }
 }
--- a/src/main/java/honeygap/read/Deployment.java
+++ b/src/main/java/honeygap/read/Deployment.java
@@ -14,7 +14,7 @@
 public final class Deployment {
 
     /** The protocol counts a change as told after so long, whether it arrived or not; tenths of a millisecond. */
-    private static final long TOLD_WITHIN = 60_000;
+    private static final long MAX_PROPAGATION_DELAY = 60_000;
 
     private Deployment() {
     }
@@ -24,7 +24,7 @@
         for (Fields method : info.objects("Classes")) {
             methods.add(new Method(methods.size(), effect(method),
                     scope(method), method.tenths("WindowNs", 0),
-                    method.span("AimNs"), method.span("GiveUpNs"),
+                    method.positiveTenths("AimNs"), method.positiveTenths("GiveUpNs"),
                     method.number("Worth", 1), method.number("LateWorth", 0)));
         }
         return methods;
@@ -32,10 +32,10 @@
 
     /** Where lists are pushed, the simulator's wire brings them by itself. */
     public static Listing onWire(Fields info) throws Malformed {
-        return new Listing(isAsked(info), !isAsked(info), mustAskIn(info), 0);
+        return new Listing(isPolled(info), !isPolled(info), maxPollInterval(info), 0);
     }
 
-    private static boolean isAsked(Fields info) throws Malformed {
+    private static boolean isPolled(Fields info) throws Malformed {
         return switch (info.text("RegistryMode", "push")) {
             case "ask" -> true;
             case "push" -> false;
@@ -45,13 +45,13 @@
 
     /** On sockets a list comes by a watch alone, whether it is pushed or asked for: who opens none is told nothing. */
     public static Listing onSockets(Fields info) throws Malformed {
-        long within = mustAskIn(info) > 0 ? mustAskIn(info) : TOLD_WITHIN;
+        long maxDelay = maxPollInterval(info) > 0 ? maxPollInterval(info) : MAX_PROPAGATION_DELAY;
         // Without a rule on drains there is nothing that an old list could break.
         boolean hasDrainRule = info.part("Rules").has("StopSendingWithinNs");
-        return new Listing(true, !isAsked(info), within, hasDrainRule ? Math.min(within, TOLD_WITHIN) : 0);
+        return new Listing(true, !isPolled(info), maxDelay, hasDrainRule ? Math.min(maxDelay, MAX_PROPAGATION_DELAY) : 0);
     }
 
-    private static long mustAskIn(Fields info) throws Malformed {
+    private static long maxPollInterval(Fields info) throws Malformed {
         return info.part("Rules").tenths("MustAskInNs", 0);
     }
 
@@ -62,9 +62,9 @@
     }
 
     public static Cold cold(Fields info) throws Malformed {
-        Fields guards = info.part("Rules");
-        return new Cold(guards.number("ColdFrom", 1), guards.tenths("WarmAfterNs", 0),
-                guards.number("FallMultiple", 1), guards.tenths("TipAfterNs", 0));
+        Fields rules = info.part("Rules");
+        return new Cold(rules.number("ColdFrom", 1), rules.tenths("WarmAfterNs", 0),
+                rules.number("FallMultiple", 1), rules.tenths("TipAfterNs", 0));
     }
 
     public static Desk desk(Fields info) throws Malformed {
@@ -86,7 +86,7 @@
 
     public static Rules rules(long now, long seed, List<Method> methods, Fields info, Listing listing)
             throws Malformed {
-        return new Rules(now, seed, info.index("FleetSize", 1), info.span("TickNs"), methods, tries(info), listing,
+        return new Rules(now, seed, info.index("FleetSize", 1), info.positiveTenths("TickNs"), methods, tries(info), listing,
                 cold(info), desk(info), exposure(info));
     }
 
--- a/src/main/java/honeygap/read/Fields.java
+++ b/src/main/java/honeygap/read/Fields.java
@@ -18,60 +18,60 @@
 
     private final Map<String, Object> values = new LinkedHashMap<>();
     /** Where it stands: null at the top; a field of what it is in, and the place in its list, or less than none. */
-    private final Fields within;
+    private final Fields parent;
     private final String name;
-    private final int at;
+    private final int arrayIndex;
 
     /** An object without fields, on its own. */
     public Fields() {
         this(null, "", -1);
     }
 
-    private Fields(Fields within, String name, int at) {
-        this.within = within;
+    private Fields(Fields parent, String name, int arrayIndex) {
+        this.parent = parent;
         this.name = name;
-        this.at = at;
+        this.arrayIndex = arrayIndex;
     }
 
     /** Reads the object that the parser has just entered. */
-    public static Fields read(JsonParser in) throws IOException {
-        return read(in, new Fields(null, "", -1));
+    public static Fields read(JsonParser parser) throws IOException {
+        return read(parser, new Fields(null, "", -1));
     }
 
-    private static Fields read(JsonParser in, Fields fields) throws IOException {
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
-            in.nextToken();
-            fields.values.put(name, value(in, fields, name, -1));
+    private static Fields read(JsonParser parser, Fields object) throws IOException {
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            object.values.put(name, value(parser, object, name, -1));
         }
-        return fields;
+        return object;
     }
 
     /** Reads the object that the parser is to begin with. */
-    public static Fields document(JsonParser in) throws IOException, Malformed {
-        if (in.nextToken() != JsonToken.START_OBJECT) {
+    public static Fields document(JsonParser parser) throws IOException, Malformed {
+        if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new Malformed("not an object");
         }
-        return read(in);
+        return read(parser);
     }
 
-    private static Object value(JsonParser in, Fields within, String name, int at) throws IOException {
-        switch (in.currentToken()) {
+    private static Object value(JsonParser parser, Fields parent, String name, int arrayIndex) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT:
-                return read(in, new Fields(within, name, at));
+                return read(parser, new Fields(parent, name, arrayIndex));
             case START_ARRAY:
                 List<Object> list = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(in, within, name, list.size()));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    list.add(value(parser, parent, name, list.size()));
                 }
                 return list;
             case VALUE_STRING:
-                return in.getText();
+                return parser.getText();
             case VALUE_NUMBER_INT:
-                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? in.getBigIntegerValue().longValue() : in.getLongValue();
+                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? parser.getBigIntegerValue().longValue() : parser.getLongValue();
             case VALUE_NUMBER_FLOAT:
-                return in.getDoubleValue();
+                return parser.getDoubleValue();
             case VALUE_TRUE:
                 return true;
             case VALUE_FALSE:
@@ -105,7 +105,7 @@
 
     /** A small whole number. */
     public int index(String name) throws Malformed {
-        return small(name, whole(name));
+        return toInt(name, whole(name));
     }
 
     public int index(String name, int ifAbsent) throws Malformed {
@@ -131,7 +131,7 @@
 
     /** A whole number that may be written with a fraction of zero. */
     public int rounded(String name) throws Malformed {
-        return small(name, Math.round(number(name)));
+        return toInt(name, Math.round(number(name)));
     }
 
     public boolean flag(String name) throws Malformed {
@@ -160,16 +160,16 @@
     }
 
     /** What is wrong with a field, with its place from the top on. */
-    public Malformed fault(String name, String words) {
-        return new Malformed("field " + path() + name + " " + words);
+    public Malformed fault(String name, String problem) {
+        return new Malformed("field " + path() + name + " " + problem);
     }
 
     private String path() {
-        return within == null ? "" : within.path() + name + (at < 0 ? "" : "[" + at + "]") + ".";
+        return parent == null ? "" : parent.path() + name + (arrayIndex < 0 ? "" : "[" + arrayIndex + "]") + ".";
     }
 
     /** A duration that has to be longer than none, in tenths of a millisecond. */
-    public long span(String name) throws Malformed {
+    public long positiveTenths(String name) throws Malformed {
         long tenths = tenths(name);
         if (tenths <= 0) {
             throw fault(name, "is no time at all: " + whole(name));
@@ -202,31 +202,31 @@
 
     /** An address in figures and a port: names are not looked up. */
     public InetSocketAddress address(String name) throws Malformed {
-        String words = text(name);
-        int colon = words.lastIndexOf(':');
-        if (colon > 0 && words.substring(0, colon).matches("[0-9.]+|\\[?[0-9a-fA-F:]+]?")) {
+        String text = text(name);
+        int colon = text.lastIndexOf(':');
+        if (colon > 0 && text.substring(0, colon).matches("[0-9.]+|\\[?[0-9a-fA-F:]+]?")) {
             try {
-                return new InetSocketAddress(words.substring(0, colon),
-                        Integer.parseInt(words.substring(colon + 1)));
+                return new InetSocketAddress(text.substring(0, colon),
+                        Integer.parseInt(text.substring(colon + 1)));
             } catch (IllegalArgumentException e) {
-                throw fault(name, "is not an address: " + words);
+                throw fault(name, "is not an address: " + text);
             }
         }
-        throw fault(name, "is not an address: " + words);
+        throw fault(name, "is not an address: " + text);
     }
 
-    private <T> T get(String name, Class<T> type, String wanted) throws Malformed {
+    private <T> T get(String name, Class<T> type, String expected) throws Malformed {
         Object value = values.get(name);
         if (value == null) {
             throw fault(name, "is missing");
         }
         if (!type.isInstance(value)) {
-            throw fault(name, "is not " + wanted);
+            throw fault(name, "is not " + expected);
         }
         return type.cast(value);
     }
 
-    private int small(String name, long value) throws Malformed {
+    private int toInt(String name, long value) throws Malformed {
         if (value < 0 || value > Integer.MAX_VALUE) {
             throw fault(name, "is out of range: " + value);
         }
--- a/src/main/java/honeygap/read/Malformed.java
+++ b/src/main/java/honeygap/read/Malformed.java
@@ -5,7 +5,7 @@
 
     private static final long serialVersionUID = 1L;
 
-    public Malformed(String fault) {
-        super(fault);
+    public Malformed(String message) {
+        super(message);
     }
 }
--- a/src/main/java/honeygap/read/Sheet.java
+++ b/src/main/java/honeygap/read/Sheet.java
@@ -16,118 +16,118 @@
 public final class Sheet {
 
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(\\.[0-9])?(ms|s|m|h)");
-    private static final InetSocketAddress NOWHERE = new InetSocketAddress(0);
+    private static final InetSocketAddress PLACEHOLDER_ADDRESS = new InetSocketAddress(0);
 
     private final Fields fields;
     private final String path;
-    private final List<String> faults;
-    private final Set<String> read = new LinkedHashSet<>();
+    private final List<String> errors;
+    private final Set<String> knownNames = new LinkedHashSet<>();
 
     /** The whole of a form. */
     public Sheet(Fields fields) {
         this(fields, "", new ArrayList<>());
     }
 
-    private Sheet(Fields fields, String path, List<String> faults) {
+    private Sheet(Fields fields, String path, List<String> errors) {
         this.fields = fields;
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     /** All that was found wrong in the whole form so far, a line each. */
     public List<String> noted() {
-        return faults;
+        return errors;
     }
 
     /** Ends the reading of this part: notes fields that nobody has asked for. */
     public void end() {
         for (String name : fields.names()) {
-            if (!read.contains(name)) {
-                faults.add(path + name + ": nothing goes by this name; known here: " + String.join(", ", read));
+            if (!knownNames.contains(name)) {
+                errors.add(path + name + ": nothing goes by this name; known here: " + String.join(", ", knownNames));
             }
         }
     }
 
     /** Notes that a field holds what it must not. */
-    public void fault(String name, String wanted) {
-        Object there = fields.value(name);
-        faults.add(path + name + ": " + wanted + " expected, " + (there == null ? "nothing"
-                : there instanceof Fields ? "an object" : there instanceof List ? "a list"
-                : there instanceof String ? '"' + there.toString() + '"' : there.toString()) + " found");
+    public void fault(String name, String expected) {
+        Object found = fields.value(name);
+        errors.add(path + name + ": " + expected + " expected, " + (found == null ? "nothing"
+                : found instanceof Fields ? "an object" : found instanceof List ? "a list"
+                : found instanceof String ? '"' + found.toString() + '"' : found.toString()) + " found");
     }
 
     public boolean has(String name) {
-        read.add(name);
+        knownNames.add(name);
         return fields.has(name);
     }
 
     public String text(String name, String ifAbsent) {
-        return has(name) ? or(name, () -> fields.text(name), "", "text") : absent(name, ifAbsent, "text");
+        return has(name) ? readOrReport(name, () -> fields.text(name), "", "text") : defaultOrReport(name, ifAbsent, "text");
     }
 
-    public boolean flag(String name, boolean ifAbsent) {
-        return has(name) ? or(name, () -> fields.flag(name), ifAbsent, "true or false") : ifAbsent;
+    public boolean bool(String name, boolean ifAbsent) {
+        return has(name) ? readOrReport(name, () -> fields.flag(name), ifAbsent, "true or false") : ifAbsent;
     }
 
     /** One of some words; the first where the field is absent. */
-    public String word(String name, String... words) {
-        String word = text(name, words[0]);
-        if (!List.of(words).contains(word)) {
-            fault(name, "one of " + String.join(", ", words));
-            return words[0];
+    public String choice(String name, String... choices) {
+        String value = text(name, choices[0]);
+        if (!List.of(choices).contains(value)) {
+            fault(name, "one of " + String.join(", ", choices));
+            return choices[0];
         }
-        return word;
+        return value;
     }
 
-    public long whole(String name, long ifAbsent, long least, long most) {
+    public long whole(String name, long ifAbsent, long min, long max) {
         if (!has(name)) {
             return ifAbsent;
         }
-        String wanted = "a whole number from " + least + " to " + most;
-        Object there = fields.value(name);
+        String expected = "a whole number from " + min + " to " + max;
+        Object value = fields.value(name);
         // Templates write whole numbers with a fraction of zero at times.
-        if (there instanceof Number number && number.doubleValue() == Math.rint(number.doubleValue())
-                && number.doubleValue() >= least && number.doubleValue() <= most) {
+        if (value instanceof Number number && number.doubleValue() == Math.rint(number.doubleValue())
+                && number.doubleValue() >= min && number.doubleValue() <= max) {
             return number.longValue();
         }
-        fault(name, wanted);
-        return least;
+        fault(name, expected);
+        return min;
     }
 
-    public double number(String name, double ifAbsent, double least, double most) {
+    public double number(String name, double ifAbsent, double min, double max) {
         if (!has(name)) {
             return ifAbsent;
         }
-        if (fields.value(name) instanceof Number number && number.doubleValue() >= least
-                && number.doubleValue() <= most) {
+        if (fields.value(name) instanceof Number number && number.doubleValue() >= min
+                && number.doubleValue() <= max) {
             return number.doubleValue();
         }
-        fault(name, "a number from " + least + " to " + most);
-        return least;
+        fault(name, "a number from " + min + " to " + max);
+        return min;
     }
 
-    public double[] numbers(String name, double[] ifAbsent, double least, double most) {
+    public double[] numbers(String name, double[] ifAbsent, double min, double max) {
         if (!has(name)) {
             return ifAbsent;
         }
         try {
             double[] numbers = fields.numbers(name);
             for (double number : numbers) {
-                if (!(number >= least && number <= most)) {
+                if (!(number >= min && number <= max)) {
                     throw new Malformed("out of range");
                 }
             }
             return numbers;
         } catch (Malformed e) {
-            fault(name, "a list of numbers from " + least + " to " + most);
+            fault(name, "a list of numbers from " + min + " to " + max);
             return ifAbsent;
         }
     }
 
     /** A time such as 250ms, 1.5s, 2m or 1h, in tenths of a millisecond. */
     public long duration(String name, String ifAbsent) {
-        String words = has(name) ? fields.value(name).toString() : ifAbsent;
-        Matcher matcher = DURATION.matcher(words);
+        String text = has(name) ? fields.value(name).toString() : ifAbsent;
+        Matcher matcher = DURATION.matcher(text);
         if (!matcher.matches() || has(name) && !(fields.value(name) instanceof String)) {
             fault(name, "a time with its unit, such as \"250ms\", \"1.5s\", \"2m\" or \"1h\",");
             return 1;
@@ -144,58 +144,58 @@
 
     /** An address in figures and a port. */
     public InetSocketAddress address(String name) {
-        return has(name) ? or(name, () -> fields.address(name), NOWHERE, "an address such as \"127.0.0.1:8016\"")
-                : absent(name, null, "an address such as \"127.0.0.1:8016\"");
+        return has(name) ? readOrReport(name, () -> fields.address(name), PLACEHOLDER_ADDRESS, "an address such as \"127.0.0.1:8016\"")
+                : defaultOrReport(name, null, "an address such as \"127.0.0.1:8016\"");
     }
 
     /** An object, empty where it is absent; goes on with the faults of this one. */
     public Sheet part(String name) {
-        Fields part = has(name) ? or(name, () -> fields.object(name), null, "an object") : null;
-        return new Sheet(part == null ? new Fields() : part, path + name + ".", faults);
+        Fields object = has(name) ? readOrReport(name, () -> fields.object(name), null, "an object") : null;
+        return new Sheet(object == null ? new Fields() : object, path + name + ".", errors);
     }
 
     public List<Sheet> parts(String name) {
-        List<Sheet> parts = new ArrayList<>();
+        List<Sheet> sections = new ArrayList<>();
         if (has(name)) {
-            List<Fields> all = or(name, () -> fields.objects(name), List.of(), "a list of objects");
-            for (int i = 0; i < all.size(); i++) {
-                parts.add(new Sheet(all.get(i), path + name + "[" + i + "].", faults));
+            List<Fields> objects = readOrReport(name, () -> fields.objects(name), List.of(), "a list of objects");
+            for (int i = 0; i < objects.size(); i++) {
+                sections.add(new Sheet(objects.get(i), path + name + "[" + i + "].", errors));
             }
         }
-        return parts;
+        return sections;
     }
 
     /** All fields of a part whose names are the operator's own, each as text. */
-    public void each(java.util.function.BiConsumer<String, String> fields) {
+    public void each(java.util.function.BiConsumer<String, String> action) {
         for (String name : this.fields.names()) {
-            read.add(name);
-            Object there = this.fields.value(name);
-            if (there instanceof String || there instanceof Number || there instanceof Boolean) {
-                boolean isWhole = there instanceof Double number && number == Math.rint(number);
-                fields.accept(name, isWhole ? Long.toString(((Double) there).longValue()) : there.toString());
+            knownNames.add(name);
+            Object value = this.fields.value(name);
+            if (value instanceof String || value instanceof Number || value instanceof Boolean) {
+                boolean isWhole = value instanceof Double number && number == Math.rint(number);
+                action.accept(name, isWhole ? Long.toString(((Double) value).longValue()) : value.toString());
             } else {
                 fault(name, "text or a number");
             }
         }
     }
 
-    private interface Reading<T> {
+    private interface ValueReader<T> {
 
         T read() throws Malformed;
     }
 
-    private <T> T or(String name, Reading<T> reading, T otherwise, String wanted) {
+    private <T> T readOrReport(String name, ValueReader<T> reader, T fallback, String expected) {
         try {
-            return reading.read();
+            return reader.read();
         } catch (Malformed e) {
-            fault(name, wanted);
-            return otherwise;
+            fault(name, expected);
+            return fallback;
         }
     }
 
-    private <T> T absent(String name, T ifAbsent, String wanted) {
+    private <T> T defaultOrReport(String name, T ifAbsent, String expected) {
         if (ifAbsent == null) {
-            fault(name, wanted);
+            fault(name, expected);
         }
         return ifAbsent;
     }
--- a/src/main/java/honeygap/read/Signs.java
+++ b/src/main/java/honeygap/read/Signs.java
@@ -7,20 +7,20 @@
     }
 
     /** Whether an order, below, at or above 0, is what the sign asks for. */
-    public static boolean holds(String sign, int order) {
-        switch (sign) {
+    public static boolean holds(String operator, int comparison) {
+        switch (operator) {
             case "=", "==":
-                return order == 0;
+                return comparison == 0;
             case "!=":
-                return order != 0;
+                return comparison != 0;
             case "<":
-                return order < 0;
+                return comparison < 0;
             case "<=":
-                return order <= 0;
+                return comparison <= 0;
             case ">":
-                return order > 0;
+                return comparison > 0;
             default:
-                return order >= 0;
+                return comparison >= 0;
         }
     }
 }
--- a/src/main/java/honeygap/read/Template.java
+++ b/src/main/java/honeygap/read/Template.java
@@ -31,13 +31,13 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         Path folder = file.toAbsolutePath().normalize().getParent();
-        int code = SjsonnetMain.main0(new String[] {file.toAbsolutePath().normalize().toString()},
+        int exitCode = SjsonnetMain.main0(new String[] {file.toAbsolutePath().normalize().toString()},
                 new DefaultParseCache(), new ByteArrayInputStream(new byte[0]),
                 new PrintStream(out, true, StandardCharsets.UTF_8),
                 new PrintStream(err, true, StandardCharsets.UTF_8),
                 os.Path$.MODULE$.apply(folder, os.PathConvertible.NioPathConvertible$.MODULE$),
                 Option.empty(), Option.empty(), null);
-        if (code != 0) {
+        if (exitCode != 0) {
             throw new Malformed(err.toString(StandardCharsets.UTF_8).lines().map(String::strip)
                     .filter(line -> !line.isEmpty()).limit(2).reduce((a, b) -> a + " " + b).orElse("not Jsonnet"));
         }
--- a/src/main/java/honeygap/standin/FlagServer.java
+++ b/src/main/java/honeygap/standin/FlagServer.java
@@ -22,7 +22,7 @@
  */
 public final class FlagServer implements AutoCloseable {
 
-    private static final String ALL = "/ofrep/v1/evaluate/flags";
+    private static final String EVALUATE_PATH = "/ofrep/v1/evaluate/flags";
 
     static {
         // Head and body go out in two writes: without it the second one waits for a late acknowledgement.
@@ -31,10 +31,10 @@
 
     private final HttpServer server;
     private final ExecutorService threads;
-    private final JsonFactory json = new JsonFactory();
+    private final JsonFactory jsonFactory = new JsonFactory();
     private final AtomicLong served = new AtomicLong();
     private final AtomicLong tracked = new AtomicLong();
-    private volatile FlagSet set;
+    private volatile FlagSet flagSet;
     private volatile boolean draining;
     private volatile int failStatus;
     private volatile double failShare;
@@ -42,7 +42,7 @@
 
     /** Port 0 takes any that is free. */
     public FlagServer(InetSocketAddress address, Fields flags) throws IOException, Malformed {
-        set = new FlagSet(flags);
+        flagSet = new FlagSet(flags);
         server = HttpServer.create(address, 1024);
         threads = Executors.newFixedThreadPool(8, task -> {
             Thread thread = new Thread(task, "stand-in");
@@ -50,9 +50,9 @@
             return thread;
         });
         server.setExecutor(threads);
-        server.createContext(ALL, this::evaluate);
+        server.createContext(EVALUATE_PATH, this::evaluate);
         server.createContext("/ofrep/v1/track", this::track);
-        server.createContext("/standin/", this::told);
+        server.createContext("/standin/", this::control);
         server.start();
     }
 
@@ -70,10 +70,10 @@
     }
 
     public void take(Fields flags) throws Malformed {
-        set = new FlagSet(flags);
+        flagSet = new FlagSet(flags);
     }
 
-    public void drain(boolean isDraining) {
+    public void setDraining(boolean isDraining) {
         draining = isDraining;
     }
 
@@ -83,18 +83,18 @@
         failShare = share;
     }
 
-    public void delay(long ms) {
+    public void setDelay(long ms) {
         delayMs = ms;
     }
 
-    private interface Body {
+    private interface BodyWriter {
 
         void write(JsonGenerator out) throws IOException, Malformed;
     }
 
-    private void answer(HttpExchange exchange, int status, Body body) throws IOException {
+    private void respond(HttpExchange exchange, int status, BodyWriter body) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = json.createGenerator(bytes)) {
+        try (JsonGenerator out = jsonFactory.createGenerator(bytes)) {
             out.writeStartObject();
             body.write(out);
             out.writeEndObject();
@@ -113,7 +113,7 @@
         exchange.close();
     }
 
-    private static void error(JsonGenerator out, String key, String code, String details) throws IOException {
+    private static void writeError(JsonGenerator out, String key, String code, String details) throws IOException {
         if (key != null) {
             out.writeStringField("key", key);
         }
@@ -122,15 +122,15 @@
     }
 
     /** The context of a request; null where the body is none of the protocol's. */
-    private Fields context(HttpExchange exchange) throws IOException {
-        try (JsonParser in = json.createParser(exchange.getRequestBody().readAllBytes())) {
-            return Fields.document(in).part("context");
+    private Fields readContext(HttpExchange exchange) throws IOException {
+        try (JsonParser parser = jsonFactory.createParser(exchange.getRequestBody().readAllBytes())) {
+            return Fields.document(parser).part("context");
         } catch (Malformed | com.fasterxml.jackson.core.JacksonException e) {
             return null;
         }
     }
 
-    private boolean fails(HttpExchange exchange) throws IOException {
+    private boolean delayAndMaybeFail(HttpExchange exchange) throws IOException {
         try {
             Thread.sleep(delayMs);
         } catch (InterruptedException e) {
@@ -138,78 +138,78 @@
         }
         if (draining || failStatus > 0 && ThreadLocalRandom.current().nextDouble() < failShare) {
             int status = draining ? 503 : failStatus;
-            answer(exchange, status, out -> error(out, null, "GENERAL", draining ? "draining" : "told to fail"));
+            respond(exchange, status, out -> writeError(out, null, "GENERAL", draining ? "draining" : "told to fail"));
             return true;
         }
         return false;
     }
 
     private void evaluate(HttpExchange exchange) throws IOException {
-        Fields context = context(exchange);
-        if (fails(exchange)) {
+        Fields context = readContext(exchange);
+        if (delayAndMaybeFail(exchange)) {
             return;
         }
-        FlagSet now = set;
+        FlagSet current = flagSet;
         String path = exchange.getRequestURI().getPath();
         if (context == null) {
-            answer(exchange, 400, out -> error(out, null, "PARSE_ERROR", "not an object"));
-        } else if (path.equals(ALL)) {
+            respond(exchange, 400, out -> writeError(out, null, "PARSE_ERROR", "not an object"));
+        } else if (path.equals(EVALUATE_PATH)) {
             served.incrementAndGet();
-            answer(exchange, 200, out -> {
+            respond(exchange, 200, out -> {
                 out.writeArrayFieldStart("flags");
-                for (String name : now.names()) {
+                for (String name : current.names()) {
                     out.writeStartObject();
-                    now.write(out, name, now.evaluate(name, context));
+                    current.write(out, name, current.evaluate(name, context));
                     out.writeEndObject();
                 }
                 out.writeEndArray();
                 out.writeObjectFieldStart("metadata");
-                out.writeStringField("version", String.valueOf(now.version));
+                out.writeStringField("version", String.valueOf(current.version));
                 out.writeEndObject();
             });
         } else {
-            one(exchange, now, path.substring(ALL.length() + 1), context);
+            evaluateOne(exchange, current, path.substring(EVALUATE_PATH.length() + 1), context);
         }
     }
 
-    private void one(HttpExchange exchange, FlagSet now, String name, Fields context) throws IOException {
+    private void evaluateOne(HttpExchange exchange, FlagSet current, String name, Fields context) throws IOException {
         try {
-            FlagSet.Result result = now.evaluate(name, context);
+            FlagSet.Result result = current.evaluate(name, context);
             if (result == null) {
-                answer(exchange, 404, out -> error(out, name, "FLAG_NOT_FOUND", "no flag " + name));
+                respond(exchange, 404, out -> writeError(out, name, "FLAG_NOT_FOUND", "no flag " + name));
             } else {
                 served.incrementAndGet();
-                answer(exchange, 200, out -> now.write(out, name, result));
+                respond(exchange, 200, out -> current.write(out, name, result));
             }
         } catch (Malformed e) {
-            answer(exchange, 400, out -> error(out, name, "INVALID_CONTEXT", e.getMessage()));
+            respond(exchange, 400, out -> writeError(out, name, "INVALID_CONTEXT", e.getMessage()));
         }
     }
 
     private void track(HttpExchange exchange) throws IOException {
         exchange.getRequestBody().readAllBytes();
-        if (!fails(exchange)) {
+        if (!delayAndMaybeFail(exchange)) {
             tracked.incrementAndGet();
-            answer(exchange, 200, out -> { });
+            respond(exchange, 200, out -> { });
         }
     }
 
     /** POST /standin/drain, /undrain, /flags (a set), /fail (status, share) and /delay (ms). */
-    private void told(HttpExchange exchange) throws IOException {
+    private void control(HttpExchange exchange) throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
-        try (JsonParser in = json.createParser(body.length == 0 ? "{}".getBytes(StandardCharsets.UTF_8) : body)) {
-            Fields told = Fields.document(in);
+        try (JsonParser parser = jsonFactory.createParser(body.length == 0 ? "{}".getBytes(StandardCharsets.UTF_8) : body)) {
+            Fields parameters = Fields.document(parser);
             switch (exchange.getRequestURI().getPath()) {
-                case "/standin/drain" -> drain(true);
-                case "/standin/undrain" -> drain(false);
-                case "/standin/flags" -> take(told);
-                case "/standin/fail" -> fail(told.index("status", 0), told.number("share", 1));
-                case "/standin/delay" -> delay(told.index("ms", 0));
+                case "/standin/drain" -> setDraining(true);
+                case "/standin/undrain" -> setDraining(false);
+                case "/standin/flags" -> take(parameters);
+                case "/standin/fail" -> fail(parameters.index("status", 0), parameters.number("share", 1));
+                case "/standin/delay" -> setDelay(parameters.index("ms", 0));
                 default -> throw new Malformed("nothing is here");
             }
-            answer(exchange, 200, out -> out.writeStringField("version", String.valueOf(set.version)));
+            respond(exchange, 200, out -> out.writeStringField("version", String.valueOf(flagSet.version)));
         } catch (Malformed e) {
-            answer(exchange, 400, out -> out.writeStringField("errorDetails", e.getMessage()));
+            respond(exchange, 400, out -> out.writeStringField("errorDetails", e.getMessage()));
         }
     }
 
--- a/src/main/java/honeygap/standin/FlagSet.java
+++ b/src/main/java/honeygap/standin/FlagSet.java
@@ -21,31 +21,31 @@
     record Result(String variant, Object value, String reason) { }
 
     /** A variant for contexts that hold all of these fields. */
-    private record Rule(Fields when, String variant) { }
+    private record Rule(Fields conditions, String variant) { }
 
     private static final class Flag {
         Fields variants;
-        String otherwise;
+        String defaultVariant;
         final List<Rule> rules = new ArrayList<>();
-        Fields split;
-        boolean isOff;
+        Fields percentages;
+        boolean isDisabled;
     }
 
     final long version;
     private final Map<String, Flag> flags = new LinkedHashMap<>();
 
-    FlagSet(Fields told) throws Malformed {
-        version = told.whole("version");
-        Fields all = told.object("flags");
-        for (String name : all.names()) {
-            Fields one = all.object(name);
+    FlagSet(Fields definition) throws Malformed {
+        version = definition.whole("version");
+        Fields flagDefinitions = definition.object("flags");
+        for (String name : flagDefinitions.names()) {
+            Fields flagDefinition = flagDefinitions.object(name);
             Flag flag = new Flag();
-            flag.variants = one.object("variants");
-            flag.otherwise = one.text("default");
-            flag.isOff = one.flag("off", false);
-            flag.split = one.part("split");
-            if (one.has("rules")) {
-                for (Fields rule : one.objects("rules")) {
+            flag.variants = flagDefinition.object("variants");
+            flag.defaultVariant = flagDefinition.text("default");
+            flag.isDisabled = flagDefinition.flag("off", false);
+            flag.percentages = flagDefinition.part("split");
+            if (flagDefinition.has("rules")) {
+                for (Fields rule : flagDefinition.objects("rules")) {
                     flag.rules.add(new Rule(rule.object("when"), rule.text("variant")));
                 }
             }
@@ -63,26 +63,26 @@
         if (flag == null) {
             return null;
         }
-        if (flag.isOff) {
-            return result(flag, flag.otherwise, "DISABLED");
+        if (flag.isDisabled) {
+            return result(flag, flag.defaultVariant, "DISABLED");
         }
         for (Rule rule : flag.rules) {
-            if (rule.when.names().stream().allMatch(field -> rule.when.value(field).equals(context.value(field)))) {
+            if (rule.conditions.names().stream().allMatch(field -> rule.conditions.value(field).equals(context.value(field)))) {
                 return result(flag, rule.variant, "TARGETING_MATCH");
             }
         }
-        if (!flag.split.names().isEmpty()) {
+        if (!flag.percentages.names().isEmpty()) {
             String key = context.text("targetingKey", "");
             byte[] bytes = (name + '\0' + key).getBytes(StandardCharsets.UTF_8);
-            double at = 100.0 * (MurmurHash3.hash32x86(bytes) >>> 1) / (1L << 31);
-            for (String variant : flag.split.names()) {
-                at -= flag.split.number(variant);
-                if (at < 0) {
+            double remainingPercent = 100.0 * (MurmurHash3.hash32x86(bytes) >>> 1) / (1L << 31);
+            for (String variant : flag.percentages.names()) {
+                remainingPercent -= flag.percentages.number(variant);
+                if (remainingPercent < 0) {
                     return result(flag, variant, "SPLIT");
                 }
             }
         }
-        return result(flag, flag.otherwise, flag.rules.isEmpty() && flag.split.names().isEmpty() ? "STATIC"
+        return result(flag, flag.defaultVariant, flag.rules.isEmpty() && flag.percentages.names().isEmpty() ? "STATIC"
                 : "DEFAULT");
     }
 
@@ -96,25 +96,25 @@
         out.writeStringField("reason", result.reason);
         out.writeStringField("variant", result.variant);
         out.writeFieldName("value");
-        value(out, result.value);
+        writeValue(out, result.value);
         out.writeObjectFieldStart("metadata");
         out.writeStringField("flagSetId", "standin");
         out.writeStringField("version", String.valueOf(version));
         out.writeEndObject();
     }
 
-    private static void value(JsonGenerator out, Object value) throws IOException {
+    private static void writeValue(JsonGenerator out, Object value) throws IOException {
         if (value instanceof Fields fields) {
             out.writeStartObject();
             for (String name : fields.names()) {
                 out.writeFieldName(name);
-                value(out, fields.value(name));
+                writeValue(out, fields.value(name));
             }
             out.writeEndObject();
         } else if (value instanceof List<?> list) {
             out.writeStartArray();
-            for (Object one : list) {
-                value(out, one);
+            for (Object element : list) {
+                writeValue(out, element);
             }
             out.writeEndArray();
         } else {
--- a/src/main/java/honeygap/standin/StoreServer.java
+++ b/src/main/java/honeygap/standin/StoreServer.java
@@ -24,11 +24,11 @@
     public StoreServer(InetSocketAddress address) throws IOException {
         server = new ServerSocket();
         server.bind(address, 1024);
-        thread(() -> {
+        startThread(() -> {
             while (true) {
-                Socket one = server.accept();
-                one.setTcpNoDelay(true);
-                thread(() -> serve(one));
+                Socket socket = server.accept();
+                socket.setTcpNoDelay(true);
+                startThread(() -> serve(socket));
             }
         });
     }
@@ -37,7 +37,7 @@
         void run() throws IOException, Malformed;
     }
 
-    private static void thread(Task task) {
+    private static void startThread(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -57,37 +57,37 @@
         return served.get();
     }
 
-    public void delay(long ms) {
+    public void setDelay(long ms) {
         delayMs = ms;
     }
 
-    private void serve(Socket one) throws IOException, Malformed {
-        try (one) {
-            InputStream in = one.getInputStream();
+    private void serve(Socket socket) throws IOException, Malformed {
+        try (socket) {
+            InputStream in = socket.getInputStream();
             Frames frames = new Frames(1 << 18);
             Statement statement = new Statement();
             byte[] buffer = new byte[1 << 14];
             boolean isStarted = false;
-            for (int many = in.read(buffer); many > 0; many = in.read(buffer)) {
-                frames.feed(ByteBuffer.wrap(buffer.clone(), 0, many));
+            for (int length = in.read(buffer); length > 0; length = in.read(buffer)) {
+                frames.feed(ByteBuffer.wrap(buffer.clone(), 0, length));
                 while (isStarted ? frames.next() : frames.nextUntyped(10_000)) {
                     if (!isStarted) {
                         isStarted = true;
-                        write(one, Words.welcome());
+                        write(socket, Words.welcome());
                     } else if (frames.type() == 'Q') {
                         boolean isRead = statement.read(frames.body());
                         sleep();
                         served.incrementAndGet();
-                        write(one, isRead ? Morning.row(value(statement.key())) : Words.emptyQuery());
+                        write(socket, isRead ? Morning.row(valueOf(statement.key())) : Words.emptyQuery());
                     }
                 }
             }
         }
     }
 
-    private static String value(String key) {
-        boolean isOurs = key.matches("[0-9a-f]{16}");
-        return Morning.value(key, isOurs ? 2 * Morning.valueLength(key) : 32);
+    private static String valueOf(String key) {
+        boolean isGeneratedKey = key.matches("[0-9a-f]{16}");
+        return Morning.value(key, isGeneratedKey ? 2 * Morning.valueLength(key) : 32);
     }
 
     private void sleep() {
@@ -98,10 +98,10 @@
         }
     }
 
-    private static void write(Socket one, ByteBuffer bytes) throws IOException {
-        byte[] all = new byte[bytes.remaining()];
-        bytes.duplicate().get(all);
-        one.getOutputStream().write(all);
+    private static void write(Socket socket, ByteBuffer bytes) throws IOException {
+        byte[] copy = new byte[bytes.remaining()];
+        bytes.duplicate().get(copy);
+        socket.getOutputStream().write(copy);
     }
 
     @Override
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -19,12 +19,12 @@
         "org.apache.mina..", "org.tinylog..", "com.fasterxml..", "picocli..", "honeygap.net..", "honeygap.cli..",
         "honeygap.read..", "honeygap.wire.."};
 
-    private static ArchRule none(String from, String... to) {
+    private static ArchRule noDependency(String from, String... to) {
         return noClasses().that().resideInAPackage(from).should().dependOnClassesThat().resideInAnyPackage(to);
     }
 
     @Test
-    void decisionsKnowNoHosts() {
+    void decisionsDependOnNoIo() {
         noClasses().that().resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.terms..", "honeygap.flags..").should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO).check(ALL);
@@ -35,20 +35,20 @@
 
     /** The fit knows nothing of routing, routing reads posterior and room, votes read the fit. */
     @Test
-    void modulesPointOneWay() {
+    void decisionModulesAreLayered() {
         String[] order = {"fit", "work", "health", "cold", "builds", "room", "evidence", "votes", "shutdown", "routing"};
         for (int i = 0; i < order.length; i++) {
             for (int later = i + 1; later < order.length; later++) {
-                none("honeygap.rules." + order[i] + "..", "honeygap.rules." + order[later] + "..").check(ALL);
+                noDependency("honeygap.rules." + order[i] + "..", "honeygap.rules." + order[later] + "..").check(ALL);
             }
-            none("honeygap.rules." + order[i] + "..", "honeygap.wire..", "honeygap.manage..").check(ALL);
+            noDependency("honeygap.rules." + order[i] + "..", "honeygap.wire..", "honeygap.manage..").check(ALL);
         }
-        none("honeygap.rules.routing..", "honeygap.rules.votes..").check(ALL);
+        noDependency("honeygap.rules.routing..", "honeygap.rules.votes..").check(ALL);
     }
 
     /** Tables, members, exchange and the line of work decide without I/O; the loop's packages know no sharing. */
     @Test
-    void sharingIsDecidedWithoutHosts() {
+    void replicationDecisionsDependOnNoIo() {
         noClasses().that().resideInAnyPackage("honeygap.share.table..", "honeygap.share.member..", "honeygap.spread..")
                 .should().dependOnClassesThat().resideInAnyPackage(IO).check(ALL);
         noClasses().that().resideInAnyPackage("honeygap.net..", "honeygap.rules..", "honeygap.fleet..").should()
@@ -61,7 +61,7 @@
 
     /** What becomes of segments, operations and replayed RPCs is decided without files and sockets. */
     @Test
-    void otherDecisionsKnowNoHosts() {
+    void otherDecisionsDependOnNoIo() {
         noClasses().that().resideInAPackage("honeygap.manage").should().dependOnClassesThat().resideInAnyPackage(IO)
                 .check(ALL);
         noClasses().that().resideInAPackage("honeygap.capture.stream..").or()
@@ -72,26 +72,26 @@
     }
 
     @Test
-    void decisionsReadNoClockAndNoChance() {
+    void decisionsUseNoClockOrRandomness() {
         noClasses().that().resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.fleet..", "honeygap.flags..",
                 "honeygap.capture.stream..").should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis").orShould()
                 .dependOnClassesThat().haveFullyQualifiedName("java.util.Random").check(ALL);
     }
 
     @Test
-    void frontsKnowNoBacks() {
+    void clientSideIsIndependentOfUpstreamSide() {
         for (String front : List.of("honeygap.net.clients..", "honeygap.net.askers..", "honeygap.net.guests..")) {
-            none(front, "honeygap.net.appliances..", "honeygap.net.servers..", "honeygap.net.links..").check(ALL);
+            noDependency(front, "honeygap.net.appliances..", "honeygap.net.servers..", "honeygap.net.links..").check(ALL);
         }
         for (String back : List.of("honeygap.net.appliances..", "honeygap.net.servers..", "honeygap.net.links..")) {
-            none(back, "honeygap.net.clients..", "honeygap.net.askers..", "honeygap.net.guests..").check(ALL);
+            noDependency(back, "honeygap.net.clients..", "honeygap.net.askers..", "honeygap.net.guests..").check(ALL);
         }
-        none("honeygap.net.clients..", "honeygap.net.askers..").check(ALL);
-        none("honeygap.net.appliances..", "honeygap.net.servers..").check(ALL);
+        noDependency("honeygap.net.clients..", "honeygap.net.askers..").check(ALL);
+        noDependency("honeygap.net.appliances..", "honeygap.net.servers..").check(ALL);
     }
 
     @Test
-    void nobodyKnowsTheCommandLine() {
+    void nothingDependsOnTheCommandLine() {
         noClasses().that().resideOutsideOfPackage("honeygap.cli..").should().dependOnClassesThat()
                 .resideInAPackage("honeygap.cli..").check(ALL);
         noClasses().that().resideInAnyPackage("honeygap.net..", "honeygap.read..", "honeygap.flags..").should()
@@ -100,7 +100,7 @@
 
     /** The agent on the platform has little memory: what loads the template library is named here alone. */
     @Test
-    void templatesLoadOnlyWhenUsed() {
+    void onlyTemplateUsesTheTemplateLibrary() {
         noClasses().that().doNotHaveFullyQualifiedName("honeygap.read.Template").should().dependOnClassesThat()
                 .resideInAnyPackage("sjsonnet..", "scala..", "os..").check(ALL);
     }
--- a/src/test/java/honeygap/FuzzTest.java
+++ b/src/test/java/honeygap/FuzzTest.java
@@ -45,7 +45,7 @@
     /** The same inputs each time; another number hunts for more. */
     private static final String SEED = "20261201";
 
-    private static final byte[][] BEGINNINGS = {
+    private static final byte[][] FILE_HEADERS = {
         {(byte) 0xd4, (byte) 0xc3, (byte) 0xb2, (byte) 0xa1, 2, 0, 4, 0, 0, 0, 0, 0, 0, 0, 0, 0, -1, -1, 0, 0, 101, 0, 0, 0},
         {0x0a, 0x0d, 0x0d, 0x0a, 28, 0, 0, 0, 0x4d, 0x3c, 0x2b, 0x1a, 1, 0, 0, 0, -1, -1, -1, -1, -1, -1, -1, -1, 28, 0,
             0, 0, 1, 0, 0, 0, 20, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 20, 0, 0, 0},
@@ -61,7 +61,7 @@
 
     @Provide
     Arbitrary<byte[]> captures() {
-        return Combinators.combine(Arbitraries.of(BEGINNINGS), bytes()).as((begin, rest) -> {
+        return Combinators.combine(Arbitraries.of(FILE_HEADERS), bytes()).as((begin, rest) -> {
             byte[] whole = java.util.Arrays.copyOf(begin, begin.length + rest.length);
             System.arraycopy(rest, 0, whole, begin.length, rest.length);
             return whole;
@@ -69,7 +69,7 @@
     }
 
     @Property(tries = 4000, seed = SEED)
-    void files(@ForAll("captures") byte[] bytes) throws IOException {
+    void captureFiles(@ForAll("captures") byte[] bytes) throws IOException {
         try (CaptureReader reader = new CaptureReader("file", new ByteArrayInputStream(bytes))) {
             Packet packet = new Packet();
             Decoder decoder = new Decoder();
@@ -165,9 +165,9 @@
     /** Any chunks on both sides, holes among them: no RPC is told of twice, nothing is thrown. */
     @Property(tries = 2000, seed = SEED)
     void conversations(@ForAll("chunks") List<byte[]> chunks, @ForAll boolean isHttp, @ForAll boolean isWhole) {
-        Map<Spoken, Integer> heard = new HashMap<>();
+        Map<Spoken, Integer> callCounts = new HashMap<>();
         Map<String, Long> counts = new HashMap<>();
-        Conversation.Hearer hearer = spoken -> heard.merge(spoken, 1, Integer::sum);
+        Conversation.Hearer hearer = rpc -> callCounts.merge(rpc, 1, Integer::sum);
         Conversation conversation = isHttp ? new HttpConversation(isWhole, Spoken::new, hearer, counts)
                 : new PgConversation(isWhole, Spoken::new, hearer, counts);
         int i = 0;
@@ -178,30 +178,30 @@
             conversation.data(i++ % 2 == 0, chunk, i);
         }
         conversation.over();
-        assertTrue(heard.values().stream().allMatch(times -> times == 1));
+        assertTrue(callCounts.values().stream().allMatch(times -> times == 1));
     }
 
     @Provide
     Arbitrary<List<byte[]>> chunks() {
-        return Arbitraries.frequencyOf(Tuple.of(2, bytes()), Tuple.of(3, words())).list().ofMaxSize(12);
+        return Arbitraries.frequencyOf(Tuple.of(2, bytes()), Tuple.of(3, messages())).list().ofMaxSize(12);
     }
 
     /** Pieces of what is said in both protocols. */
     @Provide
-    Arbitrary<byte[]> words() {
+    Arbitrary<byte[]> messages() {
         String query = "SELECT content FROM kv WHERE name = 'ab' /* id=i,c=look,t=a,d=5 */\0";
         ByteBuffer statement = ByteBuffer.allocate(5 + query.length()).put((byte) 'Q').putInt(4 + query.length())
                 .put(query.getBytes(StandardCharsets.US_ASCII));
         return Arbitraries.of(statement.array(), new byte[] {'Z', 0, 0, 0, 5, 'I'}, new byte[] {'C', 0, 0, 0, 6, 'x', 0},
                 new byte[] {0, 0, 0, 8, 0, 3, 0, 0}, new byte[] {'E', 0, 0, 0, 12, 'C', '5', '3', '3', '0', '0', 0, 0},
-                ascii("POST /ofrep/v1/evaluate/flags/a HTTP/1.1\r\nHost: x\r\nContent-Length: 14\r\n\r\n{\"context\":{}}"),
-                ascii("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-                ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"),
-                ascii("Transfer-Encoding: chunked\r\n"), ascii("\r\n\r\n"), ascii("Content-Length: 99\r\n"));
+                asciiBytes("POST /ofrep/v1/evaluate/flags/a HTTP/1.1\r\nHost: x\r\nContent-Length: 14\r\n\r\n{\"context\":{}}"),
+                asciiBytes("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
+                asciiBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"),
+                asciiBytes("Transfer-Encoding: chunked\r\n"), asciiBytes("\r\n\r\n"), asciiBytes("Content-Length: 99\r\n"));
     }
 
-    private static byte[] ascii(String words) {
-        return words.getBytes(StandardCharsets.US_ASCII);
+    private static byte[] asciiBytes(String text) {
+        return text.getBytes(StandardCharsets.US_ASCII);
     }
 
     /** Requests and answers of HTTP in any pieces: read, turned down with a status, or waited for within bounds. */
@@ -259,13 +259,13 @@
     }
 
     @Property(tries = 3000, seed = SEED)
-    void bodies(@ForAll("json") String words) {
+    void bodies(@ForAll("json") String json) {
         try {
-            Bodies.subject(words.getBytes(StandardCharsets.UTF_8));
+            Bodies.subject(json.getBytes(StandardCharsets.UTF_8));
         } catch (Refusal e) {
             assertTrue(e.status == 400 && !e.getMessage().isEmpty());
         }
-        byte[] bytes = words.getBytes(StandardCharsets.UTF_8);
+        byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
         int length = bytes.length;
         new Mask(new byte[] {1}).hideJson(bytes, 0, length);
         assertTrue(bytes.length == length);
@@ -279,11 +279,11 @@
 
     /** Filters of any words: a filter, or an error with a column within it. */
     @Property(tries = 3000, seed = SEED)
-    void filters(@ForAll("filterWords") String words) {
+    void filters(@ForAll("filterWords") String filter) {
         try {
-            Filter.of(words);
+            Filter.of(filter);
         } catch (Filter.Unread e) {
-            assertTrue(e.column >= 1 && e.column <= words.length() + 1, e.getMessage());
+            assertTrue(e.column >= 1 && e.column <= filter.length() + 1, e.getMessage());
         }
     }
 
--- a/src/test/java/honeygap/KnownRedTest.java
+++ b/src/test/java/honeygap/KnownRedTest.java
@@ -16,7 +16,7 @@
 /** What CI makes of KNOWN-RED.txt, with a stand-in for the build tool that knows one red, one green and no other test. */
 class KnownRedTest {
 
-    private static final String BUILD = """
+    private static final String FAKE_MAVEN = """
             #!/usr/bin/env bash
             echo "asked: $*" >> "$(dirname "$0")/asked"
             case "$*" in
@@ -41,24 +41,24 @@
         "Red#a, , 33 | 0 | 1 | not 'Class#test", "Red#*, cause, 33 | 0 | 1 | not 'Class#test",
         "Red#a, c, 1;Red#b, c, 1;Red#c, c, 1 | 0 | 0 | known red: Red#c",
         "Red#a, c, 1;Red#b, c, 1;Red#c, c, 1;Red#d, c, 1 | 0 | 1 | 4 lines"})
-    void outcomes(String lines, String verify, int exit, String said) throws IOException, InterruptedException {
+    void outcomes(String knownRed, String verify, int exit, String expected) throws IOException, InterruptedException {
         Path script = Files.createDirectory(root.resolve(".ci")).resolve("run");
         Files.copy(Path.of(".ci/run"), script);
         Path tools = Files.createDirectory(root.resolve("tools"));
-        Files.writeString(tools.resolve("mvn"), BUILD);
+        Files.writeString(tools.resolve("mvn"), FAKE_MAVEN);
         assertTrue(tools.resolve("mvn").toFile().setExecutable(true));
-        if (lines != null) {
-            Files.writeString(root.resolve("KNOWN-RED.txt"), lines.replace(';', '\n') + "\n");
+        if (knownRed != null) {
+            Files.writeString(root.resolve("KNOWN-RED.txt"), knownRed.replace(';', '\n') + "\n");
         }
         ProcessBuilder builder = new ProcessBuilder("bash", script.toString()).redirectErrorStream(true);
         builder.environment().merge("PATH", tools.toString(), (path, ours) -> ours + ":" + path);
         builder.environment().put("VERIFY", verify);
         Process process = builder.start();
-        String words = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
-        assertEquals(exit, process.exitValue(), words);
-        assertTrue(words.contains(said), words);
-        if (lines != null && lines.startsWith("Red#a, c, 1;Red#b, c, 1;Red#c, c, 1") && exit == 0) {
+        assertEquals(exit, process.exitValue(), output);
+        assertTrue(output.contains(expected), output);
+        if (knownRed != null && knownRed.startsWith("Red#a, c, 1;Red#b, c, 1;Red#c, c, 1") && exit == 0) {
             assertTrue(Files.readString(tools.resolve("asked")).contains("-Dtest=!Red#a,!Red#b,!Red#c"));
         }
     }
--- a/src/test/java/honeygap/cli/AgentProcess.java
+++ b/src/test/java/honeygap/cli/AgentProcess.java
@@ -24,9 +24,9 @@
     final List<String> log = new ArrayList<>();
 
     /** What the shell does before it becomes the agent may be empty. */
-    AgentProcess(Path config, String before) throws IOException {
+    AgentProcess(Path config, String shellPrefix) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        process = new ProcessBuilder(List.of("bash", "-c", before + " exec \"$0\" -Xmx64m -XX:+UseSerialGC"
+        process = new ProcessBuilder(List.of("bash", "-c", shellPrefix + " exec \"$0\" -Xmx64m -XX:+UseSerialGC"
                 + " -XX:TieredStopAtLevel=1 -cp \"$1\" honeygap.cli.Start serve --config \"$2\"", java,
                 System.getProperty("java.class.path"), config.toString())).redirectErrorStream(true).start();
         lines = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
@@ -41,7 +41,7 @@
     }
 
     /** The next line of the log that holds this, or null at its end. */
-    String until(String part) throws IOException {
+    String readUntil(String part) throws IOException {
         String line = lines.readLine();
         while (line != null) {
             log.add(line);
@@ -64,8 +64,8 @@
     }
 
     /** How it ended; the rest of its log is read. */
-    int ended() throws IOException, InterruptedException {
-        until("\0");
+    int awaitExit() throws IOException, InterruptedException {
+        readUntil("\0");
         if (!process.waitFor(20, TimeUnit.SECONDS)) {
             throw new IOException("it did not end");
         }
@@ -74,8 +74,8 @@
 
     /** Descriptors that it holds now. */
     long descriptors() throws IOException {
-        try (var held = Files.list(Path.of("/proc/" + pid() + "/fd"))) {
-            return held.count();
+        try (var descriptors = Files.list(Path.of("/proc/" + pid() + "/fd"))) {
+            return descriptors.count();
         }
     }
 
@@ -119,7 +119,7 @@
         Client(int port) throws IOException {
             this(new Socket("127.0.0.1", port));
             out.write(startup());
-            hear();
+            readResponse();
         }
 
         private Client(Socket socket) throws IOException {
@@ -130,7 +130,7 @@
         }
 
         /** One that is connected and has said nothing yet. */
-        static Client silent(int port) throws IOException {
+        static Client connectOnly(int port) throws IOException {
             return new Client(new Socket("127.0.0.1", port));
         }
 
@@ -140,9 +140,9 @@
         }
 
         static byte[] request(String id, int ms) {
-            byte[] words = ("SELECT content FROM kv WHERE name = 'k1' /* id=" + id + ",c=look,t=t,d=" + ms + " */\0")
+            byte[] statement = ("SELECT content FROM kv WHERE name = 'k1' /* id=" + id + ",c=look,t=t,d=" + ms + " */\0")
                     .getBytes(StandardCharsets.UTF_8);
-            return ByteBuffer.allocate(5 + words.length).put((byte) 'Q').putInt(4 + words.length).put(words).array();
+            return ByteBuffer.allocate(5 + statement.length).put((byte) 'Q').putInt(4 + statement.length).put(statement).array();
         }
 
         void send(String id, int ms) throws IOException {
@@ -162,19 +162,19 @@
 
         /** Hears answers until the connection ends; the ids of the requests that had none, in the order of their sending. */
         List<String> unanswered() {
-            int answers = 0;
-            String heard;
+            int answerCount = 0;
+            String response;
             do {
-                heard = hear();
+                response = readResponse();
                 // A last word that ends the connection is an answer as well; a welcome is none.
-                answers += heard.startsWith("T") || heard.startsWith("E") ? 1 : 0;
-            } while (!heard.endsWith("end"));
+                answerCount += response.startsWith("T") || response.startsWith("E") ? 1 : 0;
+            } while (!response.endsWith("end"));
             List<String> all = new ArrayList<>(sent);
-            return all.subList(Math.min(answers, all.size()), all.size());
+            return all.subList(Math.min(answerCount, all.size()), all.size());
         }
 
         /** The types of messages up to the readiness for the next query; "end" where the connection ends. */
-        String hear() {
+        String readResponse() {
             StringBuilder types = new StringBuilder();
             try {
                 char type;
--- a/src/test/java/honeygap/cli/CaptureCommandTest.java
+++ b/src/test/java/honeygap/cli/CaptureCommandTest.java
@@ -32,11 +32,11 @@
     private String out;
     private String err;
 
-    private int run(String words) {
+    private int run(String commandLine) {
         ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
         ByteArrayOutputStream errBytes = new ByteArrayOutputStream();
         List<String> args = new ArrayList<>();
-        for (String word : words.split(" ")) {
+        for (String word : commandLine.split(" ")) {
             args.add(word.replace('_', ' ').replace("@", folder + "/"));
         }
         int code = Main.run(args.toArray(new String[0]), InputStream.nullInputStream(),
@@ -58,7 +58,7 @@
 
     /** The same seed makes the same file. */
     @Test
-    void sameSeed() throws IOException {
+    void sameSeedGivesSameFile() throws IOException {
         run("capture make -o @n.pcapng --seed 3 --rate 100 --seconds 3");
         assertEquals(-1, Files.mismatch(folder.resolve("m.pcapng"), folder.resolve("n.pcapng")));
         run("capture make -o @n.pcapng --seed 4 --rate 100 --seconds 3");
@@ -77,15 +77,15 @@
         "capture merge -o @x.pcap.gz @m.pcapng @m.pcapng|0| packets in ",
         "replay @m.pcapng --to nowhere|2|replay: ", "replay @m.pcapng --to 127.0.0.1:9 --speed 0|2|must be above 0",
         "render @nothing|2|no such file", "check --flags @nothing|2|no such file"})
-    void commands(String words, int code, String said) {
-        assertEquals(code, run(words), err);
-        assertTrue((code == 0 ? out : err).contains(said), out + err);
+    void commands(String commandLine, int code, String expected) {
+        assertEquals(code, run(commandLine), err);
+        assertTrue((code == 0 ? out : err).contains(expected), out + err);
     }
 
     /** Rows in each form: as many as there are RPCs, with all columns. */
     @ParameterizedTest
     @ValueSource(strings = {"csv", "jsonl", "avro"})
-    void exported(String form) throws IOException {
+    void exportsAllRows(String form) throws IOException {
         run("capture list --where read @m.pcapng");
         long rpcs = lines();
         assertTrue(rpcs > 50);
@@ -112,7 +112,7 @@
 
     /** Cut off: told, with exit code 1; mended: whole, with all that was left. */
     @Test
-    void repaired() throws IOException {
+    void repairsTruncatedCapture() throws IOException {
         byte[] whole = Files.readAllBytes(folder.resolve("m.pcapng"));
         Files.write(folder.resolve("cut.pcapng"), Arrays.copyOf(whole, whole.length * 2 / 3));
         assertEquals(1, run("capture info @cut.pcapng"));
@@ -124,7 +124,7 @@
 
     /** Merged, cut by a filter and anonymised captures hold the RPCs that they should. */
     @Test
-    void derived() throws IOException {
+    void derivedCapturesHoldExpectedRpcs() throws IOException {
         run("capture list @m.pcapng");
         long all = lines();
         Files.write(folder.resolve("secret"), new byte[] {1, 2, 3});
--- a/src/test/java/honeygap/cli/HangUpTest.java
+++ b/src/test/java/honeygap/cli/HangUpTest.java
@@ -22,18 +22,18 @@
     @ParameterizedTest
     @Timeout(60)
     @ValueSource(booleans = {false, true})
-    void said(boolean ignored) throws IOException, InterruptedException {
+    void logsIgnoredSignalOrRereads(boolean isIgnored) throws IOException, InterruptedException {
         Path config = folder.resolve("agent.json");
         Files.writeString(config, Files.readString(Path.of("example/agent.json"))
                 .replaceAll("\"listen\": *\"[0-9.:]+\"", "\"listen\": \"127.0.0.1:0\""));
-        try (AgentProcess agent = new AgentProcess(config, ignored ? "trap '' HUP;" : "")) {
+        try (AgentProcess agent = new AgentProcess(config, isIgnored ? "trap '' HUP;" : "")) {
             // The counters come first when the loop turns: the handler stands then, and one config is broken.
-            assertNotNull(agent.until("counters "), agent.log.toString());
-            assertEquals(ignored, agent.log.stream().anyMatch(line -> line.contains("SIGHUP is ignored")));
-            if (!ignored) {
+            assertNotNull(agent.readUntil("counters "), agent.log.toString());
+            assertEquals(isIgnored, agent.log.stream().anyMatch(line -> line.contains("SIGHUP is ignored")));
+            if (!isIgnored) {
                 Files.writeString(config, "broken");
                 agent.signal("HUP");
-                assertNotNull(agent.until("configuration not read"), agent.log.toString());
+                assertNotNull(agent.readUntil("configuration not read"), agent.log.toString());
                 assertTrue(agent.isAlive());
             }
         }
--- a/src/test/java/honeygap/cli/HangingAppliance.java
+++ b/src/test/java/honeygap/cli/HangingAppliance.java
@@ -16,7 +16,7 @@
     private static final byte[] WELCOME = {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'};
 
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Semaphore asked = new Semaphore(0);
+    private final Semaphore requests = new Semaphore(0);
     private final Queue<String> statements = new ConcurrentLinkedQueue<>();
 
     HangingAppliance() throws IOException {
@@ -52,7 +52,7 @@
             socket.getOutputStream().write(WELCOME);
             while (in.read() >= 0) {
                 statements.add(new String(in.readNBytes(in.readInt() - Integer.BYTES), StandardCharsets.UTF_8));
-                asked.release();
+                requests.release();
             }
         }
     }
@@ -62,12 +62,12 @@
     }
 
     /** Comes back when so many requests have come since the last call. */
-    void awaitRequests(int many) throws InterruptedException {
-        asked.acquire(many);
+    void awaitRequests(int count) throws InterruptedException {
+        requests.acquire(count);
     }
 
     /** Whether a request with this id has come. */
-    boolean hasHeard(String id) {
+    boolean hasReceived(String id) {
         return statements.stream().anyMatch(statement -> statement.contains("id=" + id + ","));
     }
 
--- a/src/test/java/honeygap/cli/KilledAfterSignalTest.java
+++ b/src/test/java/honeygap/cli/KilledAfterSignalTest.java
@@ -61,45 +61,45 @@
     void everyRpcIsAnswered(int deadlineMs, int killMs, int arrivalMs) throws Exception {
         int requestMs = deadlineMs - 100;
         startAgent(deadlineMs);
-        AgentProcess.Client inLine = client();
-        inLine.send("first", requestMs);
-        inLine.send("second", requestMs);
+        AgentProcess.Client queued = client();
+        queued.send("first", requestMs);
+        queued.send("second", requestMs);
         AgentProcess.Client pipelined = client();
         pipelined.send("open", requestMs);
-        AgentProcess.Client half = client();
+        AgentProcess.Client partial = client();
         byte[] request = AgentProcess.Client.request("half", requestMs);
         int middle = request.length / 2;
-        half.write(Arrays.copyOf(request, middle));
+        partial.write(Arrays.copyOf(request, middle));
         appliance.awaitRequests(2);
         signalledAt = System.nanoTime();
         agent.signal("TERM");
-        AgentProcess.Client silent = AgentProcess.Client.silent(port);
+        AgentProcess.Client silent = AgentProcess.Client.connectOnly(port);
         open.add(silent);
         clients.add(silent);
         sleepUntil(arrivalMs);
-        unlessClosed(() -> pipelined.send("pipelined", requestMs));
-        unlessClosed(() -> half.send("half", new byte[0], Arrays.copyOfRange(request, middle, request.length)));
-        unlessClosed(() -> silent.send("silent", AgentProcess.Client.startup(), AgentProcess.Client.request("silent", requestMs)));
-        unlessClosed(() -> client().send("new", requestMs));
-        List<CompletableFuture<List<String>>> hearing = new ArrayList<>();
+        ignoringClosedConnection(() -> pipelined.send("pipelined", requestMs));
+        ignoringClosedConnection(() -> partial.send("half", new byte[0], Arrays.copyOfRange(request, middle, request.length)));
+        ignoringClosedConnection(() -> silent.send("silent", AgentProcess.Client.startup(), AgentProcess.Client.request("silent", requestMs)));
+        ignoringClosedConnection(() -> client().send("new", requestMs));
+        List<CompletableFuture<List<String>>> responses = new ArrayList<>();
         for (AgentProcess.Client client : clients) {
-            hearing.add(CompletableFuture.supplyAsync(client::unanswered, task -> new Thread(task).start()));
+            responses.add(CompletableFuture.supplyAsync(client::unanswered, task -> new Thread(task).start()));
         }
         sleepUntil(killMs);
         agent.kill();
         List<String> unanswered = new ArrayList<>();
-        for (CompletableFuture<List<String>> one : hearing) {
-            unanswered.addAll(one.get(20, TimeUnit.SECONDS));
+        for (CompletableFuture<List<String>> response : responses) {
+            unanswered.addAll(response.get(20, TimeUnit.SECONDS));
         }
-        agent.ended();
+        agent.awaitExit();
         // One that was never read is its client's to send again.
-        unanswered.removeIf(id -> !wasTaken(id));
+        unanswered.removeIf(id -> !wasAccepted(id));
         assertEquals(List.of(), unanswered, () -> String.join("\n", agent.log));
     }
 
     /** Held up for as long as it must bear, across the shutdown deadline: what is open is answered before the kill. */
     @Test
-    void heldUpAtTheDeadline() throws Exception {
+    void suspendedAcrossTheDeadline() throws Exception {
         startAgent(5000);
         AgentProcess.Client client = client();
         client.send("open", 4900);
@@ -110,36 +110,36 @@
         agent.signal("STOP");
         sleepUntil(3450);
         agent.signal("CONT");
-        CompletableFuture<List<String>> hearing = CompletableFuture.supplyAsync(client::unanswered);
+        CompletableFuture<List<String>> response = CompletableFuture.supplyAsync(client::unanswered);
         sleepUntil(3700);
         agent.kill();
-        List<String> unanswered = hearing.get(20, TimeUnit.SECONDS);
-        agent.ended();
+        List<String> unanswered = response.get(20, TimeUnit.SECONDS);
+        agent.awaitExit();
         assertEquals(List.of(), unanswered, () -> String.join("\n", agent.log));
     }
 
     /** With nothing open it has ended by itself long before, and so it has where it was told to more than once. */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "TERM TERM HUP TERM"})
-    void endsByItself(String signals) throws Exception {
+    void exitsBeforeTheKill(String signals) throws Exception {
         startAgent(3000);
         signalledAt = System.nanoTime();
         for (String signal : signals.split(" ")) {
             agent.signal(signal);
         }
-        assertEquals(143, agent.ended());
+        assertEquals(143, agent.awaitExit());
         long tookMs = (System.nanoTime() - signalledAt) / 1_000_000;
         assertTrue(tookMs < 3700, "ended after " + tookMs + " ms");
         assertTrue(agent.log.stream().anyMatch(line -> line.contains("shutdown: ends, nothing open")), agent.log.toString());
     }
 
-    private interface Step {
+    private interface IoAction {
 
         void run() throws IOException;
     }
 
     /** Where nobody listens any more, or the connection has been closed, its client goes elsewhere. */
-    private static void unlessClosed(Step step) {
+    private static void ignoringClosedConnection(IoAction step) {
         try {
             step.run();
         } catch (IOException e) {
@@ -147,8 +147,8 @@
         }
     }
 
-    private boolean wasTaken(String id) {
-        return appliance.hasHeard(id) || agent.log.stream().anyMatch(line -> line.contains("RPC " + id + " ")
+    private boolean wasAccepted(String id) {
+        return appliance.hasReceived(id) || agent.log.stream().anyMatch(line -> line.contains("RPC " + id + " ")
                 && line.contains(" taken "));
     }
 
@@ -160,7 +160,7 @@
                 AgentProcess.config(port, Collections.nCopies(APPLIANCES, appliance.port()), 1, 256, deadlineMs));
         agent = new AgentProcess(config, "");
         open.add(agent);
-        assertNotNull(agent.until("ready after"), agent.log.toString());
+        assertNotNull(agent.readUntil("ready after"), agent.log.toString());
     }
 
     private AgentProcess.Client client() throws IOException {
--- a/src/test/java/honeygap/cli/MainTest.java
+++ b/src/test/java/honeygap/cli/MainTest.java
@@ -31,8 +31,8 @@
         assertEquals(err, head(errBytes, err));
     }
 
-    private static String head(ByteArrayOutputStream bytes, String wanted) {
+    private static String head(ByteArrayOutputStream bytes, String expected) {
         String text = bytes.toString(StandardCharsets.UTF_8);
-        return wanted.isEmpty() ? text : text.substring(0, Math.min(text.length(), wanted.length()));
+        return expected.isEmpty() ? text : text.substring(0, Math.min(text.length(), expected.length()));
     }
 }
--- a/src/test/java/honeygap/cli/RestartedDuringDrainTest.java
+++ b/src/test/java/honeygap/cli/RestartedDuringDrainTest.java
@@ -30,7 +30,7 @@
 class RestartedDuringDrainTest {
 
     private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String NOTHING_NEW = "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n";
+    private static final String NO_CHANGES = "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n";
 
     @TempDir
     private Path folder;
@@ -45,12 +45,12 @@
     }
 
     /** Confirms the list to its first caller; later calls wait in its queue for ever. */
-    private final class CrowdedDiscovery {
+    private final class OverloadedDiscovery {
 
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final List<Socket> waiting = new ArrayList<>();
 
-        CrowdedDiscovery() throws IOException {
+        OverloadedDiscovery() throws IOException {
             open.add(server);
             Thread thread = new Thread(this::serve, "discovery");
             thread.setDaemon(true);
@@ -79,7 +79,7 @@
             }
             OutputStream out = caller.getOutputStream();
             out.write(WATCH.getBytes(StandardCharsets.US_ASCII));
-            out.write((Integer.toHexString(NOTHING_NEW.length()) + "\r\n" + NOTHING_NEW + "\r\n")
+            out.write((Integer.toHexString(NO_CHANGES.length()) + "\r\n" + NO_CHANGES + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
             return true;
         }
@@ -92,38 +92,38 @@
     }
 
     @Test
-    void doesNotSendByTheListOfBefore() throws Exception {
+    void doesNotSendWithTheOldList() throws Exception {
         StoreServer appliance = new StoreServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        CrowdedDiscovery discovery = new CrowdedDiscovery();
+        OverloadedDiscovery discovery = new OverloadedDiscovery();
         int port = AgentProcess.freePort();
-        String words = AgentProcess.config(port, appliance.address().getPort(), discovery.server.getLocalPort(), 256)
+        String json = AgentProcess.config(port, appliance.address().getPort(), discovery.server.getLocalPort(), 256)
                 .replace("\"settings\": {", "\"settings\": {\"Rules\": {\"StopSendingWithinNs\": 500000000},");
-        Path config = Files.writeString(folder.resolve("agent.json"), words);
+        Path config = Files.writeString(folder.resolve("agent.json"), json);
         AgentProcess before = start(config);
-        assertNotNull(before.until("ready after"), before.log.toString());
-        assertEquals("TDCZ", askUntilServed(port));
+        assertNotNull(before.readUntil("ready after"), before.log.toString());
+        assertEquals("TDCZ", sendUntilServed(port));
         before.signal("KILL");
-        before.ended();
+        before.awaitExit();
         // The appliance is drained now, which the new process has no way to know.
         AgentProcess after = start(config);
-        assertNotNull(after.until("ready after"), after.log.toString());
+        assertNotNull(after.readUntil("ready after"), after.log.toString());
         try (AgentProcess.Client client = new AgentProcess.Client(port)) {
             for (int i = 0; i < 20; i++) {
                 client.send("after" + i, 500);
-                assertEquals("EZ", client.hear(), "served by an appliance that may have been drained long ago");
+                assertEquals("EZ", client.readResponse(), "served by an appliance that may have been drained long ago");
             }
         }
     }
 
-    private static String askUntilServed(int port) throws IOException {
-        String heard = "";
-        for (int i = 0; i < 200 && !heard.startsWith("T"); i++) {
+    private static String sendUntilServed(int port) throws IOException {
+        String response = "";
+        for (int i = 0; i < 200 && !response.startsWith("T"); i++) {
             try (AgentProcess.Client client = new AgentProcess.Client(port)) {
                 client.send("before" + i, 500);
-                heard = client.hear();
+                response = client.readResponse();
             }
         }
-        assertTrue(heard.startsWith("T"), heard);
-        return heard;
+        assertTrue(response.startsWith("T"), response);
+        return response;
     }
 }
--- a/src/test/java/honeygap/read/DeploymentTest.java
+++ b/src/test/java/honeygap/read/DeploymentTest.java
@@ -51,23 +51,23 @@
              "FamilyInfo": {"GateMode": "first_voice", "SampledShare": 0.5, "KeysStay": true}}
             """;
 
-    private static Fields fields(String words) throws IOException, Malformed {
-        try (JsonParser parser = new JsonFactory().createParser(words)) {
+    private static Fields parse(String json) throws IOException, Malformed {
+        try (JsonParser parser = new JsonFactory().createParser(json)) {
             return Fields.document(parser);
         }
     }
 
-    private static List<Object> of(Method method) {
+    private static List<Object> propertiesOf(Method method) {
         return List.of(method.effect, method.scope, method.tokenWindow, method.softDeadline, method.deadline,
                 method.utility, method.lateUtility);
     }
 
-    private static void firstInForce(Fields info) throws Malformed {
+    private static void assertFirstSettings(Fields info) throws Malformed {
         List<Method> methods = Deployment.methods(info);
         assertEquals(3, methods.size());
-        assertEquals(List.of(Method.IDEMPOTENT, Method.SCOPE_ALL, 0L, 3500L, 10_000L, 2.0, 0.1), of(methods.get(0)));
-        assertEquals(List.of(Method.TOKENED, Method.SCOPE_ALL, 7000L, 4500L, 12_000L, 6.0, 0.0), of(methods.get(1)));
-        assertEquals(List.of(Method.NON_IDEMPOTENT, Method.SCOPE_ALL, 0L, 2500L, 8000L, 1.0, 0.0), of(methods.get(2)));
+        assertEquals(List.of(Method.IDEMPOTENT, Method.SCOPE_ALL, 0L, 3500L, 10_000L, 2.0, 0.1), propertiesOf(methods.get(0)));
+        assertEquals(List.of(Method.TOKENED, Method.SCOPE_ALL, 7000L, 4500L, 12_000L, 6.0, 0.0), propertiesOf(methods.get(1)));
+        assertEquals(List.of(Method.NON_IDEMPOTENT, Method.SCOPE_ALL, 0L, 2500L, 8000L, 1.0, 0.0), propertiesOf(methods.get(2)));
         assertEquals(new Tries(4, true, 4000), Deployment.tries(info));
         assertEquals(new Cold(0.4, 20_000, 3, 12_000), Deployment.cold(info));
         assertEquals(new Desk(Desk.BY_COUNT, 50_000, 15_000, 15_000, 2, 60, 0.25, 15_000), Deployment.desk(info));
@@ -80,12 +80,12 @@
         assertEquals(new Listing(true, true, 60_000, 0), Deployment.onSockets(info));
     }
 
-    private static void secondInForce(Fields info) throws Malformed {
+    private static void assertSecondSettings(Fields info) throws Malformed {
         List<Method> methods = Deployment.methods(info);
         assertEquals(2, methods.size());
-        assertEquals(List.of(Method.IDEMPOTENT, Method.SCOPE_ALL, 0L, 9000L, 35_000L, 1.0, 0.0), of(methods.get(0)));
+        assertEquals(List.of(Method.IDEMPOTENT, Method.SCOPE_ALL, 0L, 9000L, 35_000L, 1.0, 0.0), propertiesOf(methods.get(0)));
         assertEquals(List.of(Method.TOKENED, Method.SCOPE_ZONE, 80_000L, 13_000L, 45_000L, 5.0, 0.0),
-                of(methods.get(1)));
+                propertiesOf(methods.get(1)));
         assertEquals(new Tries(2, false, 0), Deployment.tries(info));
         assertEquals(new Cold(1, 0, 1, 0), Deployment.cold(info));
         assertEquals(new Desk(Desk.FIRST_VOICE, 0, 20_000, 0, 1, 1, 0, 0), Deployment.desk(info));
@@ -103,17 +103,17 @@
         "'\"StopSendingWithinNs\": 500000000, \"MustAskInNs\": 10000000000', 60000",
         "'\"StopSendingWithinNs\": 500000000, \"MustAskInNs\": 2000000000', 20000"})
     void leaseOfTheList(String rules, long lease) throws Exception {
-        Fields info = fields("{\"RegistryMode\": \"ask\", \"Rules\": {" + rules + "}}");
+        Fields info = parse("{\"RegistryMode\": \"ask\", \"Rules\": {" + rules + "}}");
         assertEquals(lease, Deployment.onSockets(info).lease());
         assertEquals(0, Deployment.onWire(info).lease());
     }
 
     /** One customer, then the other, then the first again, in one process: nothing of one reaches the other. */
     @Test
-    void inTurn() throws Exception {
-        firstInForce(fields(FIRST));
-        secondInForce(fields(SECOND));
-        firstInForce(fields(FIRST));
+    void settingsDoNotLeakBetweenDeployments() throws Exception {
+        assertFirstSettings(parse(FIRST));
+        assertSecondSettings(parse(SECOND));
+        assertFirstSettings(parse(FIRST));
     }
 
     /** A setting that is missing or spoilt, told with its place. */
@@ -139,29 +139,29 @@
         "\"rollouts\": {\"address\": \"127.0.0.1:1\"} | \"rollouts\": {} | rollouts.address is missing",
         "\"sockets\": 256 | \"sockets\": true | limits.sockets is not a whole number",
         "\"endpoints\": [] | \"endpoints\": [{\"name\": \"a\"}] | known.endpoints[0].status is missing"})
-    void refused(String found, String instead, String said) throws Exception {
-        String whole = """
+    void rejectsMalformedSettings(String original, String replacement, String expected) throws Exception {
+        String valid = """
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256},
                  "rollouts": {"address": "127.0.0.1:1"}, "known": {"index": 1, "snapshot": true, "endpoints": []},
                  "settings": %s}
                 """.formatted(FIRST);
         // Whole it is taken.
-        new Queries(new Loop(), fields(whole));
-        Fields spoilt = fields(whole.replace(found, instead));
-        assertEquals("field " + said, assertThrows(Malformed.class, () -> new Queries(new Loop(), spoilt)).getMessage());
+        new Queries(new Loop(), parse(valid));
+        Fields malformed = parse(valid.replace(original, replacement));
+        assertEquals("field " + expected, assertThrows(Malformed.class, () -> new Queries(new Loop(), malformed)).getMessage());
     }
 
     /** A reread that names no list or desk moves nothing, and says which field. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"{} | discovery is missing",
         "{\"discovery\": \"127.0.0.1:1\", \"rollouts\": {\"address\": 7}} | rollouts.address is not a string"})
-    void reread(String words, String said) throws Exception {
-        String whole = """
+    void rereadRejectsMalformedSettings(String update, String expected) throws Exception {
+        String valid = """
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "rollouts": {"address": "127.0.0.1:1"},
                  "settings": %s}
                 """.formatted(SECOND);
-        Queries queries = new Queries(new Loop(), fields(whole));
-        Fields spoilt = fields(words);
-        assertEquals("field " + said, assertThrows(Malformed.class, () -> queries.reread(spoilt)).getMessage());
+        Queries queries = new Queries(new Loop(), parse(valid));
+        Fields malformed = parse(update);
+        assertEquals("field " + expected, assertThrows(Malformed.class, () -> queries.reread(malformed)).getMessage());
     }
 }
