--- a/example/Toy.java
+++ b/example/Toy.java
@@ -12,51 +12,51 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * All that one agent needs around it, on loopback, to be tried by hand: {@code java example/Toy.java} plays four
- * appliances of build 1 and two of build 2, the list and the desk; {@code java example/Toy.java ask 200} asks the
- * agent that many times and counts the answers. It measures nothing.
+ * A minimal environment on loopback for trying out one agent by hand. {@code java example/Toy.java} runs four appliances
+ * of build 1, two of build 2, the discovery service and the release desk; {@code java example/Toy.java ask 200} sends the
+ * agent that many requests and counts the responses. It is no benchmark.
  */
 public class Toy {
 
-    private static final int AGENT = 16432;
-    private static final int LIST = 16500;
-    private static final int DESK = 16400;
-    private static final int FIRST_APPLIANCE = 16601;
-    private static final int APPLIANCES = 6;
-    private static final int OF_BUILD_1 = 4;
-    private static final Map<Integer, Integer> SERVED = new ConcurrentHashMap<>();
-    /** When the first RPC came: the stage begins then, however long it takes to ask. */
-    private static volatile long start;
+    private static final int AGENT_PORT = 16432;
+    private static final int DISCOVERY_PORT = 16500;
+    private static final int DESK_PORT = 16400;
+    private static final int FIRST_APPLIANCE_PORT = 16601;
+    private static final int APPLIANCE_COUNT = 6;
+    private static final int BUILD_1_COUNT = 4;
+    private static final Map<Integer, Integer> SERVED_BY_BUILD = new ConcurrentHashMap<>();
+    /** Time of the first RPC by {@link System#nanoTime}, when the rollout stage begins; 0 before. */
+    private static volatile long stageStart;
     private static volatile boolean released;
 
-    private interface Script {
-        void play(DataInputStream in, OutputStream out) throws Exception;
+    private interface ConnectionHandler {
+        void handle(DataInputStream in, OutputStream out) throws Exception;
     }
 
     public static void main(String[] args) throws Exception {
         if (args.length > 0 && args[0].equals("ask")) {
-            ask(args.length > 1 ? Integer.parseInt(args[1]) : 10);
+            sendRequests(args.length > 1 ? Integer.parseInt(args[1]) : 10);
             return;
         }
-        for (int i = 0; i < APPLIANCES; i++) {
-            int port = FIRST_APPLIANCE + i;
-            listen(port, (in, out) -> appliance(port, in, out));
+        for (int i = 0; i < APPLIANCE_COUNT; i++) {
+            int port = FIRST_APPLIANCE_PORT + i;
+            listen(port, (in, out) -> serveAppliance(port, in, out));
         }
-        listen(LIST, Toy::list);
-        listen(DESK, Toy::desk);
+        listen(DISCOVERY_PORT, Toy::serveDiscovery);
+        listen(DESK_PORT, Toy::serveDesk);
         System.out.println("appliances, list and desk are up; end with Ctrl-C");
         Thread.currentThread().join();
     }
 
-    private static void listen(int port, Script script) throws IOException {
+    private static void listen(int port, ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        thread(() -> {
+        startThread(() -> {
             while (true) {
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
-                thread(() -> {
+                startThread(() -> {
                     try (socket) {
-                        script.play(new DataInputStream(socket.getInputStream()), socket.getOutputStream());
+                        handler.handle(new DataInputStream(socket.getInputStream()), socket.getOutputStream());
                     }
                 });
             }
@@ -67,12 +67,12 @@
         void run() throws Exception;
     }
 
-    private static void thread(Task task) {
+    private static void startThread(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (Exception e) {
-                // The other side has gone.
+                // The peer closed the connection.
             }
         });
         thread.setDaemon(true);
@@ -86,18 +86,18 @@
     }
 
     private static int build(int port) {
-        return port < FIRST_APPLIANCE + OF_BUILD_1 ? 1 : 2;
+        return port < FIRST_APPLIANCE_PORT + BUILD_1_COUNT ? 1 : 2;
     }
 
-    private static void appliance(int port, DataInputStream in, OutputStream out) throws Exception {
+    private static void serveAppliance(int port, DataInputStream in, OutputStream out) throws Exception {
         in.readNBytes(in.readInt() - 4);
         out.write(message('R', "\0\0\0\0"));
         out.write(message('Z', "I"));
         while (in.readUnsignedByte() == 'Q') {
             in.readNBytes(in.readInt() - 4);
             Thread.sleep(20);
-            start = start == 0 ? System.nanoTime() : start;
-            SERVED.merge(build(port), 1, Integer::sum);
+            stageStart = stageStart == 0 ? System.nanoTime() : stageStart;
+            SERVED_BY_BUILD.merge(build(port), 1, Integer::sum);
             String value = "build " + build(port) + " at " + port;
             out.write(message('T', "\0\1content\0\0\0\0\0\0\0\0\0\0\21\377\377\377\377\377\377\0\1"));
             out.write(message('D', "\0\1\0\0\0" + (char) value.length() + value));
@@ -106,7 +106,7 @@
         }
     }
 
-    private static String head(DataInputStream in) throws IOException {
+    private static String readRequest(DataInputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) in.readUnsignedByte());
@@ -116,51 +116,51 @@
         return head + new String(in.readNBytes(length), StandardCharsets.US_ASCII);
     }
 
-    private static void chunk(OutputStream out, String words) throws IOException {
-        byte[] bytes = words.getBytes(StandardCharsets.UTF_8);
-        out.write((Integer.toHexString(bytes.length) + "\r\n" + words
+    private static void writeChunk(OutputStream out, String text) throws IOException {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        out.write((Integer.toHexString(bytes.length) + "\r\n" + text
                 + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void list(DataInputStream in, OutputStream out) throws Exception {
-        head(in);
+    private static void serveDiscovery(DataInputStream in, OutputStream out) throws Exception {
+        readRequest(in);
         StringBuilder entries = new StringBuilder();
-        for (int i = 0; i < APPLIANCES; i++) {
-            int port = FIRST_APPLIANCE + i;
+        for (int i = 0; i < APPLIANCE_COUNT; i++) {
+            int port = FIRST_APPLIANCE_PORT + i;
             entries.append(i == 0 ? ""
                     : ",").append("{\"name\":\"toy-").append(port).append("\",\"address\":\"127.0.0.1:")
                     .append(port).append("\",\"zone\":\"here\",\"group\":0,\"status\":\"SERVING\",\"since_ms\":0,")
                     .append("\"release\":").append(build(port)).append('}');
         }
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        chunk(out, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n");
+        writeChunk(out, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n");
         while (true) {
             Thread.sleep(2000);
-            chunk(out, "\n");
+            writeChunk(out, "\n");
         }
     }
 
-    private static void desk(DataInputStream in, OutputStream out) throws Exception {
-        String head = head(in);
-        if (head.startsWith("GET")) {
+    private static void serveDesk(DataInputStream in, OutputStream out) throws Exception {
+        String request = readRequest(in);
+        if (request.startsWith("GET")) {
             out.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
                     .getBytes(StandardCharsets.US_ASCII));
             while (true) {
-                // Told again until the first RPC has come: the stage has not begun before.
-                chunk(out, "event: progress\ndata: Revision=2&Wave=0&State=" + state() + "&MaxShare=0.5&AgeMs="
+                // Sent repeatedly until the first RPC arrives, because the stage has not begun before.
+                writeChunk(out, "event: progress\ndata: Revision=2&Wave=0&State=" + state() + "&MaxShare=0.5&AgeMs="
                         + ageMs() + "\n\n");
-                while (start != 0) {
+                while (stageStart != 0) {
                     Thread.sleep(1000);
-                    chunk(out, ":\n\n");
+                    writeChunk(out, ":\n\n");
                 }
                 Thread.sleep(200);
             }
         }
         StringBuilder served = new StringBuilder();
-        SERVED.forEach((build, many) -> served.append(", build ").append(build).append(" has served ").append(many));
-        System.out.println("a vote: " + head.substring(head.lastIndexOf('\n') + 1) + served);
-        // The one stage's clock has run for fifteen seconds before an agent votes on; that releases build 2.
-        released |= head.endsWith("Decision=on");
+        SERVED_BY_BUILD.forEach((build, count) -> served.append(", build ").append(build).append(" has served ").append(count));
+        System.out.println("a vote: " + request.substring(request.lastIndexOf('\n') + 1) + served);
+        // There is one stage; an agent votes "on" after it has run for fifteen seconds, which releases build 2.
+        released |= request.endsWith("Decision=on");
         String body = "<?xml version=\"1.0\"?>\n<Response><entries><item><Revision>2</Revision><Wave>0</Wave>"
                 + "<State>" + state() + "</State><MaxShare>0.5</MaxShare><AgeMs>" + ageMs()
                 + "</AgeMs></item></entries></Response>";
@@ -173,43 +173,43 @@
     }
 
     private static long ageMs() {
-        return start == 0 ? 0 : (System.nanoTime() - start) / 1_000_000;
+        return stageStart == 0 ? 0 : (System.nanoTime() - stageStart) / 1_000_000;
     }
 
-    private static void ask(int times) throws Exception {
-        Map<String, Integer> answers = new TreeMap<>();
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), AGENT)) {
+    private static void sendRequests(int count) throws Exception {
+        Map<String, Integer> responses = new TreeMap<>();
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), AGENT_PORT)) {
             socket.setTcpNoDelay(true);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             OutputStream out = socket.getOutputStream();
             byte[] pairs = "user\0backend\0database\0store\0\0".getBytes(StandardCharsets.US_ASCII);
             out.write(ByteBuffer.allocate(8 + pairs.length).putInt(8
                     + pairs.length).putInt(196608).put(pairs).array());
-            answer(in);
-            for (int i = 0; i < times; i++) {
+            readResponse(in);
+            for (int i = 0; i < count; i++) {
                 out.write(message('Q', "SELECT content FROM kv WHERE name = 'key" + i + "' /* id=toy" + i
                         + ",c=look,t=acme,d=500 */\0"));
-                answers.merge(answer(in), 1, Integer::sum);
+                responses.merge(readResponse(in), 1, Integer::sum);
             }
         } catch (EOFException e) {
             System.out.println("the agent has closed the connection");
         }
-        answers.forEach((answer, many) -> System.out.println(many + " x " + answer));
+        responses.forEach((response, times) -> System.out.println(times + " x " + response));
     }
 
-    /** Up to ready: the value, or the code of the error. */
-    private static String answer(DataInputStream in) throws IOException {
-        String heard = "";
+    /** Reads up to the ready message; returns the value or the error code. */
+    private static String readResponse(DataInputStream in) throws IOException {
+        String response = "";
         while (true) {
             char type = (char) in.readUnsignedByte();
             String body = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.ISO_8859_1);
             if (type == 'Z') {
-                return heard;
+                return response;
             }
             if (type == 'D') {
-                heard = body.substring(6);
+                response = body.substring(6);
             } else if (type == 'E') {
-                heard = "error " + body.substring(body.indexOf("\0C") + 2, body.indexOf("\0M"));
+                response = "error " + body.substring(body.indexOf("\0C") + 2, body.indexOf("\0M"));
             }
         }
     }
--- a/example/flags.jsonnet
+++ b/example/flags.jsonnet
@@ -1,4 +1,4 @@
-// An agent that answers flags from the stand-ins that `honeygap standin flags` starts.
+// An agent that serves flags from the fake flag servers started by `honeygap standin flags`.
 local server(i, build) = {
   name: 'flags-' + i,
   address: '127.0.0.1:' + (18100 + i),
--- a/example/fleet.jsonnet
+++ b/example/fleet.jsonnet
@@ -1,4 +1,4 @@
-// Three agents with doors on loopback, as docs/manage.md starts the first of them.
+// Three agents with admin endpoints on loopback; docs/manage.md shows how to start the first one.
 {
   listen: '127.0.0.1:18700',
   store: 'fleet.store',
--- a/src/main/java/honeygap/cli/CaptureCommand.java
+++ b/src/main/java/honeygap/cli/CaptureCommand.java
@@ -37,9 +37,9 @@
 import java.util.zip.GZIPInputStream;
 import picocli.CommandLine;
 
-/** Subcommands on capture files. Exit codes: 0 all read, 1 read up to where a file was cut off, 2 not to be read. */
+/** Subcommands on capture files. Exit codes: 0 read completely, 1 a file is truncated, 2 a file cannot be read. */
 @CommandLine.Command(name = "capture", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "<what>",
-        description = "Look at pcap and pcapng files, and make new ones. Nothing is ever captured live.",
+        description = "Inspect, convert and generate pcap and pcapng files. Live capture is not supported.",
         subcommands = {CaptureCommand.Info.class, CaptureCommand.ListRpcs.class, CaptureCommand.Show.class,
             CaptureCommand.Export.class, CaptureCommand.Cut.class, CaptureCommand.Merge.class,
             CaptureCommand.Anonymise.class, CaptureCommand.Repair.class, CaptureCommand.Make.class})
@@ -56,14 +56,14 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "say what to do, such as info");
     }
 
-    /** One that reads files: what is wrong with them is one line. */
+    /** A command that reads capture files; each problem with a file is reported in one line. */
     abstract static class ReadingCommand implements Callable<Integer> {
 
         @CommandLine.Spec
         CommandLine.Model.CommandSpec spec;
 
         @CommandLine.Parameters(paramLabel = "FILE", arity = "1..*",
-                description = "Captures, read as one in the order of their packets' times.")
+                description = "Capture files, read as one, ordered by packet time.")
         List<Path> files;
 
         final Progress progress = new Progress();
@@ -100,11 +100,11 @@
         }
     }
 
-    /** One that takes some of the RPCs. */
+    /** A command that processes the RPCs selected by a filter. */
     abstract static class RpcCommand extends ReadingCommand {
 
         @CommandLine.Option(names = "--where", paramLabel = "FILTER",
-                description = "Only RPCs for which this holds, as: method == \"book\" and took > 20ms and not served")
+                description = "Only RPCs that match this filter, such as: method == \"book\" and took > 20ms and not served")
         String where;
 
         abstract void process(Spoken rpc, PrintWriter out) throws IOException;
@@ -132,11 +132,11 @@
     }
 
     @CommandLine.Command(name = "info", mixinStandardHelpOptions = true,
-            description = "Say what is in captures, and all that is out of the ordinary there.")
+            description = "Summarise captures and report all anomalies in them.")
     static final class Info extends RpcCommand {
 
-        @CommandLine.Option(names = "--strict", description = "Also hold each pcapng file against the letter of the"
-                + " formats, as one that this program wrote.")
+        @CommandLine.Option(names = "--strict", description = "Also validate each pcapng file strictly against the"
+                + " format specification, as a file that this program wrote.")
         private boolean strict;
 
         private final Map<String, Long> countsByOutcome = new TreeMap<>();
@@ -179,7 +179,7 @@
         }
     }
 
-    @CommandLine.Command(name = "list", mixinStandardHelpOptions = true, description = "A line an RPC.")
+    @CommandLine.Command(name = "list", mixinStandardHelpOptions = true, description = "Print one line per RPC.")
     static final class ListRpcs extends RpcCommand {
 
         @Override
@@ -192,7 +192,7 @@
     }
 
     @CommandLine.Command(name = "show", mixinStandardHelpOptions = true,
-            description = "RPCs with all that was asked and answered, control characters as dots.")
+            description = "Print RPCs with request and response bytes; non-printable characters as dots.")
     static final class Show extends RpcCommand {
 
         @Override
@@ -213,7 +213,7 @@
     }
 
     @CommandLine.Command(name = "export", mixinStandardHelpOptions = true,
-            description = "A row an RPC, into a file: .avro, .csv or .jsonl.")
+            description = "Write one row per RPC to a file: .avro, .csv or .jsonl.")
     static final class Export extends RpcCommand {
 
         @CommandLine.Option(names = {"-o", "--to"}, paramLabel = "FILE", required = true)
@@ -251,11 +251,11 @@
         }
     }
 
-    /** One that writes packets. */
+    /** A command that writes packets to a new capture file. */
     abstract static class PacketCommand extends ReadingCommand {
 
         @CommandLine.Option(names = {"-o", "--to"}, paramLabel = "FILE", required = true,
-                description = "Ends in .pcap or .pcapng, then .gz or .zst where it is to be compressed.")
+                description = "Output file, ending in .pcap or .pcapng, followed by .gz or .zst for compression.")
         Path to;
 
         long packetCount;
@@ -272,8 +272,8 @@
     }
 
     @CommandLine.Command(name = "cut", mixinStandardHelpOptions = true,
-            description = "Some of the packets: by time, by port, or those of connections with RPCs that a filter"
-                    + " takes.")
+            description = "Extract packets by time, by port, or of connections with RPCs that match a"
+                    + " filter.")
     static final class Cut extends PacketCommand {
 
         @CommandLine.Option(names = "--from", description = "Seconds after the first packet.", defaultValue = "0")
@@ -287,7 +287,7 @@
         private Integer port;
 
         @CommandLine.Option(names = "--where", paramLabel = "FILTER",
-                description = "Only connections with an RPC for which this holds; the files are read twice.")
+                description = "Only connections with an RPC that matches this filter; the files are read twice.")
         private String where;
 
         @Override
@@ -328,7 +328,7 @@
     }
 
     @CommandLine.Command(name = "merge", mixinStandardHelpOptions = true,
-            description = "All packets of several captures, in the order of their times.")
+            description = "Merge the packets of several captures in order of time.")
     static final class Merge extends PacketCommand {
 
         @Override
@@ -343,7 +343,7 @@
     }
 
     @CommandLine.Command(name = "repair", mixinStandardHelpOptions = true,
-            description = "All that is whole of a capture that was cut off, up to its last whole packet.")
+            description = "Recover a truncated capture up to its last complete packet.")
     static final class Repair extends PacketCommand {
 
         @Override
@@ -357,18 +357,18 @@
         @Override
         public Integer call() {
             int code = super.call();
-            // A file that was cut off is what this is for.
+            // A truncated input file is the expected case here.
             return code == EXIT_TRUNCATED ? 0 : code;
         }
     }
 
     @CommandLine.Command(name = "anonymise", mixinStandardHelpOptions = true,
-            description = "The same conversations with keys and values as keyed hashes of their length; the same"
-                    + " secret gives the same hashes. What can't be read is blacked out.")
+            description = "Replace keys and values by keyed hashes of the same length; the same secret gives the"
+                    + " same hashes. Data that can't be parsed is blanked out.")
     static final class Anonymise extends PacketCommand {
 
         @CommandLine.Option(names = "--secret", paramLabel = "FILE", required = true,
-                description = "A file with the secret of the hashes.")
+                description = "A file with the secret key for the hashes.")
         private Path secret;
 
         @Override
@@ -386,8 +386,8 @@
     }
 
     @CommandLine.Command(name = "make", mixinStandardHelpOptions = true,
-            description = "Make a morning of PostgreSQL traffic from a seed: a rate that swells and ebbs, keys by"
-                    + " Zipf, four methods.")
+            description = "Generate PostgreSQL traffic from a seed: varying rate, Zipf-distributed keys, four"
+                    + " methods.")
     static final class Make implements Callable<Integer> {
 
         @CommandLine.Spec
@@ -416,7 +416,7 @@
             int colon = server.lastIndexOf(':');
             InetSocketAddress serverAddress = new InetSocketAddress(server.substring(0, colon),
                     Integer.parseInt(server.substring(colon + 1)));
-            // A morning begins at six.
+            // A fixed start time, so that a seed always gives the same file.
             long startTime = Instant.parse("2026-01-05T06:00:00Z").getEpochSecond() * 1_000_000_000L;
             try (CaptureWriter writer = new CaptureWriter(to)) {
                 writer.begin(Synthesis.RAW);
--- a/src/main/java/honeygap/cli/Check.java
+++ b/src/main/java/honeygap/cli/Check.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine;
 
 @CommandLine.Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Read an agent's files and say what it would do with them, or all that is wrong there.")
+        description = "Validate an agent's settings files and summarise them, or report all errors.")
 final class Check extends Configured {
 
     @Override
@@ -33,10 +33,10 @@
 
     private static void printFlagSettings(FlagSheet settings, PrintWriter out) {
         out.println("answers flags on " + settings.listen + ", " + (settings.list != null ? "servers listed at "
-                + settings.list : settings.servers.size() + " servers named"));
-        out.println("votes " + (settings.desk != null ? "at the desk at " + settings.desk : "alone, through stages with"
+                + settings.list : settings.servers.size() + " static servers"));
+        out.println("votes " + (settings.desk != null ? "at the desk at " + settings.desk : "locally, through stages with"
                 + " caps " + java.util.Arrays.toString(settings.caps)));
-        settings.allowances.forEach(rule -> out.println("last good answers for flags " + rule.flags() + ": cached for "
+        settings.allowances.forEach(rule -> out.println("caching of answers for flags " + rule.flags() + ": fresh for "
                 + rule.cachedFor() / 10 + " ms, stale for " + rule.staleFor() / 10 + " ms"));
     }
 }
--- a/src/main/java/honeygap/cli/Configured.java
+++ b/src/main/java/honeygap/cli/Configured.java
@@ -25,7 +25,7 @@
 import org.tinylog.configuration.Configuration;
 import picocli.CommandLine;
 
-/** A subcommand that makes an agent of its files: what is wrong with them is told and ends with exit code 2. */
+/** A subcommand that creates an agent from its settings files. Invalid files are reported with exit code 2. */
 abstract class Configured implements Callable<Integer> {
 
     static final String SERVE = "serve";
@@ -34,28 +34,28 @@
     private CommandLine.Model.CommandSpec spec;
 
     @CommandLine.Option(names = "--config", paramLabel = "FILE", defaultValue = "${env:PROXY_CONFIG}",
-            description = "What the agent is told at start, as JSON (default: the file in PROXY_CONFIG).")
+            description = "Settings of the agent, as JSON (default: the file named by PROXY_CONFIG).")
     private Path config;
 
     @CommandLine.Option(names = "--flags", paramLabel = "FILE",
-            description = "Answer flags as well, as this Jsonnet file says; without --config, flags alone.")
+            description = "Also serve feature flags, with the settings in this Jsonnet file; without --config, only flags.")
     private Path flags;
 
     @CommandLine.Option(names = "--log", paramLabel = "FORM", defaultValue = "text",
-            description = "How the log is written: text, or json, an event a line (default: text).")
+            description = "Log format: text, or json with one event per line (default: text).")
     private Form form;
 
-    /** How the log is written. */
+    /** Log format; the names are the values of the option. */
     enum Form { text, json }
 
-    /** Where it writes and what it is called, where no command line was parsed. */
+    /** Output and error streams for use without a parsed command line; null otherwise. */
     private PrintWriter plainOut, plainErr;
 
     private final List<Agent.Source> sources = new ArrayList<>();
     private Fields agentSettings;
     private FlagSheet flagSettings;
 
-    /** Without a command line: goes by this file, and writes there. */
+    /** Configures the command without picocli: the settings file, which may be null, and the output streams. */
     final Configured withoutCommandLine(String file, PrintWriter out, PrintWriter err) {
         config = file == null ? null : Path.of(file);
         plainOut = out;
@@ -63,11 +63,11 @@
         return this;
     }
 
-    /** The agent's loop, before anything is on it. */
+    /** Called with the new event loop before anything is registered on it. */
     void loopCreated(Loop loop) throws IOException {
     }
 
-    /** Goes on with the agent, not yet started. */
+    /** Runs the command with the agent, which has not been started yet. */
     abstract void run(Agent agent, PrintWriter out) throws IOException, Malformed, InterruptedException;
 
     @Override
@@ -127,17 +127,17 @@
         return 2;
     }
 
-    /** All files of the agent, to be read once more. */
+    /** The settings files of the agent, for reloading. */
     final List<Agent.Source> sources() {
         return sources;
     }
 
-    /** What the agent is told at start; null where it answers flags alone. */
+    /** The agent's startup settings; null if it serves flags only. */
     final Fields agentSettings() {
         return agentSettings;
     }
 
-    /** Null where no flags are answered. */
+    /** The flag settings; null if the agent serves no flags. */
     final FlagSheet flagSettings() {
         return flagSettings;
     }
--- a/src/main/java/honeygap/cli/Fleet.java
+++ b/src/main/java/honeygap/cli/Fleet.java
@@ -24,9 +24,12 @@
 import java.util.function.Predicate;
 import picocli.CommandLine;
 
-/** What staff type. Exit codes: 0 done, 1 ended otherwise or not yet, 2 not understood or not reached, 3 busy. */
+/**
+ * Commands for operators of a manager. Exit codes: 0 done, 1 failed or not finished yet, 2 usage error or manager not
+ * reachable, 3 an agent is busy with another operation.
+ */
 @CommandLine.Command(name = "fleet", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "<what>",
-        description = "See and steer all agents of a manager.", subcommands = {Fleet.ListAgents.class, Fleet.Drain.class,
+        description = "Inspect and control all agents of a manager.", subcommands = {Fleet.ListAgents.class, Fleet.Drain.class,
             Fleet.Undrain.class, Fleet.Update.class, Fleet.Report.class, Fleet.History.class, Fleet.Cancel.class,
             Fleet.Resume.class, picocli.AutoComplete.GenerateCompletion.class})
 final class Fleet implements Runnable {
@@ -43,20 +46,20 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "say what to do, such as list");
     }
 
-    /** One that asks the manager. */
+    /** A command that sends requests to the manager. */
     abstract static class ManagerCommand implements Callable<Integer> {
 
         @CommandLine.Spec
         CommandLine.Model.CommandSpec spec;
 
         @CommandLine.Option(names = "--manager", defaultValue = "${env:HONEYGAP_MANAGER:-127.0.0.1:18700}",
-                description = "Where the manager is asked (default: HONEYGAP_MANAGER, or 127.0.0.1:18700).")
+                description = "Address of the manager (default: HONEYGAP_MANAGER, or 127.0.0.1:18700).")
         private String manager;
 
         @CommandLine.Option(names = "--token-file", description = "A file with the manager's token.")
         private Path tokenFile;
 
-        @CommandLine.Option(names = "--json", description = "As JSON, for programs.")
+        @CommandLine.Option(names = "--json", description = "Print JSON.")
         boolean json;
 
         private int status;
@@ -113,7 +116,7 @@
             return response;
         }
 
-        /** A table with columns as wide as what is in them. */
+        /** Prints a table; each column is as wide as its longest cell. */
         static void printTable(PrintWriter out, List<String[]> rows) {
             int[] widths = new int[rows.get(0).length];
             for (String[] row : rows) {
@@ -144,7 +147,7 @@
     }
 
     @CommandLine.Command(name = "list", aliases = "inspect", mixinStandardHelpOptions = true,
-            description = "All agents, or those that a selector takes, and how they stand.")
+            description = "List the status of all agents, or of those that match a selector.")
     static final class ListAgents extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "SELECTOR", defaultValue = "",
@@ -172,7 +175,7 @@
                 }
             }
             if (fleet.flag("cutOff")) {
-                out.println("the manager hears of too few agents to judge any: it may be cut off itself");
+                out.println("the manager receives reports from too few agents to judge any: it may be partitioned from the network itself");
             }
             printTable(out, rows);
             return allAlive ? 0 : EXIT_NOT_DONE;
@@ -188,32 +191,32 @@
         }
     }
 
-    /** One that begins an operation and, if asked, waits for its end. */
+    /** A command that starts an operation and waits for its end unless told not to. */
     abstract static class OperationCommand extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "SELECTOR", defaultValue = "",
                 description = "By labels, as location=east,build<43 (default: all).")
         private String selector;
 
-        @CommandLine.Option(names = "--id", description = "The operation's id; the same id is the same operation.")
+        @CommandLine.Option(names = "--id", description = "The operation's id; repeating an id does not start a second operation.")
         private String id;
 
-        @CommandLine.Option(names = "--again", description = "Even where the same command was given a moment ago.")
+        @CommandLine.Option(names = "--again", description = "Start a new operation even if the same command was given a moment ago.")
         private boolean again;
 
         @CommandLine.Option(names = "--at-once", defaultValue = "1",
-                description = "How many may be on their way or out of service at once (default: 1).")
+                description = "How many agents may be in progress or out of service at once (default: 1).")
         private int atOnce;
 
         @CommandLine.Option(names = "--failures", defaultValue = "1",
-                description = "Pause after so many that were not applied; 0 is never (default: 1).")
+                description = "Pause after this many failed agents; 0 never pauses (default: 1).")
         private int failures;
 
         @CommandLine.Option(names = "--within", paramLabel = "SECONDS", defaultValue = "60",
-                description = "What is not sent by then is not sent (default: 60).")
+                description = "Time limit for sending the command to all agents (default: 60).")
         private int within;
 
-        @CommandLine.Option(names = "--dry-run", description = "Only say which agents are meant.")
+        @CommandLine.Option(names = "--dry-run", description = "Only print the selected agents.")
         private boolean dryRun;
 
         @CommandLine.Option(names = "--no-wait", description = "Do not wait for the end.")
@@ -233,7 +236,7 @@
                 }
             }
             if (names.isEmpty()) {
-                throw new Malformed("no agent is meant by " + (selector.isEmpty() ? "nothing" : selector));
+                throw new Malformed("no agent matches " + (selector.isEmpty() ? "the empty selector" : selector));
             }
             if (dryRun) {
                 out.println("would " + action() + ": " + String.join(", ", names));
@@ -248,10 +251,10 @@
             switch (submitted.text("taken")) {
                 case "BUSY":
                     spec.commandLine().getErr().println(spec.name() + ": operation " + operation.text("id") + " ("
-                            + operation.text("action") + ") has some of these agents in hand; wait for it or cancel it");
+                            + operation.text("action") + ") is in progress on some of these agents; wait for it or cancel it");
                     return EXIT_BUSY;
                 case "INVALID":
-                    throw new Malformed("the id " + id + " is another command's");
+                    throw new Malformed("the id " + id + " belongs to a different command");
                 case "SAME":
                     out.println("the same command is operation " + operation.text("id") + " already");
                     break;
@@ -288,7 +291,7 @@
     }
 
     @CommandLine.Command(name = "drain", mixinStandardHelpOptions = true,
-            description = "Agents take no more clients and close connections between RPCs.")
+            description = "Drain agents: they accept no new clients and close connections between RPCs.")
     static final class Drain extends OperationCommand {
 
         @Override
@@ -297,7 +300,7 @@
         }
     }
 
-    @CommandLine.Command(name = "undrain", mixinStandardHelpOptions = true, description = "Agents take clients again.")
+    @CommandLine.Command(name = "undrain", mixinStandardHelpOptions = true, description = "Let agents accept clients again.")
     static final class Undrain extends OperationCommand {
 
         @Override
@@ -307,7 +310,7 @@
     }
 
     @CommandLine.Command(name = "update", mixinStandardHelpOptions = true,
-            description = "Agents read their files again, as on SIGHUP.")
+            description = "Let agents reload their settings files, as on SIGHUP.")
     static final class Update extends OperationCommand {
 
         @Override
@@ -316,7 +319,7 @@
         }
     }
 
-    /** One on an operation by its id. */
+    /** A command on an existing operation. */
     abstract static class ExistingOperationCommand extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "ID")
@@ -338,7 +341,7 @@
     }
 
     @CommandLine.Command(name = "report", mixinStandardHelpOptions = true,
-            description = "What became of an operation at each agent.")
+            description = "Show the result of an operation for each agent.")
     static final class Report extends ExistingOperationCommand {
 
         @Override
@@ -348,7 +351,7 @@
     }
 
     @CommandLine.Command(name = "cancel", mixinStandardHelpOptions = true,
-            description = "Call an operation off: what is not sent is not, what is on its way is fenced.")
+            description = "Cancel an operation: unsent commands are dropped, and commands in flight are fenced off.")
     static final class Cancel extends ExistingOperationCommand {
 
         @Override
@@ -358,7 +361,7 @@
     }
 
     @CommandLine.Command(name = "resume", mixinStandardHelpOptions = true,
-            description = "Let an operation go on that was paused by failures.")
+            description = "Resume an operation that was paused after failures.")
     static final class Resume extends ExistingOperationCommand {
 
         @Override
@@ -367,7 +370,7 @@
         }
     }
 
-    @CommandLine.Command(name = "history", mixinStandardHelpOptions = true, description = "All operations kept.")
+    @CommandLine.Command(name = "history", mixinStandardHelpOptions = true, description = "List all stored operations.")
     static final class History extends ManagerCommand {
 
         @Override
--- a/src/main/java/honeygap/cli/HangUp.java
+++ b/src/main/java/honeygap/cli/HangUp.java
@@ -4,9 +4,9 @@
 import org.tinylog.Logger;
 
 /**
- * SIGHUP, heard from the program's first line on. Guards against the runtime's own answer to it, which is to end: an
- * agent that is told to read its files again while it starts reads them once it can. The runtime's class for signals
- * is found by name: the compiler warns of it wherever it stands, and warnings fail the build.
+ * Handles SIGHUP from the start of the program. Without a handler the JVM exits on SIGHUP, so a reload requested during
+ * startup would kill the agent; instead it is remembered and executed once the agent can reload. The JDK's internal
+ * signal class is looked up by name because any direct use causes a compiler warning, and warnings fail the build.
  */
 final class HangUp {
 
@@ -18,7 +18,7 @@
     private HangUp() {
     }
 
-    /** From now on a signal is kept until there is something to do for it. */
+    /** Installs the handler. Signals received before {@link #setTask} are remembered. */
     static synchronized void installHandler() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -30,7 +30,7 @@
                     });
             Object previousHandler = signal.getMethod("handle", signal, handler).invoke(null,
                     signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
-            // The runtime takes the handler and drops it where the signal was ignored at the start, as under nohup.
+            // If SIGHUP was ignored when the process started, as under nohup, the JVM accepts the handler but never calls it.
             isIgnored = previousHandler == handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             failure = e;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** What is to be done for each signal, and now for one that has come; told in the log where none can come. */
+    /** Sets the task to run on each signal; runs it now if one was received earlier. Warns if signals cannot be received. */
     static void setTask(Runnable task) {
         boolean wasPending;
         synchronized (HangUp.class) {
@@ -57,10 +57,10 @@
             isPending = false;
         }
         if (isIgnored) {
-            Logger.warn("SIGHUP is ignored by whoever started this process: new configurations go unheard");
+            Logger.warn("SIGHUP is ignored in this process, as set by its parent: it cannot be used to reload settings");
         }
         if (failure != null) {
-            Logger.warn(failure, "SIGHUP can't be heard here");
+            Logger.warn(failure, "SIGHUP handler could not be installed");
         }
         if (wasPending) {
             task.run();
--- a/src/main/java/honeygap/cli/JsonLinesWriter.java
+++ b/src/main/java/honeygap/cli/JsonLinesWriter.java
@@ -14,15 +14,15 @@
 import org.tinylog.writers.Writer;
 
 /**
- * One event a line as JSON: time (RFC 3339, UTC), level, class, message, the ids of its context, and the class
- * and message of what was thrown. The logging library makes it by its name, "json lines".
+ * Log writer with one JSON object per line: time (RFC 3339, UTC), level, class, message, the ids of the logging context,
+ * and the class and message of the exception, if any. The logging library creates it by its name, "json lines".
  */
 public final class JsonLinesWriter implements Writer {
 
     private final JsonFactory jsonFactory = new JsonFactory();
     private final PrintStream out = System.out;
 
-    /** The library hands over the properties of its own; none is known here. */
+    /** Called by the logging library with the writer's properties, none of which is used. */
     public JsonLinesWriter(Map<String, String> properties) {
     }
 
--- a/src/main/java/honeygap/cli/Lab.java
+++ b/src/main/java/honeygap/cli/Lab.java
@@ -3,9 +3,9 @@
 import honeygap.lab.soak.SoakCommand;
 import picocli.CommandLine;
 
-/** Tools that run the program in processes of their own, for its developers. */
+/** Development tools that run the program in separate processes. */
 @CommandLine.Command(name = "lab", mixinStandardHelpOptions = true, subcommands = SoakCommand.class,
-        description = "Run the program in processes of its own, under faults.")
+        description = "Run the program in separate processes with injected faults.")
 final class Lab implements Runnable {
 
     @CommandLine.Spec
--- a/src/main/java/honeygap/cli/Main.java
+++ b/src/main/java/honeygap/cli/Main.java
@@ -7,7 +7,7 @@
 import java.util.Properties;
 import picocli.CommandLine;
 
-/** The command line: one subcommand for each way of running honeygap. */
+/** The command line interface, with one subcommand for each way of running honeygap. */
 @CommandLine.Command(name = "honeygap", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
         synopsisSubcommandLabel = "<subcommand>",
         description = "A proxy that tries out new builds on live traffic.",
@@ -35,7 +35,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is missing");
     }
 
-    /** The version that the build gave it. */
+    /** The version, written into the properties file by the build. */
     static final class Version implements CommandLine.IVersionProvider {
 
         @Override
--- a/src/main/java/honeygap/cli/Manage.java
+++ b/src/main/java/honeygap/cli/Manage.java
@@ -14,14 +14,14 @@
 import picocli.CommandLine;
 
 @CommandLine.Command(name = "manage", mixinStandardHelpOptions = true,
-        description = "Run the managing agent: it polls the doors of its agents and carries out operations on them.")
+        description = "Run the manager: it polls the admin endpoints of its agents and carries out operations on them.")
 final class Manage implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     @CommandLine.Option(names = "--fleet", paramLabel = "FILE", required = true,
-            description = "The agents, as Jsonnet; docs/manage.md has the fields.")
+            description = "The agents, as Jsonnet; docs/manage.md describes the fields.")
     private Path fleet;
 
     @Override
--- a/src/main/java/honeygap/cli/Progress.java
+++ b/src/main/java/honeygap/cli/Progress.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Supplier;
 
-/** One line on a terminal that says how far a command is; nothing at all in a pipe. */
+/** A progress line on the terminal; prints nothing if the program is not attached to a terminal. */
 final class Progress {
 
     private static final long UPDATE_INTERVAL_NS = 200_000_000;
@@ -12,7 +12,7 @@
     private boolean isLineShown;
     private int calls;
 
-    /** The words are made only when they are shown. */
+    /** Shows progress at most once per interval; the text is computed only if it is shown. */
     void update(Supplier<String> text) {
         if (!isTerminal || (++calls & 255) != 0 || System.nanoTime() - lastShownAt < UPDATE_INTERVAL_NS) {
             return;
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -23,15 +23,15 @@
 import picocli.CommandLine;
 
 /**
- * Starts an agent on loopback, has it answer one RPC and ends: run by the build so that the runtime can write an
- * archive of the classes that an agent needs, which saves each later start reading and checking them anew.
+ * Starts an agent on loopback, lets it serve one RPC and exits. The build runs it so that the JVM can write a class data
+ * sharing archive of the classes that an agent needs, which saves loading and verifying them at each start.
  */
 @CommandLine.Command(name = "rehearse", mixinStandardHelpOptions = true,
-        description = "Start an agent on loopback, let it answer one RPC and end: the build archives its classes so.")
+        description = "Start an agent on loopback, serve one RPC and exit; used by the build to archive the classes.")
 final class Rehearse implements Callable<Integer> {
 
     private static final int READ_TIMEOUT_MS = 5000;
-    /** What an agent runs; the rest of the jar is for other subcommands. */
+    /** Name prefixes of the classes that an agent uses; the rest of the jar is for other subcommands. */
     private static final List<String> PARTS = List.of("honeygap/Rules", "honeygap/Ctl", "honeygap/rules/",
             "honeygap/terms/", "honeygap/fleet/", "honeygap/net/", "honeygap/read/", "honeygap/cli/Serve",
             "honeygap/cli/Configured", "honeygap/cli/Start", "honeygap/cli/HangUp");
@@ -72,7 +72,7 @@
         int loaded = 0;
         Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().getPath());
         if (!Files.isRegularFile(jar)) {
-            return 0;    // Classes of a folder go into no archive.
+            return 0;    // Classes outside a jar cannot be archived.
         }
         try (JarFile file = new JarFile(jar.toFile())) {
             for (String name : file.stream().map(entry -> entry.getName()).sorted().toList()) {
--- a/src/main/java/honeygap/cli/Render.java
+++ b/src/main/java/honeygap/cli/Render.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine;
 
 @CommandLine.Command(name = "render", mixinStandardHelpOptions = true,
-        description = "Print the JSON that a Jsonnet file comes to.")
+        description = "Evaluate a Jsonnet file and print the resulting JSON.")
 final class Render implements Callable<Integer> {
 
     @CommandLine.Spec
--- a/src/main/java/honeygap/cli/Replay.java
+++ b/src/main/java/honeygap/cli/Replay.java
@@ -21,12 +21,12 @@
 import java.util.function.Predicate;
 import picocli.CommandLine;
 
-/** Sends the RPCs of captures again. Exit codes: 0 answered as recorded, 1 some were not, 2 not to be read. */
+/** Replays the RPCs of captures. Exit codes: 0 responses as recorded, 1 some differ or are missing, 2 unreadable file. */
 @CommandLine.Command(name = "replay", mixinStandardHelpOptions = true,
-        description = "Send the RPCs of captures to an agent, each at its recorded time, and compare the answers.")
+        description = "Send the RPCs of captures to an agent, each at its recorded time, and compare the responses.")
 final class Replay implements Callable<Integer> {
 
-    /** RPCs are heard when they end, up to so long, in nanoseconds, after those that began later. */
+    /** A capture yields RPCs when they end; sorting by start holds each back for this long, in nanoseconds. */
     private static final long REORDER_WINDOW_NS = 20_000_000_000L;
 
     @CommandLine.Spec
@@ -36,10 +36,10 @@
     private List<Path> files;
 
     @CommandLine.Option(names = "--to", paramLabel = "ADDRESS", required = true,
-            description = "Where the agent listens, in figures.")
+            description = "Numeric address and port of the agent.")
     private String to;
 
-    @CommandLine.Option(names = "--speed", defaultValue = "1", description = "How many times as fast (default: 1).")
+    @CommandLine.Option(names = "--speed", defaultValue = "1", description = "Speed-up factor (default: 1).")
     private double speed;
 
     @CommandLine.Option(names = "--from", defaultValue = "0", description = "Seconds after the first RPC.")
@@ -48,27 +48,27 @@
     @CommandLine.Option(names = "--until", defaultValue = "1e9", description = "Seconds after the first RPC.")
     private double until;
 
-    @CommandLine.Option(names = "--repeat", defaultValue = "1", description = "How many times over (default: 1).")
+    @CommandLine.Option(names = "--repeat", defaultValue = "1", description = "Number of repetitions (default: 1).")
     private int repeat;
 
     @CommandLine.Option(names = "--effects",
-            description = "Also send what may have an effect; left out otherwise.")
+            description = "Also send RPCs that may have side effects; skipped by default.")
     private boolean effects;
 
     @CommandLine.Option(names = "--deadline", paramLabel = "MS", defaultValue = "0",
             description = "The deadline of each RPC in ms (default: as recorded).")
     private long deadline;
 
-    @CommandLine.Option(names = "--map-keys", description = "Send other keys, the same for the same (by the seed).")
+    @CommandLine.Option(names = "--map-keys", description = "Replace each key by a pseudonym that depends on the seed.")
     private boolean mapKeys;
 
-    @CommandLine.Option(names = "--by-value", description = "Compare answers by value, not by kind alone.")
+    @CommandLine.Option(names = "--by-value", description = "Compare responses by value, not only by outcome.")
     private boolean byValue;
 
     @CommandLine.Option(names = "--seed", defaultValue = "1")
     private long seed;
 
-    @CommandLine.Option(names = "--where", paramLabel = "FILTER", description = "Only RPCs for which this holds.")
+    @CommandLine.Option(names = "--where", paramLabel = "FILTER", description = "Only RPCs that match this filter.")
     private String where;
 
     @Override
@@ -99,7 +99,7 @@
         return 2;
     }
 
-    /** RPCs in the order of their beginnings: a capture tells of each when it ends. */
+    /** Passes on the RPCs in order of their start; a capture yields them in order of their end. */
     private void readByStartTime(Consumer<Spoken> consumer) throws Exception {
         PriorityQueue<Spoken> sorted = new PriorityQueue<>(Comparator.comparingLong(rpc -> rpc.at));
         long[] firstStart = {Long.MIN_VALUE};
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -20,45 +20,45 @@
 import picocli.CommandLine;
 
 @CommandLine.Command(name = Configured.SERVE, mixinStandardHelpOptions = true,
-        description = "Run one agent on sockets. On SIGHUP it reads its files again: the list, the desk and the flag"
-                + " servers are those named there from then on.")
+        description = "Run one agent on sockets. On SIGHUP it reloads its files: the addresses of discovery, desk and flag"
+                + " servers are taken from them from then on.")
 final class Serve extends Configured {
 
     private static final int RECORDER_BUFFER_BYTES = 8 << 20;
 
     @CommandLine.Option(names = "--record", paramLabel = "FOLDER",
-            description = "Write all that is sent and received into captures there (off unless named).")
+            description = "Record all traffic into capture files in this folder (off by default).")
     private Path record;
 
     @CommandLine.Option(names = "--record-size", paramLabel = "MIB", defaultValue = "256",
-            description = "A new file after so many MiB before compression (default: 256).")
+            description = "Start a new file after this many MiB before compression (default: 256).")
     private long recordSize;
 
     @CommandLine.Option(names = "--record-age", paramLabel = "SECONDS", defaultValue = "600",
-            description = "A new file after so many seconds (default: 600).")
+            description = "Start a new file after this many seconds (default: 600).")
     private long recordAge;
 
     @CommandLine.Option(names = "--record-files", paramLabel = "N", defaultValue = "24",
-            description = "The oldest file goes when there are more (default: 24).")
+            description = "Maximum number of files; the oldest is deleted (default: 24).")
     private int recordFiles;
 
     @CommandLine.Option(names = "--redact", paramLabel = "FILE",
-            description = "Hide keys and values in captures, as hashes with the secret in this file.")
+            description = "Replace keys and values in captures by hashes keyed with the secret in this file.")
     private Path redact;
 
     @CommandLine.Option(names = "--door", paramLabel = "ADDRESS",
-            description = "Listen there for a manager (off unless named); loopback alone without --door-token.")
+            description = "Address of the admin endpoint for a manager (off by default); loopback only without --door-token.")
     private String door;
 
-    @CommandLine.Option(names = "--door-token", paramLabel = "FILE", description = "A file with the token it must show.")
+    @CommandLine.Option(names = "--door-token", paramLabel = "FILE", description = "A file with the token that the manager has to send.")
     private Path doorToken;
 
     @CommandLine.Option(names = "--ledger", paramLabel = "FILE", defaultValue = "honeygap-ledger.jsonl",
-            description = "Where commands that were carried out are kept (default: honeygap-ledger.jsonl).")
+            description = "File that stores the executed commands (default: honeygap-ledger.jsonl).")
     private Path ledger;
 
     @CommandLine.Option(names = "--sites", paramLabel = "FILE",
-            description = "Share tables with other processes as this Jsonnet file says (off unless named; needs --door).")
+            description = "Replicate tables with other processes, as set in this Jsonnet file (off by default; needs --door).")
     private Path sitesFile;
 
     private Recorder recorder;
@@ -86,22 +86,22 @@
         if (door != null) {
             String token = doorToken == null ? "" : Files.readString(doorToken).strip();
             String name = agentSettings() != null && agentSettings().has("name") ? agentSettings().text("name") : flagSettings() != null ? flagSettings().name : "";
-            // Another process is another generation, also on a machine whose clock stands still.
+            // Random rather than taken from the clock, so that each process has its own even if the clock does not advance.
             long generation = new SecureRandom().nextLong() & Long.MAX_VALUE | 1;
-            // Files are read beside the loop, which goes on serving.
+            // Files are read on a separate thread so that the event loop keeps serving.
             adminEndpoint = new Door(loop, agent, name, ledger, token, generation,
                     () -> new Thread(() -> agent.reread(sources()), "rereading").start());
             agent.count("door", adminEndpoint);
             if (sitesFile != null) {
-                // Later lives go before earlier ones by the clock; one that went back is found out by the others.
+                // A restart supersedes earlier runs by the clock; the other members detect a clock that went back.
                 sites = new Sites(SitesSheet.of(Template.read(sitesFile), name), System.currentTimeMillis(), token);
                 adminEndpoint.aside(sites);
                 agent.count("sites", sites);
             }
         } else if (sitesFile != null) {
-            throw new Malformed("--sites needs --door: others come by it");
+            throw new Malformed("--sites needs --door: other processes connect to it");
         }
-        // Before the first client can come: one that is told to end just then still answers it.
+        // Installed before the first client can connect, so that even an immediate SIGTERM leaves no client unanswered.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 agent.leave();
--- a/src/main/java/honeygap/cli/Standin.java
+++ b/src/main/java/honeygap/cli/Standin.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine;
 
 @CommandLine.Command(name = "standin", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "<kind>",
-        description = "Stand in for the servers behind an agent, on loopback.", subcommands = {Standin.Flags.class, Standin.Store.class})
+        description = "Run fake upstream servers for an agent, on loopback.", subcommands = {Standin.Flags.class, Standin.Store.class})
 final class Standin implements Runnable {
 
     @CommandLine.Spec
@@ -29,8 +29,8 @@
     }
 
     @CommandLine.Command(name = "flags", mixinStandardHelpOptions = true,
-            description = "Flag servers on neighbouring ports, until the end. POST to /standin/drain, /undrain,"
-                    + " /flags, /fail or /delay changes one; docs/flags.md has the bodies.")
+            description = "Run flag servers on consecutive ports until interrupted. POST to /standin/drain, /undrain,"
+                    + " /flags, /fail or /delay controls one; docs/flags.md describes the bodies.")
     static final class Flags implements Callable<Integer> {
 
         @CommandLine.Spec
@@ -39,11 +39,11 @@
         @CommandLine.Option(names = "--port", defaultValue = "18101", description = "The first port.")
         private int port;
 
-        @CommandLine.Option(names = "--count", defaultValue = "3", description = "How many servers.")
+        @CommandLine.Option(names = "--count", defaultValue = "3", description = "Number of servers.")
         private int count;
 
         @CommandLine.Option(names = "--flags", paramLabel = "FILE",
-                description = "Their flags, as Jsonnet (default: a few of all types).")
+                description = "The flags to serve, as Jsonnet (default: an example with all types).")
         private Path flags;
 
         @Override
@@ -74,8 +74,8 @@
     }
 
     @CommandLine.Command(name = "store", mixinStandardHelpOptions = true,
-            description = "Appliances on neighbouring ports, which answer each statement with the value that goes with"
-                    + " its key, until the end.")
+            description = "Run appliances on consecutive ports until interrupted; each answers a statement with a value"
+                    + " derived from its key.")
     static final class Store implements Callable<Integer> {
 
         @CommandLine.Spec
@@ -84,10 +84,10 @@
         @CommandLine.Option(names = "--port", defaultValue = "18201", description = "The first port.")
         private int port;
 
-        @CommandLine.Option(names = "--count", defaultValue = "3", description = "How many appliances.")
+        @CommandLine.Option(names = "--count", defaultValue = "3", description = "Number of appliances.")
         private int count;
 
-        @CommandLine.Option(names = "--delay", defaultValue = "0", description = "Milliseconds an answer takes.")
+        @CommandLine.Option(names = "--delay", defaultValue = "0", description = "Response delay in milliseconds.")
         private long delay;
 
         @Override
--- a/src/main/java/honeygap/cli/Start.java
+++ b/src/main/java/honeygap/cli/Start.java
@@ -3,13 +3,13 @@
 import java.io.PrintWriter;
 
 /**
- * Where the program begins. An agent that is told all by its environment starts without the parser of command lines:
- * with nothing to parse, that and the subcommands which it reads would be a third of the start, and after trouble
- * many agents start at once.
+ * Entry point of the program. A plain "serve" without options, configured by the environment, bypasses the command line
+ * parser: loading the parser and its subcommands would take a third of the startup time, which matters when many agents
+ * restart at once after an outage.
  */
 public final class Start {
 
-    /** The program's first line, by the runtime's clock; the runtime's own start before it is not in it. */
+    /** Start of the program by {@link System#nanoTime}, without the startup of the JVM before it. */
     static final long STARTED_AT = System.nanoTime();
 
     private Start() {
--- a/src/main/java/honeygap/read/Deployment.java
+++ b/src/main/java/honeygap/read/Deployment.java
@@ -10,10 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What an agent is told of its deployment at start, read the same way for the simulator and for sockets. */
+/** Parses the deployment settings that an agent gets at startup, in the same way for the simulator and for sockets. */
 public final class Deployment {
 
-    /** The protocol counts a change as told after so long, whether it arrived or not; tenths of a millisecond. */
+    /** Longest time, in tenths of a millisecond, after which the protocol treats a change as delivered to every agent. */
     private static final long MAX_PROPAGATION_DELAY = 60_000;
 
     private Deployment() {
@@ -30,7 +30,7 @@
         return methods;
     }
 
-    /** Where lists are pushed, the simulator's wire brings them by itself. */
+    /** Discovery settings under the simulator, which delivers pushed lists without a subscription. */
     public static Listing onWire(Fields info) throws Malformed {
         return new Listing(isPolled(info), !isPolled(info), maxPollInterval(info), 0);
     }
@@ -43,10 +43,10 @@
         };
     }
 
-    /** On sockets a list comes by a watch alone, whether it is pushed or asked for: who opens none is told nothing. */
+    /** Discovery settings on sockets, where lists arrive only over a watch that the agent opens, in push mode too. */
     public static Listing onSockets(Fields info) throws Malformed {
         long maxDelay = maxPollInterval(info) > 0 ? maxPollInterval(info) : MAX_PROPAGATION_DELAY;
-        // Without a rule on drains there is nothing that an old list could break.
+        // The list needs a lease only if a drain rule exists: otherwise using an outdated list violates nothing.
         boolean hasDrainRule = info.part("Rules").has("StopSendingWithinNs");
         return new Listing(true, !isPolled(info), maxDelay, hasDrainRule ? Math.min(maxDelay, MAX_PROPAGATION_DELAY) : 0);
     }
--- a/src/main/java/honeygap/read/Fields.java
+++ b/src/main/java/honeygap/read/Fields.java
@@ -10,19 +10,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fields of one JSON object, by name. Reading a field that is missing or of another type is a fault. */
+/** A parsed JSON object. Reading a field that is missing or has another type throws {@link Malformed}. */
 public final class Fields {
 
-    /** Tenths of a millisecond, the unit of the core, in the wire's nanoseconds. */
+    /** Nanoseconds (the unit in settings) per tenth of a millisecond (the unit of the decision code). */
     public static final long NS = 100_000;
 
     private final Map<String, Object> values = new LinkedHashMap<>();
-    /** Where it stands: null at the top; a field of what it is in, and the place in its list, or less than none. */
+    /** The enclosing object, null at the top level. */
     private final Fields parent;
     private final String name;
+    /** Position in the enclosing array, negative if this object is not in an array. */
     private final int arrayIndex;
 
-    /** An object without fields, on its own. */
+    /** Creates an empty top-level object. */
     public Fields() {
         this(null, "", -1);
     }
@@ -33,7 +34,7 @@
         this.arrayIndex = arrayIndex;
     }
 
-    /** Reads the object that the parser has just entered. */
+    /** Reads an object whose start token the parser has just consumed. */
     public static Fields read(JsonParser parser) throws IOException {
         return read(parser, new Fields(null, "", -1));
     }
@@ -47,7 +48,7 @@
         return object;
     }
 
-    /** Reads the object that the parser is to begin with. */
+    /** Parses a whole document, which has to be an object. */
     public static Fields document(JsonParser parser) throws IOException, Malformed {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new Malformed("not an object");
@@ -81,12 +82,12 @@
         }
     }
 
-    /** The names of all fields, in the order of their coming. */
+    /** The names of all fields in document order. */
     public Set<String> names() {
         return values.keySet();
     }
 
-    /** What a field holds: text, a number, true or false, a list, {@code Fields}, or null. */
+    /** The value of a field: a string, number, boolean, list, {@link Fields} or null. */
     public Object value(String name) {
         return values.get(name);
     }
@@ -103,7 +104,7 @@
         return has(name) ? whole(name) : ifAbsent;
     }
 
-    /** A small whole number. */
+    /** A non-negative integer that fits an {@code int}. */
     public int index(String name) throws Malformed {
         return toInt(name, whole(name));
     }
@@ -112,7 +113,7 @@
         return has(name) ? index(name) : ifAbsent;
     }
 
-    /** A time or duration, rounded down to whole tenths of a millisecond. */
+    /** A time or duration in nanoseconds, rounded down to tenths of a millisecond. */
     public long tenths(String name) throws Malformed {
         return Math.floorDiv(whole(name), NS);
     }
@@ -129,7 +130,7 @@
         return has(name) ? number(name) : ifAbsent;
     }
 
-    /** A whole number that may be written with a fraction of zero. */
+    /** A non-negative integer that may be written as a decimal number, such as 3.0. */
     public int rounded(String name) throws Malformed {
         return toInt(name, Math.round(number(name)));
     }
@@ -154,12 +155,12 @@
         return get(name, Fields.class, "an object");
     }
 
-    /** An object that may be absent, and is empty then. */
+    /** An optional object; empty if absent. */
     public Fields part(String name) throws Malformed {
         return has(name) ? object(name) : new Fields(this, name, -1);
     }
 
-    /** What is wrong with a field, with its place from the top on. */
+    /** An exception whose message gives the full path of the field. */
     public Malformed fault(String name, String problem) {
         return new Malformed("field " + path() + name + " " + problem);
     }
@@ -168,11 +169,11 @@
         return parent == null ? "" : parent.path() + name + (arrayIndex < 0 ? "" : "[" + arrayIndex + "]") + ".";
     }
 
-    /** A duration that has to be longer than none, in tenths of a millisecond. */
+    /** A duration in nanoseconds, converted to tenths of a millisecond, that has to be positive. */
     public long positiveTenths(String name) throws Malformed {
         long tenths = tenths(name);
         if (tenths <= 0) {
-            throw fault(name, "is no time at all: " + whole(name));
+            throw fault(name, "is not a positive duration: " + whole(name));
         }
         return tenths;
     }
@@ -200,7 +201,7 @@
         return numbers;
     }
 
-    /** An address in figures and a port: names are not looked up. */
+    /** A numeric IP address and port; host names are rejected, so that parsing needs no DNS lookup. */
     public InetSocketAddress address(String name) throws Malformed {
         String text = text(name);
         int colon = text.lastIndexOf(':');
--- a/src/main/java/honeygap/read/FlagSheet.java
+++ b/src/main/java/honeygap/read/FlagSheet.java
@@ -15,13 +15,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** What an operator's own file says of the flag API; docs/flags.md has each field. */
+/** Settings of the flag API, read from the operator's file; docs/flags.md describes each field. */
 public final class FlagSheet {
 
-    /** A flag server that the file names: a state of {@code Appliance}. */
+    /** A flag server in the static list; the state is one of the constants of {@link Appliance}. */
     public record Named(String name, InetSocketAddress address, int build, String location, int state) { }
 
-    /** The agent's in its log; empty where it has none here. */
+    /** The agent's name in its log; empty if not set. */
     public final String name;
     public final InetSocketAddress listen;
     public final int clients;
@@ -37,14 +37,14 @@
     public final int cells;
     public final int keptBytes;
     public final List<Allowance> allowances = new ArrayList<>();
-    /** One flag, all flags, an event, an event with a key. */
+    /** The methods by index: evaluate one flag, evaluate all flags, track an event, track an event with a key. */
     public final List<Method> methods;
-    /** Empty where the servers are listed elsewhere. */
+    /** The static list of servers; empty if servers come from discovery. */
     public final List<Named> servers = new ArrayList<>();
-    /** Null where the file names the servers. */
+    /** Address of discovery; null if the file has a static list of servers. */
     public final InetSocketAddress list;
     public final long askWithin;
-    /** Null where this agent's vote decides alone. */
+    /** Address of the release desk; null if this agent decides on rollouts alone. */
     public final InetSocketAddress desk;
     public final long callTimeout;
     public final double[] caps;
@@ -148,7 +148,7 @@
         return new Method(index, effect, scope, window, softDeadline, deadline, 1, 0);
     }
 
-    /** Reads the whole of it; all that is wrong is told at once, a line each. */
+    /** Reads all settings. The exception reports every error found, one per line. */
     public static FlagSheet of(Fields object) throws Malformed {
         Sheet reader = new Sheet(object);
         FlagSheet settings = new FlagSheet(reader);
@@ -159,7 +159,7 @@
         return settings;
     }
 
-    /** The decision module for flags. */
+    /** Creates the decision engine for flag evaluation. */
     public Rules rules(long now, long seed) {
         return new Rules(now, seed, agentCount, step, methods, new Tries(maxAttempts, true, retryAfterMost),
                 new Listing(list != null, true, askWithin, 0), coldTerms, deskTerms, exposure);
--- a/src/main/java/honeygap/read/Malformed.java
+++ b/src/main/java/honeygap/read/Malformed.java
@@ -1,6 +1,6 @@
 package honeygap.read;
 
-/** What came in does not make sense; the message names the fault. */
+/** Thrown for input that cannot be parsed or is not valid; the message says what is wrong with it. */
 public class Malformed extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/honeygap/read/Sheet.java
+++ b/src/main/java/honeygap/read/Sheet.java
@@ -9,9 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A form that an operator has filled in, read field by field. What is wrong does not end the reading: every
- * fault is noted with its path, the type or unit expected and what stands there, and something harmless is
- * read instead; {@link #noted} says in the end whether any of it may be used.
+ * Reads an operator's settings field by field. An invalid field does not stop the reading: the error is recorded
+ * with the field's path, the expected type or unit and the value found, and a harmless value is returned instead.
+ * The settings may be used only if {@link #noted} is empty at the end.
  */
 public final class Sheet {
 
@@ -23,7 +23,7 @@
     private final List<String> errors;
     private final Set<String> knownNames = new LinkedHashSet<>();
 
-    /** The whole of a form. */
+    /** Creates a reader of the top-level object. */
     public Sheet(Fields fields) {
         this(fields, "", new ArrayList<>());
     }
@@ -34,21 +34,21 @@
         this.errors = errors;
     }
 
-    /** All that was found wrong in the whole form so far, a line each. */
+    /** All errors found so far in the whole document, one line each. */
     public List<String> noted() {
         return errors;
     }
 
-    /** Ends the reading of this part: notes fields that nobody has asked for. */
+    /** Reports all fields of this section that were never read, as unknown. Call it last. */
     public void end() {
         for (String name : fields.names()) {
             if (!knownNames.contains(name)) {
-                errors.add(path + name + ": nothing goes by this name; known here: " + String.join(", ", knownNames));
+                errors.add(path + name + ": unknown field; known fields: " + String.join(", ", knownNames));
             }
         }
     }
 
-    /** Notes that a field holds what it must not. */
+    /** Records that a field does not have the expected value. */
     public void fault(String name, String expected) {
         Object found = fields.value(name);
         errors.add(path + name + ": " + expected + " expected, " + (found == null ? "nothing"
@@ -69,7 +69,7 @@
         return has(name) ? readOrReport(name, () -> fields.flag(name), ifAbsent, "true or false") : ifAbsent;
     }
 
-    /** One of some words; the first where the field is absent. */
+    /** One of several string values; the first is the default. */
     public String choice(String name, String... choices) {
         String value = text(name, choices[0]);
         if (!List.of(choices).contains(value)) {
@@ -85,7 +85,7 @@
         }
         String expected = "a whole number from " + min + " to " + max;
         Object value = fields.value(name);
-        // Templates write whole numbers with a fraction of zero at times.
+        // Jsonnet may write an integer as a decimal number, such as 3.0.
         if (value instanceof Number number && number.doubleValue() == Math.rint(number.doubleValue())
                 && number.doubleValue() >= min && number.doubleValue() <= max) {
             return number.longValue();
@@ -124,7 +124,7 @@
         }
     }
 
-    /** A time such as 250ms, 1.5s, 2m or 1h, in tenths of a millisecond. */
+    /** A duration such as 250ms, 1.5s, 2m or 1h, in tenths of a millisecond. */
     public long duration(String name, String ifAbsent) {
         String text = has(name) ? fields.value(name).toString() : ifAbsent;
         Matcher matcher = DURATION.matcher(text);
@@ -142,13 +142,13 @@
         return Long.parseLong(matcher.group(1)) * unit + tenths * unit / 10;
     }
 
-    /** An address in figures and a port. */
+    /** A numeric IP address and port; required. */
     public InetSocketAddress address(String name) {
         return has(name) ? readOrReport(name, () -> fields.address(name), PLACEHOLDER_ADDRESS, "an address such as \"127.0.0.1:8016\"")
                 : defaultOrReport(name, null, "an address such as \"127.0.0.1:8016\"");
     }
 
-    /** An object, empty where it is absent; goes on with the faults of this one. */
+    /** An optional nested object; its errors are added to those of this reader. */
     public Sheet part(String name) {
         Fields object = has(name) ? readOrReport(name, () -> fields.object(name), null, "an object") : null;
         return new Sheet(object == null ? new Fields() : object, path + name + ".", errors);
@@ -165,7 +165,7 @@
         return sections;
     }
 
-    /** All fields of a part whose names are the operator's own, each as text. */
+    /** Passes each field of a section with free-form names to the action, with its value as text. */
     public void each(java.util.function.BiConsumer<String, String> action) {
         for (String name : this.fields.names()) {
             knownNames.add(name);
--- a/src/main/java/honeygap/read/Signs.java
+++ b/src/main/java/honeygap/read/Signs.java
@@ -1,12 +1,12 @@
 package honeygap.read;
 
-/** Signs of comparison, as operators type them in filters and selectors. */
+/** Comparison operators of filters and selectors. */
 public final class Signs {
 
     private Signs() {
     }
 
-    /** Whether an order, below, at or above 0, is what the sign asks for. */
+    /** Whether the result of a comparison (negative, zero or positive) satisfies an operator. */
     public static boolean holds(String operator, int comparison) {
         switch (operator) {
             case "=", "==":
--- a/src/main/java/honeygap/read/Template.java
+++ b/src/main/java/honeygap/read/Template.java
@@ -15,15 +15,15 @@
 import sjsonnet.SjsonnetMain;
 
 /**
- * Operators' own files: Jsonnet templates, of which JSON is a part. The library that evaluates them loads with
- * this class, which is touched only where such a file is named.
+ * Evaluates operators' settings files, which are Jsonnet (a superset of JSON). Only this class uses the Jsonnet library,
+ * so that the library is not loaded unless such a file is configured.
  */
 public final class Template {
 
     private Template() {
     }
 
-    /** The JSON that a file comes to; what is wrong with it is told with file, line and column. */
+    /** Evaluates a file to JSON text; errors are reported with file, line and column. */
     public static String render(Path file) throws IOException, Malformed {
         if (!Files.isRegularFile(file)) {
             throw new NoSuchFileException(file.toString());
@@ -44,7 +44,7 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** The fields of the object that a file comes to. */
+    /** Evaluates a file and parses the resulting JSON object. */
     public static Fields read(Path file) throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(render(file))) {
             return Fields.document(parser);
--- a/src/main/java/honeygap/standin/FlagServer.java
+++ b/src/main/java/honeygap/standin/FlagServer.java
@@ -17,15 +17,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A flag server to try an agent with: the remote evaluation protocol over HTTP/1.1, and a few paths by which it
- * is told to drain, to take a new set of flags or to do wrong. It is for loopback and promises no speed.
+ * A fake flag server for trying out an agent. It speaks the OpenFeature remote evaluation protocol over HTTP/1.1, and has
+ * control paths to drain it, replace its flags or inject failures. For use on loopback; not optimised for speed.
  */
 public final class FlagServer implements AutoCloseable {
 
     private static final String EVALUATE_PATH = "/ofrep/v1/evaluate/flags";
 
     static {
-        // Head and body go out in two writes: without it the second one waits for a late acknowledgement.
+        // The server writes head and body separately: with Nagle's algorithm the body waits for a delayed acknowledgement.
         System.setProperty("sun.net.httpserver.nodelay", "true");
     }
 
@@ -40,7 +40,7 @@
     private volatile double failShare;
     private volatile long delayMs;
 
-    /** Port 0 takes any that is free. */
+    /** Starts the server; port 0 selects any free port. */
     public FlagServer(InetSocketAddress address, Fields flags) throws IOException, Malformed {
         flagSet = new FlagSet(flags);
         server = HttpServer.create(address, 1024);
@@ -60,7 +60,7 @@
         return server.getAddress();
     }
 
-    /** Evaluations answered well so far. */
+    /** The number of successful evaluations so far. */
     public long served() {
         return served.get();
     }
@@ -77,7 +77,7 @@
         draining = isDraining;
     }
 
-    /** A share of what is asked is answered with this status; 0 ends it. */
+    /** Answers this share of the requests with this HTTP status; status 0 ends it. */
     public void fail(int status, double share) {
         failStatus = status;
         failShare = share;
@@ -121,7 +121,7 @@
         out.writeStringField("errorDetails", details);
     }
 
-    /** The context of a request; null where the body is none of the protocol's. */
+    /** The evaluation context of a request; null if the body is malformed. */
     private Fields readContext(HttpExchange exchange) throws IOException {
         try (JsonParser parser = jsonFactory.createParser(exchange.getRequestBody().readAllBytes())) {
             return Fields.document(parser).part("context");
@@ -138,7 +138,7 @@
         }
         if (draining || failStatus > 0 && ThreadLocalRandom.current().nextDouble() < failShare) {
             int status = draining ? 503 : failStatus;
-            respond(exchange, status, out -> writeError(out, null, "GENERAL", draining ? "draining" : "told to fail"));
+            respond(exchange, status, out -> writeError(out, null, "GENERAL", draining ? "draining" : "injected failure"));
             return true;
         }
         return false;
@@ -194,7 +194,7 @@
         }
     }
 
-    /** POST /standin/drain, /undrain, /flags (a set), /fail (status, share) and /delay (ms). */
+    /** Handles POST to /standin/drain, /undrain, /flags (a flag set), /fail (status, share) and /delay (ms). */
     private void control(HttpExchange exchange) throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
         try (JsonParser parser = jsonFactory.createParser(body.length == 0 ? "{}".getBytes(StandardCharsets.UTF_8) : body)) {
@@ -205,7 +205,7 @@
                 case "/standin/flags" -> take(parameters);
                 case "/standin/fail" -> fail(parameters.index("status", 0), parameters.number("share", 1));
                 case "/standin/delay" -> setDelay(parameters.index("ms", 0));
-                default -> throw new Malformed("nothing is here");
+                default -> throw new Malformed("unknown path");
             }
             respond(exchange, 200, out -> out.writeStringField("version", String.valueOf(flagSet.version)));
         } catch (Malformed e) {
--- a/src/main/java/honeygap/standin/FlagSet.java
+++ b/src/main/java/honeygap/standin/FlagSet.java
@@ -12,15 +12,15 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A numbered set of flags, as a flag server has it: each with variants, rules on the context, and a split by
- * percent on a hash of flag and targeting key.
+ * A versioned set of flags of a fake flag server. Each flag has variants, targeting rules on the context, and a percentage
+ * split by a hash of flag name and targeting key.
  */
 final class FlagSet {
 
-    /** What a flag comes to for one context: null values are the caller's own default. */
+    /** The result of evaluating a flag for a context. A null value means that the caller uses its own default. */
     record Result(String variant, Object value, String reason) { }
 
-    /** A variant for contexts that hold all of these fields. */
+    /** Selects a variant for contexts that have all of these field values. */
     private record Rule(Fields conditions, String variant) { }
 
     private static final class Flag {
@@ -57,7 +57,7 @@
         return flags.keySet();
     }
 
-    /** Null for a flag that is not in the set. */
+    /** Evaluates a flag; null if the flag is not in the set. */
     Result evaluate(String name, Fields context) throws Malformed {
         Flag flag = flags.get(name);
         if (flag == null) {
@@ -90,7 +90,7 @@
         return new Result(variant, flag.variants.value(variant), reason);
     }
 
-    /** Writes what stands in the protocol's form between the braces of one evaluation. */
+    /** Writes the fields of one evaluation response, without the enclosing braces. */
     void write(JsonGenerator out, String name, Result result) throws IOException {
         out.writeStringField("key", name);
         out.writeStringField("reason", result.reason);
--- a/src/main/java/honeygap/standin/StoreServer.java
+++ b/src/main/java/honeygap/standin/StoreServer.java
@@ -13,14 +13,14 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** An appliance to try an agent with: answers each statement with the value that goes with its key. */
+/** A fake appliance for trying out an agent: answers each statement with a value derived from its key. */
 public final class StoreServer implements AutoCloseable {
 
     private final ServerSocket server;
     private final AtomicLong served = new AtomicLong();
     private volatile long delayMs;
 
-    /** Port 0 takes any that is free. */
+    /** Starts the server; port 0 selects any free port. */
     public StoreServer(InetSocketAddress address) throws IOException {
         server = new ServerSocket();
         server.bind(address, 1024);
@@ -42,7 +42,7 @@
             try {
                 task.run();
             } catch (IOException | Malformed e) {
-                // The other side has closed, or can't be understood.
+                // The peer closed the connection or sent malformed data.
             }
         }, "stand-in");
         thread.setDaemon(true);
--- a/src/main/resources/honeygap/lab/soak/faults.c
+++ b/src/main/resources/honeygap/lab/soak/faults.c
@@ -1,8 +1,8 @@
 /*
- * Faults of the system's calls for soak runs, loaded into an agent by LD_PRELOAD: calls on sockets fail for a moment in the
- * ways that Linux documents, reads and writes are short, waits are interrupted, and the wall clock is stepped. The
- * monotonic clock is left alone. HONEYGAP_FAULT_RATE is one fault in so many calls, 0 for none; HONEYGAP_FAULT_SEED seeds
- * them; HONEYGAP_CLOCK_FILE holds the step of the wall clock, in seconds, as text.
+ * Injects system call faults in soak tests, loaded into an agent by LD_PRELOAD: socket calls fail temporarily with errors
+ * that Linux documents, reads and writes are short, waits are interrupted, and the wall clock is stepped. The monotonic
+ * clock is not changed. HONEYGAP_FAULT_RATE is the number of calls per fault, 0 for no faults; HONEYGAP_FAULT_SEED seeds
+ * the choice; HONEYGAP_CLOCK_FILE names a text file with the wall clock step in seconds.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,19 +21,19 @@
 
 static atomic_ulong calls;
 
-static unsigned long setting(const char *name) {
+static unsigned long env_number(const char *name) {
     const char *text = getenv(name);
     return text ? strtoul(text, 0, 10) : 0;
 }
 
-/* 0 for no fault, or a number drawn for it. */
-static unsigned long fault(void) {
+/* Draws whether the next call fails: 0 for no fault, otherwise a random number that selects the kind of fault. */
+static unsigned long draw_fault(void) {
     static unsigned long rate, seed;
-    static atomic_int known;
-    if (!known) {
-        rate = setting("HONEYGAP_FAULT_RATE");
-        seed = setting("HONEYGAP_FAULT_SEED");
-        known = 1;
+    static atomic_int is_initialized;
+    if (!is_initialized) {
+        rate = env_number("HONEYGAP_FAULT_RATE");
+        seed = env_number("HONEYGAP_FAULT_SEED");
+        is_initialized = 1;
     }
     if (!rate) {
         return 0;
@@ -52,34 +52,34 @@
 
 #define NEXT(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
 
-/* Connections that were accepted: an error on one of them would be its client's end, and the client is still there. */
-#define DESCRIPTORS 65536
-static atomic_char accepted[DESCRIPTORS];
+/* Marks accepted connections. They get no read errors: that would look as if the client, which is alive, had gone. */
+#define MAX_DESCRIPTORS 65536
+static atomic_char accepted[MAX_DESCRIPTORS];
 
 static int is_accepted(int fd) {
-    return fd >= 0 && fd < DESCRIPTORS && accepted[fd];
+    return fd >= 0 && fd < MAX_DESCRIPTORS && accepted[fd];
 }
 
-static int note_accepted(int fd, int is_so) {
-    if (fd >= 0 && fd < DESCRIPTORS) {
-        accepted[fd] = is_so;
+static int mark_accepted(int fd, int is_accepted_socket) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) {
+        accepted[fd] = is_accepted_socket;
     }
     return fd;
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     static const int errors[] = {ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EPROTO, EINTR};
-    unsigned long drawn = fault();
+    unsigned long drawn = draw_fault();
     if (drawn) {
         errno = errors[drawn % 6];
         return -1;
     }
-    return note_accepted(NEXT(accept)(fd, address, length), 1);
+    return mark_accepted(NEXT(accept)(fd, address, length), 1);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS};
-    unsigned long drawn = fault();
+    unsigned long drawn = draw_fault();
     if (drawn && address->sa_family == AF_INET) {
         errno = errors[drawn % 3];
         return -1;
@@ -89,25 +89,25 @@
 
 int socket(int domain, int type, int protocol) {
     static const int errors[] = {ENFILE, ENOBUFS, EMFILE};
-    unsigned long drawn = domain == AF_INET ? fault() : 0;
+    unsigned long drawn = domain == AF_INET ? draw_fault() : 0;
     if (drawn) {
         errno = errors[drawn % 3];
         return -1;
     }
-    return note_accepted(NEXT(socket)(domain, type, protocol), 0);
+    return mark_accepted(NEXT(socket)(domain, type, protocol), 0);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    if (fault()) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+    if (draw_fault()) {
         errno = EINTR;
         return -1;
     }
-    return NEXT(epoll_wait)(fd, events, most, timeout);
+    return NEXT(epoll_wait)(fd, events, max_events, timeout);
 }
 
 ssize_t read(int fd, void *buffer, size_t length) {
     static const int errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
-    unsigned long drawn = length > 1 && is_socket(fd) ? fault() : 0;
+    unsigned long drawn = length > 1 && is_socket(fd) ? draw_fault() : 0;
     if (drawn && drawn % 4 == 0 && !is_accepted(fd)) {
         errno = errors[drawn / 4 % 3];
         return -1;
@@ -116,20 +116,20 @@
 }
 
 ssize_t write(int fd, const void *buffer, size_t length) {
-    unsigned long drawn = length > 1 && is_socket(fd) ? fault() : 0;
+    unsigned long drawn = length > 1 && is_socket(fd) ? draw_fault() : 0;
     return NEXT(write)(fd, buffer, drawn ? 1 + drawn % (length - 1) : length);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-    unsigned long drawn = is_socket(fd) ? fault() : 0;
+    unsigned long drawn = is_socket(fd) ? draw_fault() : 0;
     return NEXT(writev)(fd, parts, drawn ? 1 : count);
 }
 
 static long clock_step(void) {
     static atomic_long step;
-    static atomic_ulong looks;
+    static atomic_ulong reads;
     const char *file = getenv("HONEYGAP_CLOCK_FILE");
-    if (file && atomic_fetch_add(&looks, 1) % 16 == 0) {
+    if (file && atomic_fetch_add(&reads, 1) % 16 == 0) {
         char text[32] = {0};
         int fd = open(file, O_RDONLY | O_CLOEXEC);
         if (fd >= 0) {
@@ -143,17 +143,17 @@
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
-    int outcome = NEXT(clock_gettime)(clock, time);
-    if (outcome == 0 && clock == CLOCK_REALTIME) {
+    int result = NEXT(clock_gettime)(clock, time);
+    if (result == 0 && clock == CLOCK_REALTIME) {
         time->tv_sec += clock_step();
     }
-    return outcome;
+    return result;
 }
 
 int gettimeofday(struct timeval *restrict time, void *restrict zone) {
-    int outcome = NEXT(gettimeofday)(time, zone);
-    if (outcome == 0) {
+    int result = NEXT(gettimeofday)(time, zone);
+    if (result == 0) {
         time->tv_sec += clock_step();
     }
-    return outcome;
+    return result;
 }
--- a/src/test/java/honeygap/read/DeploymentTest.java
+++ b/src/test/java/honeygap/read/DeploymentTest.java
@@ -120,8 +120,8 @@
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "\"AimNs\": 450000000, | '' | settings.Classes[1].AimNs is missing",
-        "\"AimNs\": 450000000 | \"AimNs\": 0 | settings.Classes[1].AimNs is no time at all: 0",
-        "\"GiveUpNs\": 800000000 | \"GiveUpNs\": -5 | settings.Classes[2].GiveUpNs is no time at all: -5",
+        "\"AimNs\": 450000000 | \"AimNs\": 0 | settings.Classes[1].AimNs is not a positive duration: 0",
+        "\"GiveUpNs\": 800000000 | \"GiveUpNs\": -5 | settings.Classes[2].GiveUpNs is not a positive duration: -5",
         "\"Effect\": \"non_idempotent\" | \"Effect\": \"odd\" | settings.Classes[2].Effect is unknown: odd",
         "\"KeyScope\": \"all\" | \"KeyScope\": 3 | settings.Classes[1].KeyScope is not a string",
         "\"KeyScope\": \"all\" | \"KeyScope\": \"town\" | settings.Classes[1].KeyScope is unknown: town",
@@ -130,7 +130,7 @@
         "\"MaxAttempts\": 4 | \"MaxAttempts\": -4 | settings.Ceilings.MaxAttempts is out of range: -4",
         "\"push\" | \"shove\" | settings.RegistryMode is unknown: shove",
         "\"TickNs\": 4000000, | '' | settings.TickNs is missing",
-        "\"TickNs\": 4000000 | \"TickNs\": 0 | settings.TickNs is no time at all: 0",
+        "\"TickNs\": 4000000 | \"TickNs\": 0 | settings.TickNs is not a positive duration: 0",
         "\"by_count\" | \"by_weight\" | settings.FamilyInfo.GateMode is unknown: by_weight",
         "[0.1, 0.3, 1.0] | [0.1, \"x\"] | settings.FamilyInfo.Caps holds something other than numbers",
         "\"ColdFrom\": 0.4 | \"ColdFrom\": [] | settings.Rules.ColdFrom is not a number",
