--- a/src/main/java/honeygap/cli/CaptureCommand.java
+++ b/src/main/java/honeygap/cli/CaptureCommand.java
@@ -66,7 +66,7 @@
                 description = "Capture files, read as one, ordered by packet time.")
         List<Path> files;
 
-        final Progress progress = new Progress();
+        final ProgressLine progress = new ProgressLine();
 
         abstract void run(Reading reading, PrintWriter out) throws IOException;
 
@@ -369,11 +369,11 @@
 
         @CommandLine.Option(names = "--secret", paramLabel = "FILE", required = true,
                 description = "A file with the secret key for the hashes.")
-        private Path secret;
+        private Path secretFile;
 
         @Override
         void write(Reading reading, CaptureWriter writer) throws IOException {
-            Anonymous anonymiser = new Anonymous(new Mask(Files.readAllBytes(secret)), packet -> {
+            Anonymous anonymiser = new Anonymous(new Mask(Files.readAllBytes(secretFile)), packet -> {
                 writer.write(packet);
                 packetCount++;
             });
--- a/src/main/java/honeygap/cli/Configured.java
+++ b/src/main/java/honeygap/cli/Configured.java
@@ -43,13 +43,13 @@
 
     @CommandLine.Option(names = "--log", paramLabel = "FORM", defaultValue = "text",
             description = "Log format: text, or json with one event per line (default: text).")
-    private Form form;
+    private LogFormat logFormat;
 
     /** Log format; the names are the values of the option. */
-    enum Form { text, json }
+    enum LogFormat { text, json }
 
     /** Output and error streams for use without a parsed command line; null otherwise. */
-    private PrintWriter plainOut, plainErr;
+    private PrintWriter directOut, directErr;
 
     private final List<Agent.Source> sources = new ArrayList<>();
     private Fields agentSettings;
@@ -58,8 +58,8 @@
     /** Configures the command without picocli: the settings file, which may be null, and the output streams. */
     final Configured withoutCommandLine(String file, PrintWriter out, PrintWriter err) {
         config = file == null ? null : Path.of(file);
-        plainOut = out;
-        plainErr = err;
+        directOut = out;
+        directErr = err;
         return this;
     }
 
@@ -72,7 +72,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        if (form == Form.json) {
+        if (logFormat == LogFormat.json) {
             Configuration.set("writer", "json lines");
         }
         if (config == null && flags == null) {
@@ -102,7 +102,7 @@
                 protocols.add(protocol);
                 sources.add(() -> protocol.reread(FlagSheet.of(Template.read(flags))));
             }
-            run(new Agent(loop, protocols), spec == null ? plainOut : spec.commandLine().getOut());
+            run(new Agent(loop, protocols), spec == null ? directOut : spec.commandLine().getOut());
             return 0;
         } catch (Malformed e) {
             e.getMessage().lines().forEach(line -> fail(faultyFile(e) + ": " + line));
@@ -122,7 +122,7 @@
 
     private int fail(String message) {
         String name = spec == null ? SERVE : spec.name();
-        PrintWriter err = spec == null ? plainErr : spec.commandLine().getErr();
+        PrintWriter err = spec == null ? directErr : spec.commandLine().getErr();
         err.println(name + ": " + message.lines().findFirst().orElse(""));
         return 2;
     }
--- a/src/main/java/honeygap/cli/Fleet.java
+++ b/src/main/java/honeygap/cli/Fleet.java
@@ -222,7 +222,7 @@
         @CommandLine.Option(names = "--no-wait", description = "Do not wait for the end.")
         private boolean noWait;
 
-        private final Progress progress = new Progress();
+        private final ProgressLine progress = new ProgressLine();
 
         abstract String action();
 
--- a/src/main/java/honeygap/cli/HangUp.java
+++ b/src/main/java/honeygap/cli/HangUp.java
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Sets the task to run on each signal; runs it now if one was received earlier. Warns if signals cannot be received. */
+    /** Sets the task to run on each signal and runs it now if one was received earlier; logs if none can be received. */
     static void setTask(Runnable task) {
         boolean wasPending;
         synchronized (HangUp.class) {
--- a/src/main/java/honeygap/cli/Manage.java
+++ b/src/main/java/honeygap/cli/Manage.java
@@ -22,12 +22,12 @@
 
     @CommandLine.Option(names = "--fleet", paramLabel = "FILE", required = true,
             description = "The agents, as Jsonnet; docs/manage.md describes the fields.")
-    private Path fleet;
+    private Path fleetFile;
 
     @Override
     public Integer call() throws InterruptedException {
         try {
-            FleetSheet settings = FleetSheet.of(Template.read(fleet));
+            FleetSheet settings = FleetSheet.of(Template.read(fleetFile));
             String token = settings.tokenFile.isEmpty() ? "" : Files.readString(Path.of(settings.tokenFile)).strip();
             Manager manager = new Manager(settings, token);
             Runtime.getRuntime().addShutdownHook(new Thread(manager::close, "leaving"));
@@ -36,7 +36,7 @@
             new CountDownLatch(1).await();
             return 0;
         } catch (Malformed e) {
-            e.getMessage().lines().forEach(line -> spec.commandLine().getErr().println("manage: " + fleet + ": " + line));
+            e.getMessage().lines().forEach(line -> spec.commandLine().getErr().println("manage: " + fleetFile + ": " + line));
         } catch (NoSuchFileException e) {
             spec.commandLine().getErr().println("manage: " + e.getFile() + ": no such file");
         } catch (IOException | IllegalStateException e) {
--- a/src/main/java/honeygap/cli/Progress.java
+++ b/src/main/java/honeygap/cli/ProgressLine.java
@@ -3,7 +3,7 @@
 import java.util.function.Supplier;
 
 /** A progress line on the terminal; prints nothing if the program is not attached to a terminal. */
-final class Progress {
+final class ProgressLine {
 
     private static final long UPDATE_INTERVAL_NS = 200_000_000;
 
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -23,8 +23,8 @@
 import picocli.CommandLine;
 
 /**
- * Starts an agent on loopback, lets it serve one RPC and exits. The build runs it so that the JVM can write a class data
- * sharing archive of the classes that an agent needs, which saves loading and verifying them at each start.
+ * Starts an agent on loopback, lets it serve one RPC and exits. The build runs it so that the JVM can write a class
+ * data sharing archive of the classes that an agent needs, which saves loading and verifying them at each start.
  */
 @CommandLine.Command(name = "rehearse", mixinStandardHelpOptions = true,
         description = "Start an agent on loopback, serve one RPC and exit; used by the build to archive the classes.")
--- a/src/main/java/honeygap/cli/Replay.java
+++ b/src/main/java/honeygap/cli/Replay.java
@@ -21,7 +21,7 @@
 import java.util.function.Predicate;
 import picocli.CommandLine;
 
-/** Replays the RPCs of captures. Exit codes: 0 responses as recorded, 1 some differ or are missing, 2 unreadable file. */
+/** Replays the RPCs of captures. Exit codes: 0 responses as recorded, 1 some differ or are missing, 2 unreadable. */
 @CommandLine.Command(name = "replay", mixinStandardHelpOptions = true,
         description = "Send the RPCs of captures to an agent, each at its recorded time, and compare the responses.")
 final class Replay implements Callable<Integer> {
@@ -84,7 +84,7 @@
             Plan plan = new Plan(speed, effects, filter, 10_000_000_000L);
             Mask mask = mapKeys ? new Mask(ByteBuffer.allocate(8).putLong(seed).array()) : null;
             Tally tally = new Tally();
-            Progress progress = new Progress();
+            ProgressLine progress = new ProgressLine();
             new Replayer(target, plan, new Rewriting(seed, deadline, mask), tally, byValue).play(this::readByStartTime, repeat,
                     () -> progress.show("sent " + tally.sent() + ", ended " + tally.ended() + ", late " + tally.late()
                             + ", differ " + tally.different()));
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -28,7 +28,7 @@
 
     @CommandLine.Option(names = "--record", paramLabel = "FOLDER",
             description = "Record all traffic into capture files in this folder (off by default).")
-    private Path record;
+    private Path recordFolder;
 
     @CommandLine.Option(names = "--record-size", paramLabel = "MIB", defaultValue = "256",
             description = "Start a new file after this many MiB before compression (default: 256).")
@@ -44,18 +44,18 @@
 
     @CommandLine.Option(names = "--redact", paramLabel = "FILE",
             description = "Replace keys and values in captures by hashes keyed with the secret in this file.")
-    private Path redact;
+    private Path redactionSecretFile;
 
     @CommandLine.Option(names = "--door", paramLabel = "ADDRESS",
             description = "Address of the admin endpoint for a manager (off by default); loopback only without --door-token.")
-    private String door;
+    private String adminAddress;
 
     @CommandLine.Option(names = "--door-token", paramLabel = "FILE", description = "A file with the token that the manager has to send.")
-    private Path doorToken;
+    private Path adminTokenFile;
 
     @CommandLine.Option(names = "--ledger", paramLabel = "FILE", defaultValue = "honeygap-ledger.jsonl",
             description = "File that stores the executed commands (default: honeygap-ledger.jsonl).")
-    private Path ledger;
+    private Path ledgerFile;
 
     @CommandLine.Option(names = "--sites", paramLabel = "FILE",
             description = "Replicate tables with other processes, as set in this Jsonnet file (off by default; needs --door).")
@@ -67,9 +67,9 @@
     @Override
     void loopCreated(Loop loop) throws IOException {
         this.loop = loop;
-        if (record != null) {
-            Mask mask = redact == null ? null : new Mask(Files.readAllBytes(redact));
-            recorder = new Recorder(record, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RECORDER_BUFFER_BYTES,
+        if (recordFolder != null) {
+            Mask mask = redactionSecretFile == null ? null : new Mask(Files.readAllBytes(redactionSecretFile));
+            recorder = new Recorder(recordFolder, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RECORDER_BUFFER_BYTES,
                     mask);
             loop.tap(recorder);
         }
@@ -83,13 +83,14 @@
         }
         Door adminEndpoint = null;
         Sites sites = null;
-        if (door != null) {
-            String token = doorToken == null ? "" : Files.readString(doorToken).strip();
-            String name = agentSettings() != null && agentSettings().has("name") ? agentSettings().text("name") : flagSettings() != null ? flagSettings().name : "";
-            // Random rather than taken from the clock, so that each process has its own even if the clock does not advance.
+        if (adminAddress != null) {
+            String token = adminTokenFile == null ? "" : Files.readString(adminTokenFile).strip();
+            String name = agentSettings() != null && agentSettings().has("name") ? agentSettings().text("name")
+                    : flagSettings() != null ? flagSettings().name : "";
+            // Random rather than taken from the clock, so that it is unique even if the clock does not advance.
             long generation = new SecureRandom().nextLong() & Long.MAX_VALUE | 1;
             // Files are read on a separate thread so that the event loop keeps serving.
-            adminEndpoint = new Door(loop, agent, name, ledger, token, generation,
+            adminEndpoint = new Door(loop, agent, name, ledgerFile, token, generation,
                     () -> new Thread(() -> agent.reread(sources()), "rereading").start());
             agent.count("door", adminEndpoint);
             if (sitesFile != null) {
@@ -115,12 +116,12 @@
         loop.startedAt(Start.STARTED_AT);
         agent.start();
         if (adminEndpoint != null) {
-            int colon = door.lastIndexOf(':');
+            int colon = adminAddress.lastIndexOf(':');
             try {
-                adminEndpoint.listen(new InetSocketAddress(door.substring(0, Math.max(0, colon)),
-                        Integer.parseInt(door.substring(colon + 1))));
+                adminEndpoint.listen(new InetSocketAddress(adminAddress.substring(0, Math.max(0, colon)),
+                        Integer.parseInt(adminAddress.substring(colon + 1))));
             } catch (NumberFormatException e) {
-                throw new Malformed("not an address: " + door);
+                throw new Malformed("not an address: " + adminAddress);
             }
             Logger.info("the door is at {}", adminEndpoint.address());
             if (sites != null) {
--- a/src/main/java/honeygap/read/Deployment.java
+++ b/src/main/java/honeygap/read/Deployment.java
@@ -24,7 +24,7 @@
         for (Fields method : info.objects("Classes")) {
             methods.add(new Method(methods.size(), effect(method),
                     scope(method), method.tenths("WindowNs", 0),
-                    method.positiveTenths("AimNs"), method.positiveTenths("GiveUpNs"),
+                    method.positiveTenthsOfMs("AimNs"), method.positiveTenthsOfMs("GiveUpNs"),
                     method.number("Worth", 1), method.number("LateWorth", 0)));
         }
         return methods;
@@ -68,25 +68,25 @@
     }
 
     public static Desk desk(Fields info) throws Malformed {
-        Fields family = info.part("FamilyInfo");
-        return new Desk(gate(family), family.tenths("VoteStandsNs", 0), family.tenths("SoakNs", 20_000),
-                family.tenths("CallTimeoutNs", 0), family.index("NoesNeeded", 1), family.number("VotesPerS", 1),
-                family.tenths("TallyEveryNs", 0) > 0 ? family.number("SampledShare", 0) : 0,
-                family.tenths("TallyEveryNs", 0));
+        Fields rollout = info.part("FamilyInfo");
+        return new Desk(gate(rollout), rollout.tenths("VoteStandsNs", 0), rollout.tenths("SoakNs", 20_000),
+                rollout.tenths("CallTimeoutNs", 0), rollout.index("NoesNeeded", 1), rollout.number("VotesPerS", 1),
+                rollout.tenths("TallyEveryNs", 0) > 0 ? rollout.number("SampledShare", 0) : 0,
+                rollout.tenths("TallyEveryNs", 0));
     }
 
     public static Exposure exposure(Fields info) throws Malformed {
-        Fields family = info.part("FamilyInfo");
-        return new Exposure(family.has("Caps") ? family.numbers("Caps") : new double[0],
-                family.has("Waves") ? family.numbers("Waves") : new double[0],
-                family.tenths("WindowNs", 0), family.number("Uncounted", 0),
-                family.text("CapScope", "all").equals("each_class"), family.index("Shielded", 0),
-                family.flag("KeysStay", false));
+        Fields rollout = info.part("FamilyInfo");
+        return new Exposure(rollout.has("Caps") ? rollout.numbers("Caps") : new double[0],
+                rollout.has("Waves") ? rollout.numbers("Waves") : new double[0],
+                rollout.tenths("WindowNs", 0), rollout.number("Uncounted", 0),
+                rollout.text("CapScope", "all").equals("each_class"), rollout.index("Shielded", 0),
+                rollout.flag("KeysStay", false));
     }
 
     public static Rules rules(long now, long seed, List<Method> methods, Fields info, Listing listing)
             throws Malformed {
-        return new Rules(now, seed, info.index("FleetSize", 1), info.positiveTenths("TickNs"), methods, tries(info), listing,
+        return new Rules(now, seed, info.index("FleetSize", 1), info.positiveTenthsOfMs("TickNs"), methods, tries(info), listing,
                 cold(info), desk(info), exposure(info));
     }
 
@@ -116,8 +116,8 @@
         }
     }
 
-    private static int gate(Fields family) throws Malformed {
-        switch (family.text("GateMode", "first_voice")) {
+    private static int gate(Fields rollout) throws Malformed {
+        switch (rollout.text("GateMode", "first_voice")) {
             case "first_voice":
                 return Desk.FIRST_VOICE;
             case "by_count":
@@ -125,7 +125,7 @@
             case "automatic":
                 return Desk.AUTOMATIC;
             default:
-                throw family.fault("GateMode", "is unknown: " + family.text("GateMode"));
+                throw rollout.fault("GateMode", "is unknown: " + rollout.text("GateMode"));
         }
     }
 }
--- a/src/main/java/honeygap/read/Fields.java
+++ b/src/main/java/honeygap/read/Fields.java
@@ -170,7 +170,7 @@
     }
 
     /** A duration in nanoseconds, converted to tenths of a millisecond, that has to be positive. */
-    public long positiveTenths(String name) throws Malformed {
+    public long positiveTenthsOfMs(String name) throws Malformed {
         long tenths = tenths(name);
         if (tenths <= 0) {
             throw fault(name, "is not a positive duration: " + whole(name));
--- a/src/main/java/honeygap/read/FlagSheet.java
+++ b/src/main/java/honeygap/read/FlagSheet.java
@@ -85,8 +85,8 @@
         }
         cacheSettings.end();
         Sheet methodSettings = settings.part("methods");
-        methods = List.of(method(methodSettings, "one", 0), method(methodSettings, "all", 1), method(methodSettings, "track", 2),
-                method(methodSettings, "tracked", 3));
+        methods = List.of(parseMethod(methodSettings, "one", 0), parseMethod(methodSettings, "all", 1), parseMethod(methodSettings, "track", 2),
+                parseMethod(methodSettings, "tracked", 3));
         methodSettings.end();
         Sheet listSettings = settings.part("list");
         list = settings.has("list") ? listSettings.address("address") : null;
@@ -123,7 +123,8 @@
         }
         exposure = new Exposure(caps, rollout.numbers("waves", caps, 0, 1), rollout.duration("window", "10s"),
                 rollout.number("uncounted", 1, 0, 1e6), false, (int) rollout.whole("guarded", 1, 0, 100), false);
-        deskTerms = new Desk(Desk.BY_COUNT, voteLifetime, rollout.duration("soak", "30s"), callTimeout, rejectionsNeeded, votesPerSecond, 0, 0);
+        deskTerms = new Desk(Desk.BY_COUNT, voteLifetime, rollout.duration("soak", "30s"), callTimeout, rejectionsNeeded,
+                votesPerSecond, 0, 0);
         rollout.end();
         Sheet coldSettings = settings.part("cold");
         coldTerms = new Cold(coldSettings.number("from", 1, 0.01, 1), coldSettings.duration("warmAfter", "0ms"),
@@ -132,7 +133,7 @@
         settings.end();
     }
 
-    private static Method method(Sheet methodSettings, String name, int index) {
+    private static Method parseMethod(Sheet methodSettings, String name, int index) {
         Sheet settings = methodSettings.part(name);
         long softDeadline = settings.duration("aim", index == 1 ? "200ms" : "100ms");
         long deadline = settings.duration("deadline", "1s");
--- a/src/main/java/honeygap/read/Template.java
+++ b/src/main/java/honeygap/read/Template.java
@@ -15,8 +15,8 @@
 import sjsonnet.SjsonnetMain;
 
 /**
- * Evaluates operators' settings files, which are Jsonnet (a superset of JSON). Only this class uses the Jsonnet library,
- * so that the library is not loaded unless such a file is configured.
+ * Evaluates operators' settings files, which are Jsonnet (a superset of JSON). Only this class uses the Jsonnet
+ * library, so that the library is not loaded unless such a file is configured.
  */
 public final class Template {
 
--- a/src/main/java/honeygap/standin/FlagServer.java
+++ b/src/main/java/honeygap/standin/FlagServer.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A fake flag server for trying out an agent. It speaks the OpenFeature remote evaluation protocol over HTTP/1.1, and has
- * control paths to drain it, replace its flags or inject failures. For use on loopback; not optimised for speed.
+ * A fake flag server for trying out an agent. It speaks the OpenFeature remote evaluation protocol over HTTP/1.1, and
+ * has control paths to drain it, replace its flags or inject failures. For use on loopback; not optimised for speed.
  */
 public final class FlagServer implements AutoCloseable {
 
--- a/src/main/java/honeygap/standin/FlagSet.java
+++ b/src/main/java/honeygap/standin/FlagSet.java
@@ -12,8 +12,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A versioned set of flags of a fake flag server. Each flag has variants, targeting rules on the context, and a percentage
- * split by a hash of flag name and targeting key.
+ * A versioned set of flags of a fake flag server. Each flag has variants, targeting rules on the context, and a
+ * percentage split by a hash of flag name and targeting key.
  */
 final class FlagSet {
 
