--- a/src/main/java/honeygap/cli/HangUp.java
+++ b/src/main/java/honeygap/cli/HangUp.java
@@ -30,7 +30,7 @@
                     });
             Object previousHandler = signal.getMethod("handle", signal, handler).invoke(null,
                     signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
-            // If SIGHUP was ignored when the process started, as under nohup, the JVM accepts the handler but never calls it.
+            // If SIGHUP was ignored at process start, as under nohup, the JVM accepts the handler but never calls it.
             isIgnored = previousHandler == handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             failure = e;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Sets the task to run on each signal and runs it now if one was received earlier; logs if none can be received. */
+    /** Sets the task to run on each signal, and runs it now if a signal is pending; logs if none can be received. */
     static void setTask(Runnable task) {
         boolean wasPending;
         synchronized (HangUp.class) {
--- a/src/main/java/honeygap/cli/JsonLinesWriter.java
+++ b/src/main/java/honeygap/cli/JsonLinesWriter.java
@@ -15,7 +15,8 @@
 
 /**
  * Log writer with one JSON object per line: time (RFC 3339, UTC), level, class, message, the ids of the logging
- * context, and the class and message of the exception, if any. The logging library creates it by its name, "json lines".
+ * context, and the class and message of the exception, if any. The logging library creates it by its
+ * name, "json lines".
  */
 public final class JsonLinesWriter implements Writer {
 
--- a/src/main/java/honeygap/read/Deployment.java
+++ b/src/main/java/honeygap/read/Deployment.java
@@ -13,7 +13,7 @@
 /** Parses the deployment settings that an agent gets at startup, in the same way for the simulator and for sockets. */
 public final class Deployment {
 
-    /** Longest time, in tenths of a millisecond, after which the protocol treats a change as delivered to every agent. */
+    /** Time after which the protocol treats a change as delivered to every agent; tenths of a millisecond. */
     private static final long MAX_PROPAGATION_DELAY = 60_000;
 
     private Deployment() {
--- a/src/main/java/honeygap/read/FlagSheet.java
+++ b/src/main/java/honeygap/read/FlagSheet.java
@@ -85,7 +85,8 @@
         }
         cacheSettings.end();
         Sheet methodSettings = settings.part("methods");
-        methods = List.of(parseMethod(methodSettings, "one", 0), parseMethod(methodSettings, "all", 1), parseMethod(methodSettings, "track", 2),
+        methods = List.of(parseMethod(methodSettings, "one", 0), parseMethod(methodSettings, "all", 1),
+                parseMethod(methodSettings, "track", 2),
                 parseMethod(methodSettings, "tracked", 3));
         methodSettings.end();
         Sheet listSettings = settings.part("list");
--- a/src/main/java/honeygap/standin/FlagServer.java
+++ b/src/main/java/honeygap/standin/FlagServer.java
@@ -25,7 +25,7 @@
     private static final String EVALUATE_PATH = "/ofrep/v1/evaluate/flags";
 
     static {
-        // The server writes head and body separately: with Nagle's algorithm the body waits for a delayed acknowledgement.
+        // Head and body are written separately: with Nagle's algorithm the body waits for a delayed acknowledgement.
         System.setProperty("sun.net.httpserver.nodelay", "true");
     }
 
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies point one way: command line to hosts to decisions to state. */
+/** Dependencies point one way: from the command line to I/O, from I/O to decision code, from there to state. */
 class ArchitectureTest {
 
     private static final JavaClasses ALL = new ClassFileImporter()
@@ -33,7 +33,7 @@
                 .check(ALL);
     }
 
-    /** The fit knows nothing of routing, routing reads posterior and room, votes read the fit. */
+    /** Each module depends only on those before it in the list; the model fit, for example, not on routing. */
     @Test
     void decisionModulesAreLayered() {
         String[] order = {"fit", "work", "health", "cold", "builds", "room", "evidence", "votes", "shutdown", "routing"};
@@ -46,7 +46,7 @@
         noDependency("honeygap.rules.routing..", "honeygap.rules.votes..").check(ALL);
     }
 
-    /** Tables, members, exchange and the line of work decide without I/O; the loop's packages know no sharing. */
+    /** Replication, membership and work distribution decide without I/O; the event loop does not depend on them. */
     @Test
     void replicationDecisionsDependOnNoIo() {
         noClasses().that().resideInAnyPackage("honeygap.share.table..", "honeygap.share.member..", "honeygap.spread..")
@@ -54,12 +54,12 @@
         noClasses().that().resideInAnyPackage("honeygap.net..", "honeygap.rules..", "honeygap.fleet..").should()
                 .dependOnClassesThat().resideInAnyPackage("honeygap.share..", "honeygap.spread..", "honeygap.lab..")
                 .check(ALL);
-        // But for the one subcommand that runs it.
+        // Only the subcommand that runs the lab depends on it.
         noClasses().that().resideOutsideOfPackage("honeygap.lab..").and().doNotHaveFullyQualifiedName("honeygap.cli.Lab").should()
                 .dependOnClassesThat().resideInAPackage("honeygap.lab..").check(ALL);
     }
 
-    /** What becomes of segments, operations and replayed RPCs is decided without files and sockets. */
+    /** TCP reassembly, operations and replay planning use no files or sockets. */
     @Test
     void otherDecisionsDependOnNoIo() {
         noClasses().that().resideInAPackage("honeygap.manage").should().dependOnClassesThat().resideInAnyPackage(IO)
@@ -74,7 +74,8 @@
     @Test
     void decisionsUseNoClockOrRandomness() {
         noClasses().that().resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.fleet..", "honeygap.flags..",
-                "honeygap.capture.stream..").should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis").orShould()
+                "honeygap.capture.stream..").should().callMethod(System.class, "nanoTime").orShould()
+                .callMethod(System.class, "currentTimeMillis").orShould()
                 .dependOnClassesThat().haveFullyQualifiedName("java.util.Random").check(ALL);
     }
 
@@ -98,7 +99,7 @@
                 .dependOnClassesThat().resideInAPackage("honeygap.standin..").check(ALL);
     }
 
-    /** The agent on the platform has little memory: what loads the template library is named here alone. */
+    /** The template library needs much memory and agents have little, so only one class, loaded on demand, uses it. */
     @Test
     void onlyTemplateUsesTheTemplateLibrary() {
         noClasses().that().doNotHaveFullyQualifiedName("honeygap.read.Template").should().dependOnClassesThat()
--- a/src/test/java/honeygap/FuzzTest.java
+++ b/src/test/java/honeygap/FuzzTest.java
@@ -37,12 +37,12 @@
 import net.jqwik.api.Tuple;
 
 /**
- * Whatever comes in, a reader gives what it read or one error that says where, and nothing else; jqwik prints the seed
- * of a run that does not hold and makes its input small.
+ * Feeds random input to the parsers: each has to return a result or throw its one exception that locates the error.
+ * On failure jqwik prints the seed and shrinks the input.
  */
 class FuzzTest {
 
-    /** The same inputs each time; another number hunts for more. */
+    /** A fixed seed for reproducible runs; change it to explore other inputs. */
     private static final String SEED = "20261201";
 
     private static final byte[][] FILE_HEADERS = {
@@ -51,7 +51,7 @@
             0, 0, 1, 0, 0, 0, 20, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 20, 0, 0, 0},
         {0x1f, (byte) 0x8b, 8, 0}, {0x28, (byte) 0xb5, 0x2f, (byte) 0xfd}, {}};
 
-    /** Bytes that are small numbers or anything, so that lengths come out near what is there. */
+    /** Random bytes, mostly small, so that length fields are often close to the actual length. */
     @Provide
     Arbitrary<byte[]> bytes() {
         Arbitrary<Byte> one = Arbitraries.frequencyOf(Tuple.of(3, Arbitraries.bytes().between((byte) 0, (byte) 40)),
@@ -103,7 +103,7 @@
         return Arbitraries.of(0, 1, 12, 101, 108, 113, 228, 229, 276, 999);
     }
 
-    /** Segments of one connection with any numbers: no byte is held for ever, none is handed on twice. */
+    /** Segments with random sequence numbers: no byte stays buffered forever, and none is delivered twice. */
     @Property(tries = 1000, seed = SEED)
     void segments(@ForAll("seeds") long seed) {
         java.util.Random random = new java.util.Random(seed);
@@ -162,7 +162,7 @@
         return Arbitraries.longs();
     }
 
-    /** Any chunks on both sides, holes among them: no RPC is told of twice, nothing is thrown. */
+    /** Random chunks and gaps in both directions: no RPC is reported twice and nothing is thrown. */
     @Property(tries = 2000, seed = SEED)
     void conversations(@ForAll("chunks") List<byte[]> chunks, @ForAll boolean isHttp, @ForAll boolean isWhole) {
         Map<Spoken, Integer> callCounts = new HashMap<>();
@@ -186,7 +186,7 @@
         return Arbitraries.frequencyOf(Tuple.of(2, bytes()), Tuple.of(3, messages())).list().ofMaxSize(12);
     }
 
-    /** Pieces of what is said in both protocols. */
+    /** Messages and fragments of messages of both protocols. */
     @Provide
     Arbitrary<byte[]> messages() {
         String query = "SELECT content FROM kv WHERE name = 'ab' /* id=i,c=look,t=a,d=5 */\0";
@@ -204,7 +204,7 @@
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Requests and answers of HTTP in any pieces: read, turned down with a status, or waited for within bounds. */
+    /** HTTP requests and responses in random chunks: parsed, rejected with a status, or buffered up to a limit. */
     @Property(tries = 3000, seed = SEED)
     void http(@ForAll("chunks") List<byte[]> chunks) {
         Requests requests = new Requests(1000);
@@ -240,7 +240,7 @@
         }
     }
 
-    /** A redactor hands on as many bytes as came, whatever they are; behind a hole all is black. */
+    /** A redactor outputs as many bytes as it gets, whatever they are; after a gap it masks everything. */
     @Property(tries = 2000, seed = SEED)
     void redactor(@ForAll("chunks") List<byte[]> chunks, @ForAll boolean isClient, @ForAll boolean isWhole) {
         Redactor redactor = new Redactor(new Mask(new byte[] {1}), isClient, isWhole);
@@ -252,7 +252,7 @@
             assertTrue(out <= in);
         }
         out += redactor.lose().length;
-        assertTrue(in == out, in + " came, " + out + " went");
+        assertTrue(in == out, in + " bytes in, " + out + " bytes out");
         for (byte one : redactor.take(new byte[] {'a', 'b'})) {
             assertTrue(one == 'x');
         }
@@ -277,7 +277,7 @@
                 "true", "\\", "\"", "\\u00e9", "\u00e9", " ").list().ofMaxSize(25).map(all -> String.join("", all));
     }
 
-    /** Filters of any words: a filter, or an error with a column within it. */
+    /** Random filter expressions: parsed, or rejected with an error column within the expression. */
     @Property(tries = 3000, seed = SEED)
     void filters(@ForAll("filterWords") String filter) {
         try {
--- a/src/test/java/honeygap/KnownRedTest.java
+++ b/src/test/java/honeygap/KnownRedTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What CI makes of KNOWN-RED.txt, with a stand-in for the build tool that knows one red, one green and no other test. */
+/** Runs the CI script on different KNOWN-RED.txt files, with a fake Maven that has one failing and one passing test. */
 class KnownRedTest {
 
     private static final String FAKE_MAVEN = """
             #!/usr/bin/env bash
-            echo "asked: $*" >> "$(dirname "$0")/asked"
+            echo "called: $*" >> "$(dirname "$0")/calls"
             case "$*" in
             *-Dtest=Red#*) echo "Tests run: 1, Failures: 1"; exit 1;;
             *-Dtest=Green#*) echo "Tests run: 1, Failures: 0"; exit 0;;
@@ -30,7 +30,7 @@
     @TempDir
     private Path root;
 
-    /** The file's lines, how the rest of the tests ends, how CI ends, and what it says. */
+    /** Columns: lines of the file, exit code of the other tests, expected exit code and output of the CI script. */
     @ParameterizedTest
     @Timeout(60)
     @CsvSource(delimiter = '|', nullValues = "no file", value = {
@@ -59,7 +59,7 @@
         assertEquals(exit, process.exitValue(), output);
         assertTrue(output.contains(expected), output);
         if (knownRed != null && knownRed.startsWith("Red#a, c, 1;Red#b, c, 1;Red#c, c, 1") && exit == 0) {
-            assertTrue(Files.readString(tools.resolve("asked")).contains("-Dtest=!Red#a,!Red#b,!Red#c"));
+            assertTrue(Files.readString(tools.resolve("calls")).contains("-Dtest=!Red#a,!Red#b,!Red#c"));
         }
     }
 }
--- a/src/test/java/honeygap/cli/AgentProcess.java
+++ b/src/test/java/honeygap/cli/AgentProcess.java
@@ -16,14 +16,14 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An agent in a process of its own, its log read line by line; for tests. */
+/** An agent in a separate process whose log is read line by line; for tests. */
 final class AgentProcess implements AutoCloseable {
 
     private final Process process;
     private final BufferedReader lines;
     final List<String> log = new ArrayList<>();
 
-    /** What the shell does before it becomes the agent may be empty. */
+    /** Starts the agent; the prefix is shell code to run before it in the same process, and may be empty. */
     AgentProcess(Path config, String shellPrefix) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         process = new ProcessBuilder(List.of("bash", "-c", shellPrefix + " exec \"$0\" -Xmx64m -XX:+UseSerialGC"
@@ -40,7 +40,7 @@
         return process.isAlive();
     }
 
-    /** The next line of the log that holds this, or null at its end. */
+    /** Reads the log up to the next line that contains the text; null at the end of the log. */
     String readUntil(String part) throws IOException {
         String line = lines.readLine();
         while (line != null) {
@@ -57,41 +57,41 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(pid())).start().waitFor();
     }
 
-    /** SIGKILL, at once. */
+    /** Sends SIGKILL. */
     void kill() {
-        // By its handle: its log stays to be read.
+        // Process.destroyForcibly would close the output stream, and the log has to stay readable.
         process.toHandle().destroyForcibly();
     }
 
-    /** How it ended; the rest of its log is read. */
+    /** Reads the rest of the log, waits for the end of the process and returns its exit code. */
     int awaitExit() throws IOException, InterruptedException {
         readUntil("\0");
         if (!process.waitFor(20, TimeUnit.SECONDS)) {
-            throw new IOException("it did not end");
+            throw new IOException("the agent process did not exit");
         }
         return process.exitValue();
     }
 
-    /** Descriptors that it holds now. */
+    /** The number of open file descriptors. */
     long descriptors() throws IOException {
         try (var descriptors = Files.list(Path.of("/proc/" + pid() + "/fd"))) {
             return descriptors.count();
         }
     }
 
-    /** A port on which nobody listens now. */
+    /** A port that is free at the moment. */
     static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0)) {
             return socket.getLocalPort();
         }
     }
 
-    /** A configuration that has one appliance, one method and a list and desk at these addresses. */
+    /** Settings with one appliance and one method; discovery and desk share an address. */
     static String config(int port, int appliance, int list, int sockets) {
         return config(port, List.of(appliance), list, sockets, 3000);
     }
 
-    /** The same with an appliance at each of these ports, and this deadline, in milliseconds, of its method. */
+    /** Settings with an appliance at each of these ports and this deadline of the method. */
     static String config(int port, List<Integer> appliances, int list, int sockets, int deadlineMs) {
         List<String> entries = new ArrayList<>();
         for (int appliance : appliances) {
@@ -108,7 +108,7 @@
                 """.formatted(port, list, sockets, list, String.join(", ", entries), deadlineMs);
     }
 
-    /** A client that has said who it is and been welcomed. */
+    /** A client connection, after the startup handshake. */
     static final class Client implements AutoCloseable {
 
         final Socket socket;
@@ -129,7 +129,7 @@
             out = socket.getOutputStream();
         }
 
-        /** One that is connected and has said nothing yet. */
+        /** Connects without sending the startup message. */
         static Client connectOnly(int port) throws IOException {
             return new Client(new Socket("127.0.0.1", port));
         }
@@ -149,7 +149,7 @@
             send(id, new byte[0], request(id, ms));
         }
 
-        /** Writes what ends the request with this id, and something before it. */
+        /** Sends the last bytes of the request with this id, preceded by other bytes. */
         void send(String id, byte[] before, byte[] end) throws IOException {
             sent.add(id);
             out.write(before);
@@ -160,20 +160,20 @@
             out.write(bytes);
         }
 
-        /** Hears answers until the connection ends; the ids of the requests that had none, in the order of their sending. */
+        /** Reads until the connection ends; returns the ids of requests without a response, in order of sending. */
         List<String> unanswered() {
             int answerCount = 0;
             String response;
             do {
                 response = readResponse();
-                // A last word that ends the connection is an answer as well; a welcome is none.
+                // A final error that ends the connection counts as a response; the startup response does not.
                 answerCount += response.startsWith("T") || response.startsWith("E") ? 1 : 0;
             } while (!response.endsWith("end"));
             List<String> all = new ArrayList<>(sent);
             return all.subList(Math.min(answerCount, all.size()), all.size());
         }
 
-        /** The types of messages up to the readiness for the next query; "end" where the connection ends. */
+        /** Reads up to ReadyForQuery; returns the message types, followed by "end" if the connection ended. */
         String readResponse() {
             StringBuilder types = new StringBuilder();
             try {
--- a/src/test/java/honeygap/cli/CaptureCommandTest.java
+++ b/src/test/java/honeygap/cli/CaptureCommandTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The commands on files, from end to end. */
+/** End-to-end tests of the commands on capture files. */
 class CaptureCommandTest {
 
     @TempDir
@@ -56,7 +56,6 @@
         return out.lines().count();
     }
 
-    /** The same seed makes the same file. */
     @Test
     void sameSeedGivesSameFile() throws IOException {
         run("capture make -o @n.pcapng --seed 3 --rate 100 --seconds 3");
@@ -82,7 +81,7 @@
         assertTrue((code == 0 ? out : err).contains(expected), out + err);
     }
 
-    /** Rows in each form: as many as there are RPCs, with all columns. */
+    /** Each export format has one row per RPC, with all columns. */
     @ParameterizedTest
     @ValueSource(strings = {"csv", "jsonl", "avro"})
     void exportsAllRows(String form) throws IOException {
@@ -110,7 +109,7 @@
         }
     }
 
-    /** Cut off: told, with exit code 1; mended: whole, with all that was left. */
+    /** A truncated capture is reported with exit code 1; after repair it is read completely. */
     @Test
     void repairsTruncatedCapture() throws IOException {
         byte[] whole = Files.readAllBytes(folder.resolve("m.pcapng"));
@@ -122,7 +121,7 @@
         assertTrue(out.contains("faults 0"), out);
     }
 
-    /** Merged, cut by a filter and anonymised captures hold the RPCs that they should. */
+    /** Captures that were cut by a filter or anonymised contain the expected RPCs. */
     @Test
     void derivedCapturesHoldExpectedRpcs() throws IOException {
         run("capture list @m.pcapng");
--- a/src/test/java/honeygap/cli/HangUpTest.java
+++ b/src/test/java/honeygap/cli/HangUpTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An agent in a process of its own: what it makes of SIGHUP, as it was started. */
+/** Sends SIGHUP to an agent in a separate process. */
 class HangUpTest {
 
     @TempDir
     private Path folder;
 
-    /** Where SIGHUP is ignored from the start, as under nohup, it is said; elsewhere the files are read again. */
+    /** If SIGHUP was ignored at the start, as under nohup, a warning is logged; otherwise the settings are reloaded. */
     @ParameterizedTest
     @Timeout(60)
     @ValueSource(booleans = {false, true})
@@ -27,7 +27,7 @@
         Files.writeString(config, Files.readString(Path.of("example/agent.json"))
                 .replaceAll("\"listen\": *\"[0-9.:]+\"", "\"listen\": \"127.0.0.1:0\""));
         try (AgentProcess agent = new AgentProcess(config, isIgnored ? "trap '' HUP;" : "")) {
-            // The counters come first when the loop turns: the handler stands then, and one config is broken.
+            // The first counters are logged by the running loop, after the handler was installed.
             assertNotNull(agent.readUntil("counters "), agent.log.toString());
             assertEquals(isIgnored, agent.log.stream().anyMatch(line -> line.contains("SIGHUP is ignored")));
             if (!isIgnored) {
--- a/src/test/java/honeygap/cli/HangingAppliance.java
+++ b/src/test/java/honeygap/cli/HangingAppliance.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.Semaphore;
 
-/** An appliance that takes every request on every connection and answers none. */
+/** An appliance that accepts every request and never responds. */
 final class HangingAppliance implements AutoCloseable {
 
     private static final byte[] WELCOME = {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'};
@@ -38,7 +38,7 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // The agent, or the test, has closed.
+                // Closed by the agent or the test.
             }
         }, "hanging appliance");
         thread.setDaemon(true);
@@ -61,12 +61,12 @@
         return server.getLocalPort();
     }
 
-    /** Comes back when so many requests have come since the last call. */
+    /** Waits until this many requests have been received since the last call. */
     void awaitRequests(int count) throws InterruptedException {
         requests.acquire(count);
     }
 
-    /** Whether a request with this id has come. */
+    /** Whether a request with this id has been received. */
     boolean hasReceived(String id) {
         return statements.stream().anyMatch(statement -> statement.contains("id=" + id + ","));
     }
--- a/src/test/java/honeygap/cli/KilledAfterSignalTest.java
+++ b/src/test/java/honeygap/cli/KilledAfterSignalTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Agents that were told to end took RPCs seconds later, sent them on at once and waited for appliances that were still at work when
- * the process was killed: clients saw their connections end with no whole answer. An RPC's own deadline alone decided how long the agent
- * waited; nothing in it knew that the process would end. Shown by the appliances' records, which have each of those RPCs within 4 ms and
- * still unanswered, and by these rows: whatever way an RPC comes in after the signal, none was answered before the kill.
+ * Guards against RPCs that are left unanswered when the process is killed some time after SIGTERM. Agents used to
+ * accept RPCs seconds after SIGTERM, forward them (within 4 ms, by the appliances' records) and wait for a response until
+ * the RPC's own deadline, without regard to the coming SIGKILL; clients then saw the connection end without a complete
+ * response. The test covers each way in which an RPC can arrive after the signal.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class KilledAfterSignalTest {
 
-    /** Enough that there is room for every RPC at once. */
+    /** Enough capacity to send every RPC at once. */
     private static final int APPLIANCES = 8;
 
     @TempDir
@@ -51,10 +51,10 @@
     }
 
     /**
-     * RPCs that come on a connection opened while others' RPCs are open; on one that was opened just after the signal and has said
-     * nothing since; as the rest of a request of which half came before the signal; behind a request that is open on its connection;
-     * in line on a connection when the signal comes. The longest deadline of all methods, when SIGKILL comes at the earliest, and
-     * when the RPCs come, in milliseconds after the signal.
+     * RPCs arrive after the signal on a new connection; on a connection opened just after the signal that was silent
+     * since; as the second half of a request; pipelined behind an open request; or were queued on a connection before
+     * the signal. Columns: the longest deadline of the methods, the time of SIGKILL and the time at which the RPCs
+     * arrive; the times in milliseconds after SIGTERM.
      */
     @ParameterizedTest
     @CsvSource({"3000, 3700, 2300", "5000, 3700, 1500", "800, 1500, 900"})
@@ -79,7 +79,8 @@
         sleepUntil(arrivalMs);
         ignoringClosedConnection(() -> pipelined.send("pipelined", requestMs));
         ignoringClosedConnection(() -> partial.send("half", new byte[0], Arrays.copyOfRange(request, middle, request.length)));
-        ignoringClosedConnection(() -> silent.send("silent", AgentProcess.Client.startup(), AgentProcess.Client.request("silent", requestMs)));
+        ignoringClosedConnection(() -> silent.send("silent", AgentProcess.Client.startup(),
+                AgentProcess.Client.request("silent", requestMs)));
         ignoringClosedConnection(() -> client().send("new", requestMs));
         List<CompletableFuture<List<String>>> responses = new ArrayList<>();
         for (AgentProcess.Client client : clients) {
@@ -92,12 +93,12 @@
             unanswered.addAll(response.get(20, TimeUnit.SECONDS));
         }
         agent.awaitExit();
-        // One that was never read is its client's to send again.
+        // A request that the agent never read can safely be sent again by its client.
         unanswered.removeIf(id -> !wasAccepted(id));
         assertEquals(List.of(), unanswered, () -> String.join("\n", agent.log));
     }
 
-    /** Held up for as long as it must bear, across the shutdown deadline: what is open is answered before the kill. */
+    /** Suspended across the shutdown deadline for as long as it has to tolerate, the agent still answers open RPCs. */
     @Test
     void suspendedAcrossTheDeadline() throws Exception {
         startAgent(5000);
@@ -118,7 +119,7 @@
         assertEquals(List.of(), unanswered, () -> String.join("\n", agent.log));
     }
 
-    /** With nothing open it has ended by itself long before, and so it has where it was told to more than once. */
+    /** Without open RPCs the process exits by itself before SIGKILL, also if SIGTERM is sent repeatedly. */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "TERM TERM HUP TERM"})
     void exitsBeforeTheKill(String signals) throws Exception {
@@ -138,12 +139,12 @@
         void run() throws IOException;
     }
 
-    /** Where nobody listens any more, or the connection has been closed, its client goes elsewhere. */
+    /** Ignores a refused or closed connection: the client would use another agent. */
     private static void ignoringClosedConnection(IoAction step) {
         try {
             step.run();
         } catch (IOException e) {
-            // As said.
+            // Refused or closed.
         }
     }
 
--- a/src/test/java/honeygap/cli/RestartTest.java
+++ b/src/test/java/honeygap/cli/RestartTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Agents in processes of their own: signals at the wrong moment, floods, restarts. */
+/** Agents in separate processes: signals during startup and shutdown, connection floods, restarts. */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RestartTest {
 
@@ -56,7 +56,7 @@
         return pipe;
     }
 
-    /** Its files are a pipe: it stands between its first line and its start until they are written. */
+    /** The settings file is a pipe, so that the agent blocks during startup until the test writes to it. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void hangUpDuringStart(int times) throws Exception {
@@ -64,12 +64,12 @@
         int port = AgentProcess.freePort();
         String config = AgentProcess.config(port, startAppliance(), 1, 256);
         AgentProcess agent = start(pipe, "");
-        // Comes back when the agent has opened it as well: its first line is behind it.
+        // Opening blocks until the agent has opened the pipe too, after it has installed the signal handler.
         try (var out = Files.newOutputStream(pipe)) {
             for (int i = 0; i < times; i++) {
                 agent.signal("HUP");
             }
-            // What it reads once more is a file, with nothing in it that can be read.
+            // For the reload the pipe is replaced by a file with invalid content.
             Files.delete(pipe);
             Files.writeString(pipe, "broken");
             out.write(config.getBytes());
@@ -84,7 +84,7 @@
         assertTrue(first != null && Integer.parseInt(first.replaceAll(".*after (\\d+) ms", "$1")) < 10_000, first);
     }
 
-    /** SIGTERM, once or more, while its files are read again or not: the open RPC is answered, then it ends. */
+    /** SIGTERM once or repeatedly, with or without a reload in progress: the open RPC is answered before the exit. */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "TERM TERM", "HUP TERM", "TERM HUP", "HUP TERM HUP TERM"})
     void answersOpenRpcBeforeExit(String signals) throws Exception {
@@ -102,7 +102,7 @@
             client.send("1", 2500);
             hanging.awaitRequests(1);
             for (String signal : signals.split(" ")) {
-                // A reread waits at the pipe for ever.
+                // A reload blocks on the pipe forever.
                 agent.signal(signal);
             }
             assertEquals("EZ", client.readResponse());
@@ -111,7 +111,7 @@
         assertEquals(143, agent.awaitExit());
     }
 
-    /** Hundreds of connections in a moment, saying nothing or half of something: others are served, within limits. */
+    /** During a flood of silent or incomplete connections other clients are served, within the descriptor limit. */
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 8})
     void servesDuringConnectionFlood(int bytes) throws Exception {
@@ -140,7 +140,7 @@
                 () -> String.join("\n", agent.log));
     }
 
-    /** Ten processes, list and desk down, the appliance known long ago: nine take RPCs within 10 s, again and again. */
+    /** Without discovery and desk, 90 % of agents serve an RPC within 10 s of a restart, by the list in the settings. */
     @Test
     void readyWithinTenSeconds() throws Exception {
         int appliance = startAppliance();
--- a/src/test/java/honeygap/cli/RestartedDuringDrainTest.java
+++ b/src/test/java/honeygap/cli/RestartedDuringDrainTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The incident of {@code docs/incidents/list-of-unknown-age.md} with a real process: killed, started again with the list of
- * before, while discovery is too crowded to tell it that its appliance has been drained meanwhile.
+ * Reproduces the incident of {@code docs/incidents/list-of-unknown-age.md} with a real process: the agent is killed and
+ * restarted with its old list, while an overloaded discovery does not report that the appliance was drained meanwhile.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RestartedDuringDrainTest {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Confirms the list to its first caller; later calls wait in its queue for ever. */
+    /** Confirms the list to the first caller; later calls are accepted but never answered. */
     private final class OverloadedDiscovery {
 
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -66,11 +66,11 @@
                     isAnswered = isAnswered || answersList(caller);
                 }
             } catch (IOException e) {
-                // The test is over.
+                // Closed at the end of the test.
             }
         }
 
-        /** Whether the call is for the list; the rollout desk is called at the same address. */
+        /** Answers a call for the list and returns true; calls to the release desk come to the same address. */
         private boolean answersList(Socket caller) throws IOException {
             byte[] head = new byte[4096];
             int length = Math.max(0, new DataInputStream(caller.getInputStream()).read(head));
@@ -104,13 +104,13 @@
         assertEquals("TDCZ", sendUntilServed(port));
         before.signal("KILL");
         before.awaitExit();
-        // The appliance is drained now, which the new process has no way to know.
+        // From here on the appliance counts as drained, which the new process cannot know.
         AgentProcess after = start(config);
         assertNotNull(after.readUntil("ready after"), after.log.toString());
         try (AgentProcess.Client client = new AgentProcess.Client(port)) {
             for (int i = 0; i < 20; i++) {
                 client.send("after" + i, 500);
-                assertEquals("EZ", client.readResponse(), "served by an appliance that may have been drained long ago");
+                assertEquals("EZ", client.readResponse(), "served by an appliance that may have been drained");
             }
         }
     }
--- a/src/test/java/honeygap/read/DeploymentTest.java
+++ b/src/test/java/honeygap/read/DeploymentTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is in force against what the settings say, of two customers in turn; and settings that can't be gone by. */
+/** Parses the settings of two deployments and compares each value; rejects malformed settings. */
 class DeploymentTest {
 
     private static final String FIRST = """
@@ -97,7 +97,7 @@
         assertEquals(new Listing(true, false, 90_000, 0), Deployment.onSockets(info));
     }
 
-    /** A list is leased where drains have a rule: for the time for asking, at most for the protocol's six seconds. */
+    /** With a drain rule the list has a lease: the maximum poll interval, at most the protocol's six seconds. */
     @ParameterizedTest
     @CsvSource({"'', 0", "'\"MustAskInNs\": 2000000000', 0", "'\"StopSendingWithinNs\": 500000000', 60000",
         "'\"StopSendingWithinNs\": 500000000, \"MustAskInNs\": 10000000000', 60000",
@@ -108,7 +108,7 @@
         assertEquals(0, Deployment.onWire(info).lease());
     }
 
-    /** One customer, then the other, then the first again, in one process: nothing of one reaches the other. */
+    /** Parses both deployments alternately in one process: no state may carry over from one to the other. */
     @Test
     void settingsDoNotLeakBetweenDeployments() throws Exception {
         assertFirstSettings(parse(FIRST));
@@ -116,7 +116,7 @@
         assertFirstSettings(parse(FIRST));
     }
 
-    /** A setting that is missing or spoilt, told with its place. */
+    /** Missing or malformed settings are rejected with the path of the field. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "\"AimNs\": 450000000, | '' | settings.Classes[1].AimNs is missing",
@@ -145,13 +145,13 @@
                  "rollouts": {"address": "127.0.0.1:1"}, "known": {"index": 1, "snapshot": true, "endpoints": []},
                  "settings": %s}
                 """.formatted(FIRST);
-        // Whole it is taken.
+        // The settings are accepted without the modification.
         new Queries(new Loop(), parse(valid));
         Fields malformed = parse(valid.replace(original, replacement));
         assertEquals("field " + expected, assertThrows(Malformed.class, () -> new Queries(new Loop(), malformed)).getMessage());
     }
 
-    /** A reread that names no list or desk moves nothing, and says which field. */
+    /** A reload without a valid address of discovery or desk is rejected with the path of the field. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"{} | discovery is missing",
         "{\"discovery\": \"127.0.0.1:1\", \"rollouts\": {\"address\": 7}} | rollouts.address is not a string"})
