--- a/src/main/java/honeygap/cli/Fleet.java
+++ b/src/main/java/honeygap/cli/Fleet.java
@@ -89,7 +89,7 @@
             return status;
         }
 
-        final String call(String method, String path, String body) throws IOException, InterruptedException {
+        final String send(String method, String path, String body) throws IOException, InterruptedException {
             HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + manager + path))
                     .timeout(Duration.ofSeconds(10)).method(method, body.isEmpty()
                             ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body));
@@ -157,7 +157,7 @@
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
             Predicate<Map<String, String>> selected = Selector.of(selector);
-            String response = call("GET", "/v1/fleet", "");
+            String response = send("GET", "/v1/fleet", "");
             Fields fleet = parseResponse(response);
             if (json) {
                 out.println(response);
@@ -191,7 +191,7 @@
         }
     }
 
-    /** A command that starts an operation and waits for its end unless told not to. */
+    /** A command that starts an operation and waits for its end unless --no-wait is given. */
     abstract static class OperationCommand extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "SELECTOR", defaultValue = "",
@@ -230,7 +230,7 @@
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
             Predicate<Map<String, String>> selected = Selector.of(selector);
             List<String> names = new ArrayList<>();
-            for (Fields instance : parseResponse(call("GET", "/v1/fleet", "")).objects("instances")) {
+            for (Fields instance : parseResponse(send("GET", "/v1/fleet", "")).objects("instances")) {
                 if (selected.test(ListAgents.labels(instance))) {
                     names.add(instance.text("name"));
                 }
@@ -242,7 +242,7 @@
                 out.println("would " + action() + ": " + String.join(", ", names));
                 return 0;
             }
-            String submitResponse = call("POST", "/v1/operations", "{\"id\":\"" + new String(JsonStringEncoder.getInstance()
+            String submitResponse = send("POST", "/v1/operations", "{\"id\":\"" + new String(JsonStringEncoder.getInstance()
                     .quoteAsString(id == null ? UUID.randomUUID().toString() : id)) + "\",\"action\":\"" + action()
                     + "\",\"argument\":\"\",\"instances\":\"" + String.join(",", names) + "\",\"atOnce\":" + atOnce
                     + ",\"failuresToPause\":" + failures + ",\"withinMs\":" + 1000L * within + ",\"again\":" + again + "}");
@@ -264,7 +264,7 @@
             String response = "";
             while (!noWait && isRunning(operation)) {
                 Thread.sleep(100);
-                response = call("GET", "/v1/operations/" + operation.text("id"), "");
+                response = send("GET", "/v1/operations/" + operation.text("id"), "");
                 operation = parseResponse(response);
                 progress.show(operation.text("action") + ": " + finishedSteps(operation) + " of " + names.size());
             }
@@ -329,7 +329,7 @@
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            String response = call(pathSuffix().isEmpty() ? "GET" : "POST", "/v1/operations/" + id + pathSuffix(), "");
+            String response = send(pathSuffix().isEmpty() ? "GET" : "POST", "/v1/operations/" + id + pathSuffix(), "");
             Fields operation = parseResponse(response);
             if (json) {
                 out.println(response);
@@ -375,7 +375,7 @@
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            String response = call("GET", "/v1/operations", "");
+            String response = send("GET", "/v1/operations", "");
             Fields history = parseResponse(response);
             if (json) {
                 out.println(response);
