--- a/src/main/java/honeygap/cli/Configured.java
+++ b/src/main/java/honeygap/cli/Configured.java
@@ -25,7 +25,7 @@
 import org.tinylog.configuration.Configuration;
 import picocli.CommandLine;
 
-/** A subcommand that makes an agent of its files: what is wrong with them is told and ends with exit code 2. */
+/** A subcommand that creates an agent from its settings files. Invalid files are reported with exit code 2. */
 abstract class Configured implements Callable<Integer> {
 
     static final String SERVE = "serve";
@@ -34,45 +34,45 @@
     private CommandLine.Model.CommandSpec spec;
 
     @CommandLine.Option(names = "--config", paramLabel = "FILE", defaultValue = "${env:PROXY_CONFIG}",
-            description = "What the agent is told at start, as JSON (default: the file in PROXY_CONFIG).")
+            description = "Settings of the agent, as JSON (default: the file named by PROXY_CONFIG).")
     private Path config;
 
     @CommandLine.Option(names = "--flags", paramLabel = "FILE",
-            description = "Answer flags as well, as this Jsonnet file says; without --config, flags alone.")
+            description = "Also serve feature flags, with the settings in this Jsonnet file; without --config, only flags.")
     private Path flags;
 
     @CommandLine.Option(names = "--log", paramLabel = "FORM", defaultValue = "text",
-            description = "How the log is written: text, or json, an event a line (default: text).")
-    private Form form;
+            description = "Log format: text, or json with one event per line (default: text).")
+    private LogFormat logFormat;
 
-    /** How the log is written. */
-    enum Form { text, json }
+    /** Log format; the names are the values of the option. */
+    enum LogFormat { text, json }
 
-    /** Where it writes and what it is called, where no command line was parsed. */
-    private PrintWriter plainOut, plainErr;
+    /** Output and error streams for use without a parsed command line; null otherwise. */
+    private PrintWriter directOut, directErr;
 
     private final List<Agent.Source> sources = new ArrayList<>();
-    private Fields told;
-    private FlagSheet sheet;
+    private Fields agentSettings;
+    private FlagSheet flagSettings;
 
-    /** Without a command line: goes by this file, and writes there. */
-    final Configured plain(String file, PrintWriter out, PrintWriter err) {
+    /** Configures the command without picocli: the settings file, which may be null, and the output streams. */
+    final Configured withoutCommandLine(String file, PrintWriter out, PrintWriter err) {
         config = file == null ? null : Path.of(file);
-        plainOut = out;
-        plainErr = err;
+        directOut = out;
+        directErr = err;
         return this;
     }
 
-    /** The agent's loop, before anything is on it. */
-    void made(Loop loop) throws IOException {
+    /** Called with the new event loop before anything is registered on it. */
+    void loopCreated(Loop loop) throws IOException {
     }
 
-    /** Goes on with the agent, not yet started. */
+    /** Runs the command with the agent, which has not been started yet. */
     abstract void run(Agent agent, PrintWriter out) throws IOException, Malformed, InterruptedException;
 
     @Override
     public Integer call() throws InterruptedException {
-        if (form == Form.json) {
+        if (logFormat == LogFormat.json) {
             Configuration.set("writer", "json lines");
         }
         if (config == null && flags == null) {
@@ -81,31 +81,31 @@
         Path file = config;
         try {
             Loop loop = new Loop();
-            made(loop);
+            loopCreated(loop);
             List<Protocol> protocols = new ArrayList<>();
             if (config != null) {
-                told = read();
-                Queries queries = new Queries(loop, told);
+                agentSettings = readConfig();
+                Queries queries = new Queries(loop, agentSettings);
                 protocols.add(queries);
-                sources.add(() -> queries.reread(read()));
-                if (told.has("name")) {
-                    Events.agent(told.text("name"));
+                sources.add(() -> queries.reread(readConfig()));
+                if (agentSettings.has("name")) {
+                    Events.agent(agentSettings.text("name"));
                 }
             }
             file = flags;
             if (flags != null) {
-                sheet = FlagSheet.of(Template.read(flags));
-                if (config == null && !sheet.name.isEmpty()) {
-                    Events.agent(sheet.name);
+                flagSettings = FlagSheet.of(Template.read(flags));
+                if (config == null && !flagSettings.name.isEmpty()) {
+                    Events.agent(flagSettings.name);
                 }
-                Flags protocol = new Flags(loop, sheet, new SecureRandom().nextLong());
+                Flags protocol = new Flags(loop, flagSettings, new SecureRandom().nextLong());
                 protocols.add(protocol);
                 sources.add(() -> protocol.reread(FlagSheet.of(Template.read(flags))));
             }
-            run(new Agent(loop, protocols), spec == null ? plainOut : spec.commandLine().getOut());
+            run(new Agent(loop, protocols), spec == null ? directOut : spec.commandLine().getOut());
             return 0;
         } catch (Malformed e) {
-            e.getMessage().lines().forEach(line -> fail(fileOf(e) + ": " + line));
+            e.getMessage().lines().forEach(line -> fail(faultyFile(e) + ": " + line));
             return 2;
         } catch (NoSuchFileException e) {
             return fail(e.getFile() + ": no such file");
@@ -116,33 +116,33 @@
         }
     }
 
-    private Path fileOf(Malformed e) {
-        return told == null && config != null ? config : sheet == null && flags != null ? flags : config;
+    private Path faultyFile(Malformed e) {
+        return agentSettings == null && config != null ? config : flagSettings == null && flags != null ? flags : config;
     }
 
-    private int fail(String why) {
+    private int fail(String message) {
         String name = spec == null ? SERVE : spec.name();
-        PrintWriter err = spec == null ? plainErr : spec.commandLine().getErr();
-        err.println(name + ": " + why.lines().findFirst().orElse(""));
+        PrintWriter err = spec == null ? directErr : spec.commandLine().getErr();
+        err.println(name + ": " + message.lines().findFirst().orElse(""));
         return 2;
     }
 
-    /** All files of the agent, to be read once more. */
+    /** The settings files of the agent, for reloading. */
     final List<Agent.Source> sources() {
         return sources;
     }
 
-    /** What the agent is told at start; null where it answers flags alone. */
-    final Fields told() {
-        return told;
+    /** The agent's startup settings; null if it serves flags only. */
+    final Fields agentSettings() {
+        return agentSettings;
     }
 
-    /** Null where no flags are answered. */
-    final FlagSheet sheet() {
-        return sheet;
+    /** The flag settings; null if the agent serves no flags. */
+    final FlagSheet flagSettings() {
+        return flagSettings;
     }
 
-    private Fields read() throws IOException, Malformed {
+    private Fields readConfig() throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(config))) {
             return Fields.document(parser);
         }
--- a/src/main/java/honeygap/cli/Fleet.java
+++ b/src/main/java/honeygap/cli/Fleet.java
@@ -24,16 +24,19 @@
 import java.util.function.Predicate;
 import picocli.CommandLine;
 
-/** What staff type. Exit codes: 0 done, 1 ended otherwise or not yet, 2 not understood or not reached, 3 busy. */
+/**
+ * Commands for operators of a manager. Exit codes: 0 done, 1 failed or not finished yet, 2 usage error or manager not
+ * reachable, 3 an agent is busy with another operation.
+ */
 @CommandLine.Command(name = "fleet", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "<what>",
-        description = "See and steer all agents of a manager.", subcommands = {Fleet.ListAgents.class, Fleet.Drain.class,
+        description = "Inspect and control all agents of a manager.", subcommands = {Fleet.ListAgents.class, Fleet.Drain.class,
             Fleet.Undrain.class, Fleet.Update.class, Fleet.Report.class, Fleet.History.class, Fleet.Cancel.class,
             Fleet.Resume.class, picocli.AutoComplete.GenerateCompletion.class})
 final class Fleet implements Runnable {
 
-    private static final int OTHERWISE = 1;
-    private static final int NOT_UNDERSTOOD = 2;
-    private static final int BUSY = 3;
+    private static final int EXIT_NOT_DONE = 1;
+    private static final int EXIT_ERROR = 2;
+    private static final int EXIT_BUSY = 3;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -43,20 +46,20 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "say what to do, such as list");
     }
 
-    /** One that asks the manager. */
-    abstract static class Asking implements Callable<Integer> {
+    /** A command that sends requests to the manager. */
+    abstract static class ManagerCommand implements Callable<Integer> {
 
         @CommandLine.Spec
         CommandLine.Model.CommandSpec spec;
 
         @CommandLine.Option(names = "--manager", defaultValue = "${env:HONEYGAP_MANAGER:-127.0.0.1:18700}",
-                description = "Where the manager is asked (default: HONEYGAP_MANAGER, or 127.0.0.1:18700).")
+                description = "Address of the manager (default: HONEYGAP_MANAGER, or 127.0.0.1:18700).")
         private String manager;
 
         @CommandLine.Option(names = "--token-file", description = "A file with the manager's token.")
         private Path tokenFile;
 
-        @CommandLine.Option(names = "--json", description = "As JSON, for programs.")
+        @CommandLine.Option(names = "--json", description = "Print JSON.")
         boolean json;
 
         private int status;
@@ -73,48 +76,48 @@
                 return fail(e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                return OTHERWISE;
+                return EXIT_NOT_DONE;
             }
         }
 
-        private int fail(String words) {
-            spec.commandLine().getErr().println(spec.name() + ": " + words);
-            return NOT_UNDERSTOOD;
+        private int fail(String message) {
+            spec.commandLine().getErr().println(spec.name() + ": " + message);
+            return EXIT_ERROR;
         }
 
         final int status() {
             return status;
         }
 
-        final String ask(String method, String path, String body) throws IOException, InterruptedException {
+        final String send(String method, String path, String body) throws IOException, InterruptedException {
             HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + manager + path))
                     .timeout(Duration.ofSeconds(10)).method(method, body.isEmpty()
                             ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body));
             if (tokenFile != null) {
                 request.header("Authorization", "Bearer " + Files.readString(tokenFile).strip());
             }
-            HttpResponse<String> answer = HttpClient.newHttpClient().send(request.build(),
+            HttpResponse<String> response = HttpClient.newHttpClient().send(request.build(),
                     HttpResponse.BodyHandlers.ofString());
-            status = answer.statusCode();
-            return answer.body();
+            status = response.statusCode();
+            return response.body();
         }
 
-        static Fields fields(String words) throws IOException, Malformed {
-            try (JsonParser parser = new JsonFactory().createParser(words)) {
+        static Fields parse(String json) throws IOException, Malformed {
+            try (JsonParser parser = new JsonFactory().createParser(json)) {
                 return Fields.document(parser);
             }
         }
 
-        final Fields heard(String words) throws IOException, Malformed {
-            Fields fields = fields(words);
-            if (status >= 400 && fields.has("error")) {
-                throw new Malformed(fields.text("error"));
+        final Fields parseResponse(String json) throws IOException, Malformed {
+            Fields response = parse(json);
+            if (status >= 400 && response.has("error")) {
+                throw new Malformed(response.text("error"));
             }
-            return fields;
+            return response;
         }
 
-        /** A table with columns as wide as what is in them. */
-        static void table(PrintWriter out, List<String[]> rows) {
+        /** Prints a table; each column is as wide as its longest cell. */
+        static void printTable(PrintWriter out, List<String[]> rows) {
             int[] widths = new int[rows.get(0).length];
             for (String[] row : rows) {
                 for (int i = 0; i < row.length; i++) {
@@ -130,7 +133,7 @@
             }
         }
 
-        static void operation(PrintWriter out, Fields operation) throws Malformed {
+        static void printOperation(PrintWriter out, Fields operation) throws Malformed {
             out.println("operation " + operation.text("id") + " (number " + operation.whole("number") + "): "
                     + operation.text("action") + ", " + operation.text("state"));
             List<String[]> rows = new ArrayList<>();
@@ -139,13 +142,13 @@
                 rows.add(new String[] {step.text("instance"), step.text("state"), step.text("generation"),
                     Long.toString(step.whole("tries")), step.text("word")});
             }
-            table(out, rows);
+            printTable(out, rows);
         }
     }
 
     @CommandLine.Command(name = "list", aliases = "inspect", mixinStandardHelpOptions = true,
-            description = "All agents, or those that a selector takes, and how they stand.")
-    static final class ListAgents extends Asking {
+            description = "List the status of all agents, or of those that match a selector.")
+    static final class ListAgents extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "SELECTOR", defaultValue = "",
                 description = "By labels, as location=east,build<43 (default: all).")
@@ -153,143 +156,143 @@
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            Predicate<Map<String, String>> wanted = Selector.of(selector);
-            String words = ask("GET", "/v1/fleet", "");
-            Fields fleet = heard(words);
+            Predicate<Map<String, String>> selected = Selector.of(selector);
+            String response = send("GET", "/v1/fleet", "");
+            Fields fleet = parseResponse(response);
             if (json) {
-                out.println(words);
+                out.println(response);
                 return 0;
             }
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"NAME", "STANDING", "DRAINED", "CLIENTS", "AGE", "RESTARTS", "GENERATION", "FAULT"});
-            boolean isWell = true;
-            for (Fields one : fleet.objects("instances")) {
-                if (wanted.test(labels(one))) {
-                    isWell &= one.text("standing").equals("ALIVE");
-                    rows.add(new String[] {one.text("name"), one.text("standing"), one.flag("drained") ? "yes" : "no",
-                        Long.toString(one.whole("clients")), one.whole("ageMs") + "ms",
-                        Long.toString(one.whole("restarts")), one.text("generation"), one.text("fault")});
+            boolean allAlive = true;
+            for (Fields instance : fleet.objects("instances")) {
+                if (selected.test(labels(instance))) {
+                    allAlive &= instance.text("standing").equals("ALIVE");
+                    rows.add(new String[] {instance.text("name"), instance.text("standing"), instance.flag("drained") ? "yes" : "no",
+                        Long.toString(instance.whole("clients")), instance.whole("ageMs") + "ms",
+                        Long.toString(instance.whole("restarts")), instance.text("generation"), instance.text("fault")});
                 }
             }
             if (fleet.flag("cutOff")) {
-                out.println("the manager hears of too few agents to judge any: it may be cut off itself");
+                out.println("the manager receives reports from too few agents to judge any: it may be partitioned from the network itself");
             }
-            table(out, rows);
-            return isWell ? 0 : OTHERWISE;
+            printTable(out, rows);
+            return allAlive ? 0 : EXIT_NOT_DONE;
         }
 
         static Map<String, String> labels(Fields instance) throws Malformed {
             Map<String, String> labels = new HashMap<>();
-            Fields all = instance.object("labels");
-            for (String name : all.names()) {
-                labels.put(name, all.text(name));
+            Fields labelObject = instance.object("labels");
+            for (String name : labelObject.names()) {
+                labels.put(name, labelObject.text(name));
             }
             return labels;
         }
     }
 
-    /** One that begins an operation and, if asked, waits for its end. */
-    abstract static class Commanding extends Asking {
+    /** A command that starts an operation and waits for its end unless --no-wait is given. */
+    abstract static class OperationCommand extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "SELECTOR", defaultValue = "",
                 description = "By labels, as location=east,build<43 (default: all).")
         private String selector;
 
-        @CommandLine.Option(names = "--id", description = "The operation's id; the same id is the same operation.")
+        @CommandLine.Option(names = "--id", description = "The operation's id; repeating an id does not start a second operation.")
         private String id;
 
-        @CommandLine.Option(names = "--again", description = "Even where the same command was given a moment ago.")
+        @CommandLine.Option(names = "--again", description = "Start a new operation even if the same command was given a moment ago.")
         private boolean again;
 
         @CommandLine.Option(names = "--at-once", defaultValue = "1",
-                description = "How many may be on their way or out of service at once (default: 1).")
+                description = "How many agents may be in progress or out of service at once (default: 1).")
         private int atOnce;
 
         @CommandLine.Option(names = "--failures", defaultValue = "1",
-                description = "Pause after so many that were not applied; 0 is never (default: 1).")
+                description = "Pause after this many failed agents; 0 never pauses (default: 1).")
         private int failures;
 
         @CommandLine.Option(names = "--within", paramLabel = "SECONDS", defaultValue = "60",
-                description = "What is not sent by then is not sent (default: 60).")
+                description = "Time limit for sending the command to all agents (default: 60).")
         private int within;
 
-        @CommandLine.Option(names = "--dry-run", description = "Only say which agents are meant.")
+        @CommandLine.Option(names = "--dry-run", description = "Only print the selected agents.")
         private boolean dryRun;
 
         @CommandLine.Option(names = "--no-wait", description = "Do not wait for the end.")
         private boolean noWait;
 
-        private final Progress progress = new Progress();
+        private final ProgressLine progress = new ProgressLine();
 
         abstract String action();
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            Predicate<Map<String, String>> wanted = Selector.of(selector);
+            Predicate<Map<String, String>> selected = Selector.of(selector);
             List<String> names = new ArrayList<>();
-            for (Fields one : heard(ask("GET", "/v1/fleet", "")).objects("instances")) {
-                if (wanted.test(ListAgents.labels(one))) {
-                    names.add(one.text("name"));
+            for (Fields instance : parseResponse(send("GET", "/v1/fleet", "")).objects("instances")) {
+                if (selected.test(ListAgents.labels(instance))) {
+                    names.add(instance.text("name"));
                 }
             }
             if (names.isEmpty()) {
-                throw new Malformed("no agent is meant by " + (selector.isEmpty() ? "nothing" : selector));
+                throw new Malformed("no agent matches " + (selector.isEmpty() ? "the empty selector" : selector));
             }
             if (dryRun) {
                 out.println("would " + action() + ": " + String.join(", ", names));
                 return 0;
             }
-            String begun = ask("POST", "/v1/operations", "{\"id\":\"" + new String(JsonStringEncoder.getInstance()
+            String submitResponse = send("POST", "/v1/operations", "{\"id\":\"" + new String(JsonStringEncoder.getInstance()
                     .quoteAsString(id == null ? UUID.randomUUID().toString() : id)) + "\",\"action\":\"" + action()
                     + "\",\"argument\":\"\",\"instances\":\"" + String.join(",", names) + "\",\"atOnce\":" + atOnce
                     + ",\"failuresToPause\":" + failures + ",\"withinMs\":" + 1000L * within + ",\"again\":" + again + "}");
-            Fields taken = heard(begun);
-            Fields operation = taken.object("operation");
-            switch (taken.text("taken")) {
+            Fields submitted = parseResponse(submitResponse);
+            Fields operation = submitted.object("operation");
+            switch (submitted.text("taken")) {
                 case "BUSY":
                     spec.commandLine().getErr().println(spec.name() + ": operation " + operation.text("id") + " ("
-                            + operation.text("action") + ") has some of these agents in hand; wait for it or cancel it");
-                    return BUSY;
+                            + operation.text("action") + ") is in progress on some of these agents; wait for it or cancel it");
+                    return EXIT_BUSY;
                 case "INVALID":
-                    throw new Malformed("the id " + id + " is another command's");
+                    throw new Malformed("the id " + id + " belongs to a different command");
                 case "SAME":
                     out.println("the same command is operation " + operation.text("id") + " already");
                     break;
                 default:
                     break;
             }
-            String words = "";
-            while (!noWait && isOpen(operation)) {
+            String response = "";
+            while (!noWait && isRunning(operation)) {
                 Thread.sleep(100);
-                words = ask("GET", "/v1/operations/" + operation.text("id"), "");
-                operation = heard(words);
-                progress.now(operation.text("action") + ": " + ended(operation) + " of " + names.size());
+                response = send("GET", "/v1/operations/" + operation.text("id"), "");
+                operation = parseResponse(response);
+                progress.show(operation.text("action") + ": " + finishedSteps(operation) + " of " + names.size());
             }
-            progress.end();
+            progress.clear();
             if (json) {
-                out.println(words.isEmpty() ? begun : words);
+                out.println(response.isEmpty() ? submitResponse : response);
             } else {
-                operation(out, operation);
+                printOperation(out, operation);
             }
-            return operation.text("state").equals("DONE") ? 0 : OTHERWISE;
+            return operation.text("state").equals("DONE") ? 0 : EXIT_NOT_DONE;
         }
 
-        private static long ended(Fields operation) throws Malformed {
-            long ended = 0;
+        private static long finishedSteps(Fields operation) throws Malformed {
+            long finished = 0;
             for (Fields step : operation.objects("steps")) {
-                ended += List.of("APPLIED", "NOT_APPLIED").contains(step.text("state")) ? 1 : 0;
+                finished += List.of("APPLIED", "NOT_APPLIED").contains(step.text("state")) ? 1 : 0;
             }
-            return ended;
+            return finished;
         }
 
-        private static boolean isOpen(Fields operation) throws Malformed {
+        private static boolean isRunning(Fields operation) throws Malformed {
             return List.of("RUNNING", "CANCELLING").contains(operation.text("state"));
         }
     }
 
     @CommandLine.Command(name = "drain", mixinStandardHelpOptions = true,
-            description = "Agents take no more clients and close connections between RPCs.")
-    static final class Drain extends Commanding {
+            description = "Drain agents: they accept no new clients and close connections between RPCs.")
+    static final class Drain extends OperationCommand {
 
         @Override
         String action() {
@@ -297,8 +300,8 @@
         }
     }
 
-    @CommandLine.Command(name = "undrain", mixinStandardHelpOptions = true, description = "Agents take clients again.")
-    static final class Undrain extends Commanding {
+    @CommandLine.Command(name = "undrain", mixinStandardHelpOptions = true, description = "Let agents accept clients again.")
+    static final class Undrain extends OperationCommand {
 
         @Override
         String action() {
@@ -307,8 +310,8 @@
     }
 
     @CommandLine.Command(name = "update", mixinStandardHelpOptions = true,
-            description = "Agents read their files again, as on SIGHUP.")
-    static final class Update extends Commanding {
+            description = "Let agents reload their settings files, as on SIGHUP.")
+    static final class Update extends OperationCommand {
 
         @Override
         String action() {
@@ -316,75 +319,75 @@
         }
     }
 
-    /** One on an operation by its id. */
-    abstract static class OnOperation extends Asking {
+    /** A command on an existing operation. */
+    abstract static class ExistingOperationCommand extends ManagerCommand {
 
         @CommandLine.Parameters(paramLabel = "ID")
         private String id;
 
-        abstract String then();
+        abstract String pathSuffix();
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            String words = ask(then().isEmpty() ? "GET" : "POST", "/v1/operations/" + id + then(), "");
-            Fields operation = heard(words);
+            String response = send(pathSuffix().isEmpty() ? "GET" : "POST", "/v1/operations/" + id + pathSuffix(), "");
+            Fields operation = parseResponse(response);
             if (json) {
-                out.println(words);
+                out.println(response);
             } else {
-                operation(out, operation);
+                printOperation(out, operation);
             }
-            return operation.text("state").equals("DONE") || !then().isEmpty() ? 0 : OTHERWISE;
+            return operation.text("state").equals("DONE") || !pathSuffix().isEmpty() ? 0 : EXIT_NOT_DONE;
         }
     }
 
     @CommandLine.Command(name = "report", mixinStandardHelpOptions = true,
-            description = "What became of an operation at each agent.")
-    static final class Report extends OnOperation {
+            description = "Show the result of an operation for each agent.")
+    static final class Report extends ExistingOperationCommand {
 
         @Override
-        String then() {
+        String pathSuffix() {
             return "";
         }
     }
 
     @CommandLine.Command(name = "cancel", mixinStandardHelpOptions = true,
-            description = "Call an operation off: what is not sent is not, what is on its way is fenced.")
-    static final class Cancel extends OnOperation {
+            description = "Cancel an operation: unsent commands are dropped, and commands in flight are fenced off.")
+    static final class Cancel extends ExistingOperationCommand {
 
         @Override
-        String then() {
+        String pathSuffix() {
             return "/cancel";
         }
     }
 
     @CommandLine.Command(name = "resume", mixinStandardHelpOptions = true,
-            description = "Let an operation go on that was paused by failures.")
-    static final class Resume extends OnOperation {
+            description = "Resume an operation that was paused after failures.")
+    static final class Resume extends ExistingOperationCommand {
 
         @Override
-        String then() {
+        String pathSuffix() {
             return "/resume";
         }
     }
 
-    @CommandLine.Command(name = "history", mixinStandardHelpOptions = true, description = "All operations kept.")
-    static final class History extends Asking {
+    @CommandLine.Command(name = "history", mixinStandardHelpOptions = true, description = "List all stored operations.")
+    static final class History extends ManagerCommand {
 
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
-            String words = ask("GET", "/v1/operations", "");
-            Fields all = heard(words);
+            String response = send("GET", "/v1/operations", "");
+            Fields history = parseResponse(response);
             if (json) {
-                out.println(words);
+                out.println(response);
                 return 0;
             }
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"NUMBER", "ACTION", "STATE", "INSTANCES", "ID"});
-            for (Fields one : all.objects("operations")) {
-                rows.add(new String[] {Long.toString(one.whole("number")), one.text("action"), one.text("state"),
-                    Integer.toString(one.objects("steps").size()), one.text("id")});
+            for (Fields operation : history.objects("operations")) {
+                rows.add(new String[] {Long.toString(operation.whole("number")), operation.text("action"), operation.text("state"),
+                    Integer.toString(operation.objects("steps").size()), operation.text("id")});
             }
-            table(out, rows);
+            printTable(out, rows);
             return 0;
         }
     }
--- a/src/main/java/honeygap/cli/HangUp.java
+++ b/src/main/java/honeygap/cli/HangUp.java
@@ -4,65 +4,65 @@
 import org.tinylog.Logger;
 
 /**
- * SIGHUP, heard from the program's first line on. Guards against the runtime's own answer to it, which is to end: an
- * agent that is told to read its files again while it starts reads them once it can. The runtime's class for signals
- * is found by name: the compiler warns of it wherever it stands, and warnings fail the build.
+ * Handles SIGHUP from the start of the program. Without a handler the JVM exits on SIGHUP, so a reload requested during
+ * startup would kill the agent; instead it is remembered and executed once the agent can reload. The JDK's internal
+ * signal class is looked up by name because any direct use causes a compiler warning, and warnings fail the build.
  */
 final class HangUp {
 
     private static Runnable task;
-    private static boolean isOwed;
+    private static boolean isPending;
     private static boolean isIgnored;
     private static ReflectiveOperationException failure;
 
     private HangUp() {
     }
 
-    /** From now on a signal is kept until there is something to do for it. */
-    static synchronized void hear() {
+    /** Installs the handler. Signals received before {@link #setTask} are remembered. */
+    static synchronized void installHandler() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object told = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+            Object handlerProxy = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
                     (proxy, method, arguments) -> {
-                        came();
+                        signalReceived();
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), told);
-            // The runtime takes the handler and drops it where the signal was ignored at the start, as under nohup.
-            isIgnored = before == handler.getField("SIG_IGN").get(null);
+            Object previousHandler = signal.getMethod("handle", signal, handler).invoke(null,
+                    signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
+            // If SIGHUP was ignored at process start, as under nohup, the JVM accepts the handler but never calls it.
+            isIgnored = previousHandler == handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             failure = e;
         }
     }
 
-    private static void came() {
-        Runnable now;
+    private static void signalReceived() {
+        Runnable currentTask;
         synchronized (HangUp.class) {
-            isOwed = task == null;
-            now = task;
+            isPending = task == null;
+            currentTask = task;
         }
-        if (now != null) {
-            now.run();
+        if (currentTask != null) {
+            currentTask.run();
         }
     }
 
-    /** What is to be done for each signal, and now for one that has come; told in the log where none can come. */
-    static void then(Runnable task) {
-        boolean owed;
+    /** Sets the task to run on each signal, and runs it now if a signal is pending; logs if none can be received. */
+    static void setTask(Runnable task) {
+        boolean wasPending;
         synchronized (HangUp.class) {
             HangUp.task = task;
-            owed = isOwed;
-            isOwed = false;
+            wasPending = isPending;
+            isPending = false;
         }
         if (isIgnored) {
-            Logger.warn("SIGHUP is ignored by whoever started this process: new configurations go unheard");
+            Logger.warn("SIGHUP is ignored in this process, as set by its parent: it cannot be used to reload settings");
         }
         if (failure != null) {
-            Logger.warn(failure, "SIGHUP can't be heard here");
+            Logger.warn(failure, "SIGHUP handler could not be installed");
         }
-        if (owed) {
+        if (wasPending) {
             task.run();
         }
     }
--- a/src/main/java/honeygap/cli/Manage.java
+++ b/src/main/java/honeygap/cli/Manage.java
@@ -14,29 +14,29 @@
 import picocli.CommandLine;
 
 @CommandLine.Command(name = "manage", mixinStandardHelpOptions = true,
-        description = "Run the managing agent: it polls the doors of its agents and carries out operations on them.")
+        description = "Run the manager: it polls the admin endpoints of its agents and carries out operations on them.")
 final class Manage implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     @CommandLine.Option(names = "--fleet", paramLabel = "FILE", required = true,
-            description = "The agents, as Jsonnet; docs/manage.md has the fields.")
-    private Path fleet;
+            description = "The agents, as Jsonnet; docs/manage.md describes the fields.")
+    private Path fleetFile;
 
     @Override
     public Integer call() throws InterruptedException {
         try {
-            FleetSheet sheet = FleetSheet.of(Template.read(fleet));
-            String token = sheet.tokenFile.isEmpty() ? "" : Files.readString(Path.of(sheet.tokenFile)).strip();
-            Manager manager = new Manager(sheet, token);
+            FleetSheet settings = FleetSheet.of(Template.read(fleetFile));
+            String token = settings.tokenFile.isEmpty() ? "" : Files.readString(Path.of(settings.tokenFile)).strip();
+            Manager manager = new Manager(settings, token);
             Runtime.getRuntime().addShutdownHook(new Thread(manager::close, "leaving"));
             manager.start();
-            Logger.info("manages {} agents, asked at {}", sheet.instances.size(), manager.address());
+            Logger.info("manages {} agents, asked at {}", settings.instances.size(), manager.address());
             new CountDownLatch(1).await();
             return 0;
         } catch (Malformed e) {
-            e.getMessage().lines().forEach(line -> spec.commandLine().getErr().println("manage: " + fleet + ": " + line));
+            e.getMessage().lines().forEach(line -> spec.commandLine().getErr().println("manage: " + fleetFile + ": " + line));
         } catch (NoSuchFileException e) {
             spec.commandLine().getErr().println("manage: " + e.getFile() + ": no such file");
         } catch (IOException | IllegalStateException e) {
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -23,15 +23,15 @@
 import picocli.CommandLine;
 
 /**
- * Starts an agent on loopback, has it answer one RPC and ends: run by the build so that the runtime can write an
- * archive of the classes that an agent needs, which saves each later start reading and checking them anew.
+ * Starts an agent on loopback, lets it serve one RPC and exits. The build runs it so that the JVM can write a class
+ * data sharing archive of the classes that an agent needs, which saves loading and verifying them at each start.
  */
 @CommandLine.Command(name = "rehearse", mixinStandardHelpOptions = true,
-        description = "Start an agent on loopback, let it answer one RPC and end: the build archives its classes so.")
+        description = "Start an agent on loopback, serve one RPC and exit; used by the build to archive the classes.")
 final class Rehearse implements Callable<Integer> {
 
-    private static final int WAIT_MS = 5000;
-    /** What an agent runs; the rest of the jar is for other subcommands. */
+    private static final int READ_TIMEOUT_MS = 5000;
+    /** Name prefixes of the classes that an agent uses; the rest of the jar is for other subcommands. */
     private static final List<String> PARTS = List.of("honeygap/Rules", "honeygap/Ctl", "honeygap/rules/",
             "honeygap/terms/", "honeygap/fleet/", "honeygap/net/", "honeygap/read/", "honeygap/cli/Serve",
             "honeygap/cli/Configured", "honeygap/cli/Start", "honeygap/cli/HangUp");
@@ -41,13 +41,13 @@
 
     @Override
     public Integer call() throws IOException, Malformed, ReflectiveOperationException {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        InetSocketAddress store = new StoreServer(any).address();
+        InetSocketAddress anyLoopbackPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress applianceAddress = new StoreServer(anyLoopbackPort).address();
         Loop loop = new Loop();
-        Agent agent = new Agent(loop, List.of(new Queries(loop, told(store.getPort()))));
+        Agent agent = new Agent(loop, List.of(new Queries(loop, agentSettings(applianceAddress.getPort()))));
         agent.start();
-        try (Socket client = new Socket(any.getAddress(), agent.address(0).getPort())) {
-            client.setSoTimeout(WAIT_MS);
+        try (Socket client = new Socket(anyLoopbackPort.getAddress(), agent.address(0).getPort())) {
+            client.setSoTimeout(READ_TIMEOUT_MS);
             write(client, Words.startup());
             write(client, Words.query("SELECT content FROM kv WHERE name = 'k1' /* id=1,c=look,t=t,d=2000 */"));
             InputStream in = client.getInputStream();
@@ -56,7 +56,7 @@
                 type = in.read();
             }
         }
-        int loaded = load();
+        int loaded = loadAgentClasses();
         agent.end();
         spec.commandLine().getOut().println("rehearsed, " + loaded + " classes of the agent");
         return 0;
@@ -68,11 +68,11 @@
         client.getOutputStream().write(bytes);
     }
 
-    private static int load() throws IOException, ReflectiveOperationException {
+    private static int loadAgentClasses() throws IOException, ReflectiveOperationException {
         int loaded = 0;
         Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().getPath());
         if (!Files.isRegularFile(jar)) {
-            return 0;    // Classes of a folder go into no archive.
+            return 0;    // Classes outside a jar cannot be archived.
         }
         try (JarFile file = new JarFile(jar.toFile())) {
             for (String name : file.stream().map(entry -> entry.getName()).sorted().toList()) {
@@ -85,7 +85,7 @@
         return loaded;
     }
 
-    private static Fields told(int port) throws IOException, Malformed {
+    private static Fields agentSettings(int port) throws IOException, Malformed {
         String json = """
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256},
                  "rollouts": {"address": "127.0.0.1:1", "news": {"Revision": 2, "Wave": 0, "State": "Progressing",
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -20,56 +20,56 @@
 import picocli.CommandLine;
 
 @CommandLine.Command(name = Configured.SERVE, mixinStandardHelpOptions = true,
-        description = "Run one agent on sockets. On SIGHUP it reads its files again: the list, the desk and the flag"
-                + " servers are those named there from then on.")
+        description = "Run one agent on sockets. On SIGHUP it reloads its files: the addresses of discovery, desk and flag"
+                + " servers are taken from them from then on.")
 final class Serve extends Configured {
 
-    private static final int RING = 8 << 20;
+    private static final int RECORDER_BUFFER_BYTES = 8 << 20;
 
     @CommandLine.Option(names = "--record", paramLabel = "FOLDER",
-            description = "Write all that is sent and received into captures there (off unless named).")
-    private Path record;
+            description = "Record all traffic into capture files in this folder (off by default).")
+    private Path recordFolder;
 
     @CommandLine.Option(names = "--record-size", paramLabel = "MIB", defaultValue = "256",
-            description = "A new file after so many MiB before compression (default: 256).")
+            description = "Start a new file after this many MiB before compression (default: 256).")
     private long recordSize;
 
     @CommandLine.Option(names = "--record-age", paramLabel = "SECONDS", defaultValue = "600",
-            description = "A new file after so many seconds (default: 600).")
+            description = "Start a new file after this many seconds (default: 600).")
     private long recordAge;
 
     @CommandLine.Option(names = "--record-files", paramLabel = "N", defaultValue = "24",
-            description = "The oldest file goes when there are more (default: 24).")
+            description = "Maximum number of files; the oldest is deleted (default: 24).")
     private int recordFiles;
 
     @CommandLine.Option(names = "--redact", paramLabel = "FILE",
-            description = "Hide keys and values in captures, as hashes with the secret in this file.")
-    private Path redact;
+            description = "Replace keys and values in captures by hashes keyed with the secret in this file.")
+    private Path redactionSecretFile;
 
     @CommandLine.Option(names = "--door", paramLabel = "ADDRESS",
-            description = "Listen there for a manager (off unless named); loopback alone without --door-token.")
-    private String door;
+            description = "Address of the admin endpoint for a manager (off by default); loopback only without --door-token.")
+    private String adminAddress;
 
-    @CommandLine.Option(names = "--door-token", paramLabel = "FILE", description = "A file with the token it must show.")
-    private Path doorToken;
+    @CommandLine.Option(names = "--door-token", paramLabel = "FILE", description = "A file with the token that the manager has to send.")
+    private Path adminTokenFile;
 
     @CommandLine.Option(names = "--ledger", paramLabel = "FILE", defaultValue = "honeygap-ledger.jsonl",
-            description = "Where commands that were carried out are kept (default: honeygap-ledger.jsonl).")
-    private Path ledger;
+            description = "File that stores the executed commands (default: honeygap-ledger.jsonl).")
+    private Path ledgerFile;
 
     @CommandLine.Option(names = "--sites", paramLabel = "FILE",
-            description = "Share tables with other processes as this Jsonnet file says (off unless named; needs --door).")
+            description = "Replicate tables with other processes, as set in this Jsonnet file (off by default; needs --door).")
     private Path sitesFile;
 
     private Recorder recorder;
     private Loop loop;
 
     @Override
-    void made(Loop loop) throws IOException {
+    void loopCreated(Loop loop) throws IOException {
         this.loop = loop;
-        if (record != null) {
-            Mask mask = redact == null ? null : new Mask(Files.readAllBytes(redact));
-            recorder = new Recorder(record, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RING,
+        if (recordFolder != null) {
+            Mask mask = redactionSecretFile == null ? null : new Mask(Files.readAllBytes(redactionSecretFile));
+            recorder = new Recorder(recordFolder, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RECORDER_BUFFER_BYTES,
                     mask);
             loop.tap(recorder);
         }
@@ -77,31 +77,32 @@
 
     @Override
     void run(Agent agent, PrintWriter out) throws IOException, Malformed, InterruptedException {
-        HangUp.then(() -> agent.reread(sources()));
+        HangUp.setTask(() -> agent.reread(sources()));
         if (recorder != null) {
             agent.count("recording", recorder);
         }
-        Door opened = null;
+        Door adminEndpoint = null;
         Sites sites = null;
-        if (door != null) {
-            String token = doorToken == null ? "" : Files.readString(doorToken).strip();
-            String name = told() != null && told().has("name") ? told().text("name") : sheet() != null ? sheet().name : "";
-            // Another process is another generation, also on a machine whose clock stands still.
+        if (adminAddress != null) {
+            String token = adminTokenFile == null ? "" : Files.readString(adminTokenFile).strip();
+            String name = agentSettings() != null && agentSettings().has("name") ? agentSettings().text("name")
+                    : flagSettings() != null ? flagSettings().name : "";
+            // Random rather than taken from the clock, so that it is unique even if the clock does not advance.
             long generation = new SecureRandom().nextLong() & Long.MAX_VALUE | 1;
-            // Files are read beside the loop, which goes on serving.
-            opened = new Door(loop, agent, name, ledger, token, generation,
+            // Files are read on a separate thread so that the event loop keeps serving.
+            adminEndpoint = new Door(loop, agent, name, ledgerFile, token, generation,
                     () -> new Thread(() -> agent.reread(sources()), "rereading").start());
-            agent.count("door", opened);
+            agent.count("door", adminEndpoint);
             if (sitesFile != null) {
-                // Later lives go before earlier ones by the clock; one that went back is found out by the others.
+                // A restart supersedes earlier runs by the clock; the other members detect a clock that went back.
                 sites = new Sites(SitesSheet.of(Template.read(sitesFile), name), System.currentTimeMillis(), token);
-                opened.aside(sites);
+                adminEndpoint.aside(sites);
                 agent.count("sites", sites);
             }
         } else if (sitesFile != null) {
-            throw new Malformed("--sites needs --door: others come by it");
+            throw new Malformed("--sites needs --door: other processes connect to it");
         }
-        // Before the first client can come: one that is told to end just then still answers it.
+        // Installed before the first client can connect, so that even an immediate SIGTERM leaves no client unanswered.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 agent.leave();
@@ -112,19 +113,19 @@
                 Thread.currentThread().interrupt();
             }
         }, "leaving"));
-        loop.startedAt(Start.BEGUN);
+        loop.startedAt(Start.STARTED_AT);
         agent.start();
-        if (opened != null) {
-            int colon = door.lastIndexOf(':');
+        if (adminEndpoint != null) {
+            int colon = adminAddress.lastIndexOf(':');
             try {
-                opened.listen(new InetSocketAddress(door.substring(0, Math.max(0, colon)),
-                        Integer.parseInt(door.substring(colon + 1))));
+                adminEndpoint.listen(new InetSocketAddress(adminAddress.substring(0, Math.max(0, colon)),
+                        Integer.parseInt(adminAddress.substring(colon + 1))));
             } catch (NumberFormatException e) {
-                throw new Malformed("not an address: " + door);
+                throw new Malformed("not an address: " + adminAddress);
             }
-            Logger.info("the door is at {}", opened.address());
+            Logger.info("the door is at {}", adminEndpoint.address());
             if (sites != null) {
-                sites.start(opened.address());
+                sites.start(adminEndpoint.address());
                 agent.share(sites);
             }
         }
--- a/src/main/java/honeygap/read/Deployment.java
+++ b/src/main/java/honeygap/read/Deployment.java
@@ -10,11 +10,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What an agent is told of its deployment at start, read the same way for the simulator and for sockets. */
+/** Parses the deployment settings that an agent gets at startup, in the same way for the simulator and for sockets. */
 public final class Deployment {
 
-    /** The protocol counts a change as told after so long, whether it arrived or not; tenths of a millisecond. */
-    private static final long TOLD_WITHIN = 60_000;
+    /** Time after which the protocol treats a change as delivered to every agent; tenths of a millisecond. */
+    private static final long MAX_PROPAGATION_DELAY = 60_000;
 
     private Deployment() {
     }
@@ -24,18 +24,18 @@
         for (Fields method : info.objects("Classes")) {
             methods.add(new Method(methods.size(), effect(method),
                     scope(method), method.tenths("WindowNs", 0),
-                    method.span("AimNs"), method.span("GiveUpNs"),
+                    method.positiveTenthsOfMs("AimNs"), method.positiveTenthsOfMs("GiveUpNs"),
                     method.number("Worth", 1), method.number("LateWorth", 0)));
         }
         return methods;
     }
 
-    /** Where lists are pushed, the simulator's wire brings them by itself. */
+    /** Discovery settings under the simulator, which delivers pushed lists without a subscription. */
     public static Listing onWire(Fields info) throws Malformed {
-        return new Listing(isAsked(info), !isAsked(info), mustAskIn(info), 0);
+        return new Listing(isPolled(info), !isPolled(info), maxPollInterval(info), 0);
     }
 
-    private static boolean isAsked(Fields info) throws Malformed {
+    private static boolean isPolled(Fields info) throws Malformed {
         return switch (info.text("RegistryMode", "push")) {
             case "ask" -> true;
             case "push" -> false;
@@ -43,15 +43,15 @@
         };
     }
 
-    /** On sockets a list comes by a watch alone, whether it is pushed or asked for: who opens none is told nothing. */
+    /** Discovery settings on sockets, where lists arrive only over a watch that the agent opens, in push mode too. */
     public static Listing onSockets(Fields info) throws Malformed {
-        long within = mustAskIn(info) > 0 ? mustAskIn(info) : TOLD_WITHIN;
-        // Without a rule on drains there is nothing that an old list could break.
+        long maxDelay = maxPollInterval(info) > 0 ? maxPollInterval(info) : MAX_PROPAGATION_DELAY;
+        // The list needs a lease only if a drain rule exists: otherwise using an outdated list violates nothing.
         boolean hasDrainRule = info.part("Rules").has("StopSendingWithinNs");
-        return new Listing(true, !isAsked(info), within, hasDrainRule ? Math.min(within, TOLD_WITHIN) : 0);
+        return new Listing(true, !isPolled(info), maxDelay, hasDrainRule ? Math.min(maxDelay, MAX_PROPAGATION_DELAY) : 0);
     }
 
-    private static long mustAskIn(Fields info) throws Malformed {
+    private static long maxPollInterval(Fields info) throws Malformed {
         return info.part("Rules").tenths("MustAskInNs", 0);
     }
 
@@ -62,31 +62,31 @@
     }
 
     public static Cold cold(Fields info) throws Malformed {
-        Fields guards = info.part("Rules");
-        return new Cold(guards.number("ColdFrom", 1), guards.tenths("WarmAfterNs", 0),
-                guards.number("FallMultiple", 1), guards.tenths("TipAfterNs", 0));
+        Fields rules = info.part("Rules");
+        return new Cold(rules.number("ColdFrom", 1), rules.tenths("WarmAfterNs", 0),
+                rules.number("FallMultiple", 1), rules.tenths("TipAfterNs", 0));
     }
 
     public static Desk desk(Fields info) throws Malformed {
-        Fields family = info.part("FamilyInfo");
-        return new Desk(gate(family), family.tenths("VoteStandsNs", 0), family.tenths("SoakNs", 20_000),
-                family.tenths("CallTimeoutNs", 0), family.index("NoesNeeded", 1), family.number("VotesPerS", 1),
-                family.tenths("TallyEveryNs", 0) > 0 ? family.number("SampledShare", 0) : 0,
-                family.tenths("TallyEveryNs", 0));
+        Fields rollout = info.part("FamilyInfo");
+        return new Desk(gate(rollout), rollout.tenths("VoteStandsNs", 0), rollout.tenths("SoakNs", 20_000),
+                rollout.tenths("CallTimeoutNs", 0), rollout.index("NoesNeeded", 1), rollout.number("VotesPerS", 1),
+                rollout.tenths("TallyEveryNs", 0) > 0 ? rollout.number("SampledShare", 0) : 0,
+                rollout.tenths("TallyEveryNs", 0));
     }
 
     public static Exposure exposure(Fields info) throws Malformed {
-        Fields family = info.part("FamilyInfo");
-        return new Exposure(family.has("Caps") ? family.numbers("Caps") : new double[0],
-                family.has("Waves") ? family.numbers("Waves") : new double[0],
-                family.tenths("WindowNs", 0), family.number("Uncounted", 0),
-                family.text("CapScope", "all").equals("each_class"), family.index("Shielded", 0),
-                family.flag("KeysStay", false));
+        Fields rollout = info.part("FamilyInfo");
+        return new Exposure(rollout.has("Caps") ? rollout.numbers("Caps") : new double[0],
+                rollout.has("Waves") ? rollout.numbers("Waves") : new double[0],
+                rollout.tenths("WindowNs", 0), rollout.number("Uncounted", 0),
+                rollout.text("CapScope", "all").equals("each_class"), rollout.index("Shielded", 0),
+                rollout.flag("KeysStay", false));
     }
 
     public static Rules rules(long now, long seed, List<Method> methods, Fields info, Listing listing)
             throws Malformed {
-        return new Rules(now, seed, info.index("FleetSize", 1), info.span("TickNs"), methods, tries(info), listing,
+        return new Rules(now, seed, info.index("FleetSize", 1), info.positiveTenthsOfMs("TickNs"), methods, tries(info), listing,
                 cold(info), desk(info), exposure(info));
     }
 
@@ -116,8 +116,8 @@
         }
     }
 
-    private static int gate(Fields family) throws Malformed {
-        switch (family.text("GateMode", "first_voice")) {
+    private static int gate(Fields rollout) throws Malformed {
+        switch (rollout.text("GateMode", "first_voice")) {
             case "first_voice":
                 return Desk.FIRST_VOICE;
             case "by_count":
@@ -125,7 +125,7 @@
             case "automatic":
                 return Desk.AUTOMATIC;
             default:
-                throw family.fault("GateMode", "is unknown: " + family.text("GateMode"));
+                throw rollout.fault("GateMode", "is unknown: " + rollout.text("GateMode"));
         }
     }
 }
--- a/src/main/java/honeygap/read/Fields.java
+++ b/src/main/java/honeygap/read/Fields.java
@@ -10,68 +10,69 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fields of one JSON object, by name. Reading a field that is missing or of another type is a fault. */
+/** A parsed JSON object. Reading a field that is missing or has another type throws {@link Malformed}. */
 public final class Fields {
 
-    /** Tenths of a millisecond, the unit of the core, in the wire's nanoseconds. */
+    /** Nanoseconds (the unit in settings) per tenth of a millisecond (the unit of the decision code). */
     public static final long NS = 100_000;
 
     private final Map<String, Object> values = new LinkedHashMap<>();
-    /** Where it stands: null at the top; a field of what it is in, and the place in its list, or less than none. */
-    private final Fields within;
+    /** The enclosing object, null at the top level. */
+    private final Fields parent;
     private final String name;
-    private final int at;
+    /** Position in the enclosing array, negative if this object is not in an array. */
+    private final int arrayIndex;
 
-    /** An object without fields, on its own. */
+    /** Creates an empty top-level object. */
     public Fields() {
         this(null, "", -1);
     }
 
-    private Fields(Fields within, String name, int at) {
-        this.within = within;
+    private Fields(Fields parent, String name, int arrayIndex) {
+        this.parent = parent;
         this.name = name;
-        this.at = at;
+        this.arrayIndex = arrayIndex;
     }
 
-    /** Reads the object that the parser has just entered. */
-    public static Fields read(JsonParser in) throws IOException {
-        return read(in, new Fields(null, "", -1));
+    /** Reads an object whose start token the parser has just consumed. */
+    public static Fields read(JsonParser parser) throws IOException {
+        return read(parser, new Fields(null, "", -1));
     }
 
-    private static Fields read(JsonParser in, Fields fields) throws IOException {
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
-            in.nextToken();
-            fields.values.put(name, value(in, fields, name, -1));
+    private static Fields read(JsonParser parser, Fields object) throws IOException {
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            object.values.put(name, value(parser, object, name, -1));
         }
-        return fields;
+        return object;
     }
 
-    /** Reads the object that the parser is to begin with. */
-    public static Fields document(JsonParser in) throws IOException, Malformed {
-        if (in.nextToken() != JsonToken.START_OBJECT) {
+    /** Parses a whole document, which has to be an object. */
+    public static Fields document(JsonParser parser) throws IOException, Malformed {
+        if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new Malformed("not an object");
         }
-        return read(in);
+        return read(parser);
     }
 
-    private static Object value(JsonParser in, Fields within, String name, int at) throws IOException {
-        switch (in.currentToken()) {
+    private static Object value(JsonParser parser, Fields parent, String name, int arrayIndex) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT:
-                return read(in, new Fields(within, name, at));
+                return read(parser, new Fields(parent, name, arrayIndex));
             case START_ARRAY:
                 List<Object> list = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(in, within, name, list.size()));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    list.add(value(parser, parent, name, list.size()));
                 }
                 return list;
             case VALUE_STRING:
-                return in.getText();
+                return parser.getText();
             case VALUE_NUMBER_INT:
-                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? in.getBigIntegerValue().longValue() : in.getLongValue();
+                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? parser.getBigIntegerValue().longValue() : parser.getLongValue();
             case VALUE_NUMBER_FLOAT:
-                return in.getDoubleValue();
+                return parser.getDoubleValue();
             case VALUE_TRUE:
                 return true;
             case VALUE_FALSE:
@@ -81,12 +82,12 @@
         }
     }
 
-    /** The names of all fields, in the order of their coming. */
+    /** The names of all fields in document order. */
     public Set<String> names() {
         return values.keySet();
     }
 
-    /** What a field holds: text, a number, true or false, a list, {@code Fields}, or null. */
+    /** The value of a field: a string, number, boolean, list, {@link Fields} or null. */
     public Object value(String name) {
         return values.get(name);
     }
@@ -103,16 +104,16 @@
         return has(name) ? whole(name) : ifAbsent;
     }
 
-    /** A small whole number. */
+    /** A non-negative integer that fits an {@code int}. */
     public int index(String name) throws Malformed {
-        return small(name, whole(name));
+        return toInt(name, whole(name));
     }
 
     public int index(String name, int ifAbsent) throws Malformed {
         return has(name) ? index(name) : ifAbsent;
     }
 
-    /** A time or duration, rounded down to whole tenths of a millisecond. */
+    /** A time or duration in nanoseconds, rounded down to tenths of a millisecond. */
     public long tenths(String name) throws Malformed {
         return Math.floorDiv(whole(name), NS);
     }
@@ -129,9 +130,9 @@
         return has(name) ? number(name) : ifAbsent;
     }
 
-    /** A whole number that may be written with a fraction of zero. */
+    /** A non-negative integer that may be written as a decimal number, such as 3.0. */
     public int rounded(String name) throws Malformed {
-        return small(name, Math.round(number(name)));
+        return toInt(name, Math.round(number(name)));
     }
 
     public boolean flag(String name) throws Malformed {
@@ -154,25 +155,25 @@
         return get(name, Fields.class, "an object");
     }
 
-    /** An object that may be absent, and is empty then. */
+    /** An optional object; empty if absent. */
     public Fields part(String name) throws Malformed {
         return has(name) ? object(name) : new Fields(this, name, -1);
     }
 
-    /** What is wrong with a field, with its place from the top on. */
-    public Malformed fault(String name, String words) {
-        return new Malformed("field " + path() + name + " " + words);
+    /** An exception whose message gives the full path of the field. */
+    public Malformed fault(String name, String problem) {
+        return new Malformed("field " + path() + name + " " + problem);
     }
 
     private String path() {
-        return within == null ? "" : within.path() + name + (at < 0 ? "" : "[" + at + "]") + ".";
+        return parent == null ? "" : parent.path() + name + (arrayIndex < 0 ? "" : "[" + arrayIndex + "]") + ".";
     }
 
-    /** A duration that has to be longer than none, in tenths of a millisecond. */
-    public long span(String name) throws Malformed {
+    /** A duration in nanoseconds, converted to tenths of a millisecond, that has to be positive. */
+    public long positiveTenthsOfMs(String name) throws Malformed {
         long tenths = tenths(name);
         if (tenths <= 0) {
-            throw fault(name, "is no time at all: " + whole(name));
+            throw fault(name, "is not a positive duration: " + whole(name));
         }
         return tenths;
     }
@@ -200,33 +201,33 @@
         return numbers;
     }
 
-    /** An address in figures and a port: names are not looked up. */
+    /** A numeric IP address and port; host names are rejected, so that parsing needs no DNS lookup. */
     public InetSocketAddress address(String name) throws Malformed {
-        String words = text(name);
-        int colon = words.lastIndexOf(':');
-        if (colon > 0 && words.substring(0, colon).matches("[0-9.]+|\\[?[0-9a-fA-F:]+]?")) {
+        String text = text(name);
+        int colon = text.lastIndexOf(':');
+        if (colon > 0 && text.substring(0, colon).matches("[0-9.]+|\\[?[0-9a-fA-F:]+]?")) {
             try {
-                return new InetSocketAddress(words.substring(0, colon),
-                        Integer.parseInt(words.substring(colon + 1)));
+                return new InetSocketAddress(text.substring(0, colon),
+                        Integer.parseInt(text.substring(colon + 1)));
             } catch (IllegalArgumentException e) {
-                throw fault(name, "is not an address: " + words);
+                throw fault(name, "is not an address: " + text);
             }
         }
-        throw fault(name, "is not an address: " + words);
+        throw fault(name, "is not an address: " + text);
     }
 
-    private <T> T get(String name, Class<T> type, String wanted) throws Malformed {
+    private <T> T get(String name, Class<T> type, String expected) throws Malformed {
         Object value = values.get(name);
         if (value == null) {
             throw fault(name, "is missing");
         }
         if (!type.isInstance(value)) {
-            throw fault(name, "is not " + wanted);
+            throw fault(name, "is not " + expected);
         }
         return type.cast(value);
     }
 
-    private int small(String name, long value) throws Malformed {
+    private int toInt(String name, long value) throws Malformed {
         if (value < 0 || value > Integer.MAX_VALUE) {
             throw fault(name, "is out of range: " + value);
         }
--- a/src/main/java/honeygap/read/Malformed.java
+++ b/src/main/java/honeygap/read/Malformed.java
@@ -1,11 +1,11 @@
 package honeygap.read;
 
-/** What came in does not make sense; the message names the fault. */
+/** Thrown for input that cannot be parsed or is not valid; the message says what is wrong with it. */
 public class Malformed extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    public Malformed(String fault) {
-        super(fault);
+    public Malformed(String message) {
+        super(message);
     }
 }
--- a/src/main/java/honeygap/read/Signs.java
+++ b/src/main/java/honeygap/read/Signs.java
@@ -1,26 +1,26 @@
 package honeygap.read;
 
-/** Signs of comparison, as operators type them in filters and selectors. */
+/** Comparison operators of filters and selectors. */
 public final class Signs {
 
     private Signs() {
     }
 
-    /** Whether an order, below, at or above 0, is what the sign asks for. */
-    public static boolean holds(String sign, int order) {
-        switch (sign) {
+    /** Whether the result of a comparison (negative, zero or positive) satisfies an operator. */
+    public static boolean holds(String operator, int comparison) {
+        switch (operator) {
             case "=", "==":
-                return order == 0;
+                return comparison == 0;
             case "!=":
-                return order != 0;
+                return comparison != 0;
             case "<":
-                return order < 0;
+                return comparison < 0;
             case "<=":
-                return order <= 0;
+                return comparison <= 0;
             case ">":
-                return order > 0;
+                return comparison > 0;
             default:
-                return order >= 0;
+                return comparison >= 0;
         }
     }
 }
--- a/src/test/java/honeygap/cli/HangingAppliance.java
+++ b/src/test/java/honeygap/cli/HangingAppliance.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.Semaphore;
 
-/** An appliance that takes every request on every connection and answers none. */
+/** An appliance that accepts every request and never responds. */
 final class HangingAppliance implements AutoCloseable {
 
     private static final byte[] WELCOME = {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'};
 
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Semaphore asked = new Semaphore(0);
+    private final Semaphore requests = new Semaphore(0);
     private final Queue<String> statements = new ConcurrentLinkedQueue<>();
 
     HangingAppliance() throws IOException {
@@ -38,7 +38,7 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // The agent, or the test, has closed.
+                // Closed by the agent or the test.
             }
         }, "hanging appliance");
         thread.setDaemon(true);
@@ -52,7 +52,7 @@
             socket.getOutputStream().write(WELCOME);
             while (in.read() >= 0) {
                 statements.add(new String(in.readNBytes(in.readInt() - Integer.BYTES), StandardCharsets.UTF_8));
-                asked.release();
+                requests.release();
             }
         }
     }
@@ -61,13 +61,13 @@
         return server.getLocalPort();
     }
 
-    /** Comes back when so many requests have come since the last call. */
-    void awaitRequests(int many) throws InterruptedException {
-        asked.acquire(many);
+    /** Waits until this many requests have been received since the last call. */
+    void awaitRequests(int count) throws InterruptedException {
+        requests.acquire(count);
     }
 
-    /** Whether a request with this id has come. */
-    boolean hasHeard(String id) {
+    /** Whether a request with this id has been received. */
+    boolean hasReceived(String id) {
         return statements.stream().anyMatch(statement -> statement.contains("id=" + id + ","));
     }
 
--- a/src/test/java/honeygap/cli/KilledAfterSignalTest.java
+++ b/src/test/java/honeygap/cli/KilledAfterSignalTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Agents that were told to end took RPCs seconds later, sent them on at once and waited for appliances that were still at work when
- * the process was killed: clients saw their connections end with no whole answer. An RPC's own deadline alone decided how long the agent
- * waited; nothing in it knew that the process would end. Shown by the appliances' records, which have each of those RPCs within 4 ms and
- * still unanswered, and by these rows: whatever way an RPC comes in after the signal, none was answered before the kill.
+ * Guards against RPCs that are left unanswered when the process is killed some time after SIGTERM. Agents used to
+ * accept RPCs seconds after SIGTERM, forward them (within 4 ms, by the appliances' records) and wait for a response until
+ * the RPC's own deadline, without regard to the coming SIGKILL; clients then saw the connection end without a complete
+ * response. The test covers each way in which an RPC can arrive after the signal.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class KilledAfterSignalTest {
 
-    /** Enough that there is room for every RPC at once. */
+    /** Enough capacity to send every RPC at once. */
     private static final int APPLIANCES = 8;
 
     @TempDir
@@ -51,55 +51,56 @@
     }
 
     /**
-     * RPCs that come on a connection opened while others' RPCs are open; on one that was opened just after the signal and has said
-     * nothing since; as the rest of a request of which half came before the signal; behind a request that is open on its connection;
-     * in line on a connection when the signal comes. The longest deadline of all methods, when SIGKILL comes at the earliest, and
-     * when the RPCs come, in milliseconds after the signal.
+     * RPCs arrive after the signal on a new connection; on a connection opened just after the signal that was silent
+     * since; as the second half of a request; pipelined behind an open request; or were queued on a connection before
+     * the signal. Columns: the longest deadline of the methods, the time of SIGKILL and the time at which the RPCs
+     * arrive; the times in milliseconds after SIGTERM.
      */
     @ParameterizedTest
     @CsvSource({"3000, 3700, 2300", "5000, 3700, 1500", "800, 1500, 900"})
     void everyRpcIsAnswered(int deadlineMs, int killMs, int arrivalMs) throws Exception {
         int requestMs = deadlineMs - 100;
         startAgent(deadlineMs);
-        AgentProcess.Client inLine = client();
-        inLine.send("first", requestMs);
-        inLine.send("second", requestMs);
+        AgentProcess.Client queued = client();
+        queued.send("first", requestMs);
+        queued.send("second", requestMs);
         AgentProcess.Client pipelined = client();
         pipelined.send("open", requestMs);
-        AgentProcess.Client half = client();
+        AgentProcess.Client partial = client();
         byte[] request = AgentProcess.Client.request("half", requestMs);
         int middle = request.length / 2;
-        half.write(Arrays.copyOf(request, middle));
+        partial.write(Arrays.copyOf(request, middle));
         appliance.awaitRequests(2);
         signalledAt = System.nanoTime();
         agent.signal("TERM");
-        AgentProcess.Client silent = AgentProcess.Client.silent(port);
+        AgentProcess.Client silent = AgentProcess.Client.connectOnly(port);
         open.add(silent);
         clients.add(silent);
         sleepUntil(arrivalMs);
-        unlessClosed(() -> pipelined.send("pipelined", requestMs));
-        unlessClosed(() -> half.send("half", new byte[0], Arrays.copyOfRange(request, middle, request.length)));
-        unlessClosed(() -> silent.send("silent", AgentProcess.Client.startup(), AgentProcess.Client.request("silent", requestMs)));
-        unlessClosed(() -> client().send("new", requestMs));
-        List<CompletableFuture<List<String>>> hearing = new ArrayList<>();
+        ignoringClosedConnection(() -> pipelined.send("pipelined", requestMs));
+        ignoringClosedConnection(() -> partial.send("half", new byte[0], Arrays.copyOfRange(request, middle, request.length)));
+        ignoringClosedConnection(() -> silent.send("silent", AgentProcess.Client.startup(),
+                AgentProcess.Client.request("silent", requestMs)));
+        ignoringClosedConnection(() -> client().send("new", requestMs));
+        List<CompletableFuture<List<String>>> responses = new ArrayList<>();
         for (AgentProcess.Client client : clients) {
-            hearing.add(CompletableFuture.supplyAsync(client::unanswered, task -> new Thread(task).start()));
+            responses.add(CompletableFuture.supplyAsync(client::unanswered, task -> new Thread(task).start()));
         }
         sleepUntil(killMs);
         agent.kill();
         List<String> unanswered = new ArrayList<>();
-        for (CompletableFuture<List<String>> one : hearing) {
-            unanswered.addAll(one.get(20, TimeUnit.SECONDS));
+        for (CompletableFuture<List<String>> response : responses) {
+            unanswered.addAll(response.get(20, TimeUnit.SECONDS));
         }
-        agent.ended();
-        // One that was never read is its client's to send again.
-        unanswered.removeIf(id -> !wasTaken(id));
+        agent.awaitExit();
+        // A request that the agent never read can safely be sent again by its client.
+        unanswered.removeIf(id -> !wasAccepted(id));
         assertEquals(List.of(), unanswered, () -> String.join("\n", agent.log));
     }
 
-    /** Held up for as long as it must bear, across the shutdown deadline: what is open is answered before the kill. */
+    /** Suspended across the shutdown deadline for as long as it has to tolerate, the agent still answers open RPCs. */
     @Test
-    void heldUpAtTheDeadline() throws Exception {
+    void suspendedAcrossTheDeadline() throws Exception {
         startAgent(5000);
         AgentProcess.Client client = client();
         client.send("open", 4900);
@@ -110,45 +111,45 @@
         agent.signal("STOP");
         sleepUntil(3450);
         agent.signal("CONT");
-        CompletableFuture<List<String>> hearing = CompletableFuture.supplyAsync(client::unanswered);
+        CompletableFuture<List<String>> response = CompletableFuture.supplyAsync(client::unanswered);
         sleepUntil(3700);
         agent.kill();
-        List<String> unanswered = hearing.get(20, TimeUnit.SECONDS);
-        agent.ended();
+        List<String> unanswered = response.get(20, TimeUnit.SECONDS);
+        agent.awaitExit();
         assertEquals(List.of(), unanswered, () -> String.join("\n", agent.log));
     }
 
-    /** With nothing open it has ended by itself long before, and so it has where it was told to more than once. */
+    /** Without open RPCs the process exits by itself before SIGKILL, also if SIGTERM is sent repeatedly. */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "TERM TERM HUP TERM"})
-    void endsByItself(String signals) throws Exception {
+    void exitsBeforeTheKill(String signals) throws Exception {
         startAgent(3000);
         signalledAt = System.nanoTime();
         for (String signal : signals.split(" ")) {
             agent.signal(signal);
         }
-        assertEquals(143, agent.ended());
+        assertEquals(143, agent.awaitExit());
         long tookMs = (System.nanoTime() - signalledAt) / 1_000_000;
         assertTrue(tookMs < 3700, "ended after " + tookMs + " ms");
         assertTrue(agent.log.stream().anyMatch(line -> line.contains("shutdown: ends, nothing open")), agent.log.toString());
     }
 
-    private interface Step {
+    private interface IoAction {
 
         void run() throws IOException;
     }
 
-    /** Where nobody listens any more, or the connection has been closed, its client goes elsewhere. */
-    private static void unlessClosed(Step step) {
+    /** Ignores a refused or closed connection: the client would use another agent. */
+    private static void ignoringClosedConnection(IoAction step) {
         try {
             step.run();
         } catch (IOException e) {
-            // As said.
+            // Refused or closed.
         }
     }
 
-    private boolean wasTaken(String id) {
-        return appliance.hasHeard(id) || agent.log.stream().anyMatch(line -> line.contains("RPC " + id + " ")
+    private boolean wasAccepted(String id) {
+        return appliance.hasReceived(id) || agent.log.stream().anyMatch(line -> line.contains("RPC " + id + " ")
                 && line.contains(" taken "));
     }
 
@@ -160,7 +161,7 @@
                 AgentProcess.config(port, Collections.nCopies(APPLIANCES, appliance.port()), 1, 256, deadlineMs));
         agent = new AgentProcess(config, "");
         open.add(agent);
-        assertNotNull(agent.until("ready after"), agent.log.toString());
+        assertNotNull(agent.readUntil("ready after"), agent.log.toString());
     }
 
     private AgentProcess.Client client() throws IOException {
--- a/src/test/java/honeygap/cli/RestartedDuringDrainTest.java
+++ b/src/test/java/honeygap/cli/RestartedDuringDrainTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The incident of {@code docs/incidents/list-of-unknown-age.md} with a real process: killed, started again with the list of
- * before, while discovery is too crowded to tell it that its appliance has been drained meanwhile.
+ * Reproduces the incident of {@code docs/incidents/list-of-unknown-age.md} with a real process: the agent is killed and
+ * restarted with its old list, while an overloaded discovery does not report that the appliance was drained meanwhile.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RestartedDuringDrainTest {
 
     private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String NOTHING_NEW = "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n";
+    private static final String NO_CHANGES = "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n";
 
     @TempDir
     private Path folder;
@@ -44,13 +44,13 @@
         }
     }
 
-    /** Confirms the list to its first caller; later calls wait in its queue for ever. */
-    private final class CrowdedDiscovery {
+    /** Confirms the list to the first caller; later calls are accepted but never answered. */
+    private final class OverloadedDiscovery {
 
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final List<Socket> waiting = new ArrayList<>();
 
-        CrowdedDiscovery() throws IOException {
+        OverloadedDiscovery() throws IOException {
             open.add(server);
             Thread thread = new Thread(this::serve, "discovery");
             thread.setDaemon(true);
@@ -66,11 +66,11 @@
                     isAnswered = isAnswered || answersList(caller);
                 }
             } catch (IOException e) {
-                // The test is over.
+                // Closed at the end of the test.
             }
         }
 
-        /** Whether the call is for the list; the rollout desk is called at the same address. */
+        /** Answers a call for the list and returns true; calls to the release desk come to the same address. */
         private boolean answersList(Socket caller) throws IOException {
             byte[] head = new byte[4096];
             int length = Math.max(0, new DataInputStream(caller.getInputStream()).read(head));
@@ -79,7 +79,7 @@
             }
             OutputStream out = caller.getOutputStream();
             out.write(WATCH.getBytes(StandardCharsets.US_ASCII));
-            out.write((Integer.toHexString(NOTHING_NEW.length()) + "\r\n" + NOTHING_NEW + "\r\n")
+            out.write((Integer.toHexString(NO_CHANGES.length()) + "\r\n" + NO_CHANGES + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
             return true;
         }
@@ -92,38 +92,38 @@
     }
 
     @Test
-    void doesNotSendByTheListOfBefore() throws Exception {
+    void doesNotSendWithTheOldList() throws Exception {
         StoreServer appliance = new StoreServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        CrowdedDiscovery discovery = new CrowdedDiscovery();
+        OverloadedDiscovery discovery = new OverloadedDiscovery();
         int port = AgentProcess.freePort();
-        String words = AgentProcess.config(port, appliance.address().getPort(), discovery.server.getLocalPort(), 256)
+        String json = AgentProcess.config(port, appliance.address().getPort(), discovery.server.getLocalPort(), 256)
                 .replace("\"settings\": {", "\"settings\": {\"Rules\": {\"StopSendingWithinNs\": 500000000},");
-        Path config = Files.writeString(folder.resolve("agent.json"), words);
+        Path config = Files.writeString(folder.resolve("agent.json"), json);
         AgentProcess before = start(config);
-        assertNotNull(before.until("ready after"), before.log.toString());
-        assertEquals("TDCZ", askUntilServed(port));
+        assertNotNull(before.readUntil("ready after"), before.log.toString());
+        assertEquals("TDCZ", sendUntilServed(port));
         before.signal("KILL");
-        before.ended();
-        // The appliance is drained now, which the new process has no way to know.
+        before.awaitExit();
+        // From here on the appliance counts as drained, which the new process cannot know.
         AgentProcess after = start(config);
-        assertNotNull(after.until("ready after"), after.log.toString());
+        assertNotNull(after.readUntil("ready after"), after.log.toString());
         try (AgentProcess.Client client = new AgentProcess.Client(port)) {
             for (int i = 0; i < 20; i++) {
                 client.send("after" + i, 500);
-                assertEquals("EZ", client.hear(), "served by an appliance that may have been drained long ago");
+                assertEquals("EZ", client.readResponse(), "served by an appliance that may have been drained");
             }
         }
     }
 
-    private static String askUntilServed(int port) throws IOException {
-        String heard = "";
-        for (int i = 0; i < 200 && !heard.startsWith("T"); i++) {
+    private static String sendUntilServed(int port) throws IOException {
+        String response = "";
+        for (int i = 0; i < 200 && !response.startsWith("T"); i++) {
             try (AgentProcess.Client client = new AgentProcess.Client(port)) {
                 client.send("before" + i, 500);
-                heard = client.hear();
+                response = client.readResponse();
             }
         }
-        assertTrue(heard.startsWith("T"), heard);
-        return heard;
+        assertTrue(response.startsWith("T"), response);
+        return response;
     }
 }
