--- a/src/main/java/honeygap/lab/Gate.java
+++ b/src/main/java/honeygap/lab/Gate.java
@@ -24,19 +24,19 @@
 
     private final ServerSocket server;
     private final Function<InetSocketAddress, Fault> faults;
-    private volatile boolean over;
+    private volatile boolean closed;
 
     /** What becomes of each call is asked by where it goes, when it comes. */
     public Gate(Function<InetSocketAddress, Fault> faults) throws IOException {
         this.faults = faults;
         server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        thread(() -> {
-            while (!over) {
-                Socket one = server.accept();
-                thread(() -> {
-                    try (one) {
-                        one.setTcpNoDelay(true);
-                        while (pass(one)) {
+        startThread(() -> {
+            while (!closed) {
+                Socket connection = server.accept();
+                startThread(() -> {
+                    try (connection) {
+                        connection.setTcpNoDelay(true);
+                        while (forwardCall(connection)) {
                             continue;
                         }
                     }
@@ -49,7 +49,7 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private static void thread(Task task) {
+    private static void startThread(Task task) {
         Thread thread = new Thread(null, () -> {
             try {
                 task.run();
@@ -68,78 +68,78 @@
     }
 
     /** One call and its answer; false at the end of the connection. */
-    private boolean pass(Socket one) throws IOException, InterruptedException {
-        DataInputStream in = new DataInputStream(one.getInputStream());
-        byte[] head = head(in);
+    private boolean forwardCall(Socket connection) throws IOException, InterruptedException {
+        DataInputStream in = new DataInputStream(connection.getInputStream());
+        byte[] head = readHead(in);
         if (head.length == 0) {
             return false;
         }
-        String words = new String(head, StandardCharsets.ISO_8859_1);
-        String[] line = words.substring(0, words.indexOf('\r')).split(" ");
-        String[] parts = line[1].split("/", 4);
-        int colon = parts[2].lastIndexOf(':');
-        InetSocketAddress to = new InetSocketAddress(parts[2].substring(0, colon),
-                Integer.parseInt(parts[2].substring(colon + 1)));
-        byte[] body = in.readNBytes(length(words));
-        Fault fault = faults.apply(to);
+        String headText = new String(head, StandardCharsets.ISO_8859_1);
+        String[] requestLine = headText.substring(0, headText.indexOf('\r')).split(" ");
+        String[] urlParts = requestLine[1].split("/", 4);
+        int colon = urlParts[2].lastIndexOf(':');
+        InetSocketAddress target = new InetSocketAddress(urlParts[2].substring(0, colon),
+                Integer.parseInt(urlParts[2].substring(colon + 1)));
+        byte[] body = in.readNBytes(contentLength(headText));
+        Fault fault = faults.apply(target);
         if (fault == Fault.SILENT) {
             Thread.sleep(SILENT_MS);
         }
         if (fault == Fault.RESET || fault == Fault.SILENT) {
-            one.setSoLinger(true, 0);
+            connection.setSoLinger(true, 0);
             return false;
         }
         Thread.sleep(fault == Fault.LATE ? LATE_MS : 0);
-        byte[] answer = call(to, line[0] + " /" + parts[3] + " " + line[2]
-                + words.substring(words.indexOf('\r')), body);
+        byte[] response = send(target, requestLine[0] + " /" + urlParts[3] + " " + requestLine[2]
+                + headText.substring(headText.indexOf('\r')), body);
         if (fault == Fault.ANSWER_LOST) {
             Thread.sleep(SILENT_MS);
             return false;
         }
-        OutputStream out = one.getOutputStream();
+        OutputStream out = connection.getOutputStream();
         if (fault == Fault.HALF) {
-            out.write(answer, 0, answer.length / 2);
+            out.write(response, 0, response.length / 2);
             return false;
         }
         if (fault == Fault.SPOILT) {
-            Arrays.fill(answer, answer.length - Math.min(answer.length, 8), answer.length, (byte) '#');
+            Arrays.fill(response, response.length - Math.min(response.length, 8), response.length, (byte) '#');
         }
-        out.write(answer);
+        out.write(response);
         return true;
     }
 
-    private static byte[] call(InetSocketAddress to, String head, byte[] body) throws IOException {
-        try (Socket there = new Socket(to.getAddress(), to.getPort())) {
-            there.setSoTimeout(SILENT_MS);
-            there.setTcpNoDelay(true);
-            ByteArrayOutputStream whole = new ByteArrayOutputStream();
-            whole.write(head.getBytes(StandardCharsets.ISO_8859_1));
-            whole.write(body);
-            there.getOutputStream().write(whole.toByteArray());
-            DataInputStream in = new DataInputStream(there.getInputStream());
-            byte[] answer = head(in);
-            byte[] rest = in.readNBytes(length(new String(answer, StandardCharsets.ISO_8859_1)));
-            byte[] all = Arrays.copyOf(answer, answer.length + rest.length);
-            System.arraycopy(rest, 0, all, answer.length, rest.length);
-            return all;
+    private static byte[] send(InetSocketAddress target, String head, byte[] body) throws IOException {
+        try (Socket upstream = new Socket(target.getAddress(), target.getPort())) {
+            upstream.setSoTimeout(SILENT_MS);
+            upstream.setTcpNoDelay(true);
+            ByteArrayOutputStream request = new ByteArrayOutputStream();
+            request.write(head.getBytes(StandardCharsets.ISO_8859_1));
+            request.write(body);
+            upstream.getOutputStream().write(request.toByteArray());
+            DataInputStream in = new DataInputStream(upstream.getInputStream());
+            byte[] responseHead = readHead(in);
+            byte[] responseBody = in.readNBytes(contentLength(new String(responseHead, StandardCharsets.ISO_8859_1)));
+            byte[] response = Arrays.copyOf(responseHead, responseHead.length + responseBody.length);
+            System.arraycopy(responseBody, 0, response, responseHead.length, responseBody.length);
+            return response;
         }
     }
 
     /** Up to and with the empty line; nothing at the end of the stream. */
-    private static byte[] head(DataInputStream in) throws IOException {
+    private static byte[] readHead(DataInputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
-        int last = 0;
-        for (int one = in.read(); one >= 0; one = in.read()) {
-            head.write(one);
-            last = last << 8 | one;
-            if (last == 0x0d0a0d0a) {
+        int lastFourBytes = 0;
+        for (int next = in.read(); next >= 0; next = in.read()) {
+            head.write(next);
+            lastFourBytes = lastFourBytes << 8 | next;
+            if (lastFourBytes == 0x0d0a0d0a) {
                 return head.toByteArray();
             }
         }
         return new byte[0];
     }
 
-    private static int length(String head) {
+    private static int contentLength(String head) {
         for (String line : head.split("\r\n")) {
             if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
                 return Integer.parseInt(line.substring(line.indexOf(':') + 1).strip());
@@ -150,7 +150,7 @@
 
     @Override
     public void close() throws IOException {
-        over = true;
+        closed = true;
         server.close();
     }
 }
--- a/src/main/java/honeygap/lab/Member.java
+++ b/src/main/java/honeygap/lab/Member.java
@@ -31,33 +31,33 @@
     public final String name;
     public final String site;
     private final Path folder;
-    private final Gate gate;
-    private final List<String> runtime;
+    private final Gate proxy;
+    private final List<String> jvmCommand;
     private final List<InetSocketAddress> seeds;
     private Process process;
-    private InetSocketAddress door;
+    private InetSocketAddress adminEndpoint;
 
     /** The command is a JVM's with its class path and flags, up to the main class; the folder is the process's own. */
-    public Member(String name, String site, Path folder, Gate gate, List<String> runtime, List<InetSocketAddress> seeds)
+    public Member(String name, String site, Path folder, Gate proxy, List<String> jvmCommand, List<InetSocketAddress> seeds)
             throws IOException {
         this.name = name;
         this.site = site;
         this.folder = Files.createDirectories(folder);
-        this.gate = gate;
-        this.runtime = runtime;
+        this.proxy = proxy;
+        this.jvmCommand = jvmCommand;
         this.seeds = seeds;
     }
 
     /** Starts it, at the address of its earlier life where it had one; comes back when its door is open. */
     public void start() throws IOException, InterruptedException {
-        String at = door == null ? "127.0.0.1:0" : "127.0.0.1:" + door.getPort();
-        List<String> all = new ArrayList<>();
+        String adminAddress = adminEndpoint == null ? "127.0.0.1:0" : "127.0.0.1:" + adminEndpoint.getPort();
+        List<String> seedEntries = new ArrayList<>();
         for (InetSocketAddress seed : seeds) {
-            all.add("{\"at\":\"127.0.0.1:" + seed.getPort() + "\"}");
+            seedEntries.add("{\"at\":\"127.0.0.1:" + seed.getPort() + "\"}");
         }
         Path sites = Files.writeString(folder.resolve("sites.json"), "{\"site\":\"" + site + "\",\"every\":\"200ms\","
-                + "\"answerWithin\":\"100ms\",\"holds\":\"4s\",\"proxy\":\"127.0.0.1:" + gate.address().getPort()
-                + "\",\"seeds\":[" + String.join(",", all) + "]}");
+                + "\"answerWithin\":\"100ms\",\"holds\":\"4s\",\"proxy\":\"127.0.0.1:" + proxy.address().getPort()
+                + "\",\"seeds\":[" + String.join(",", seedEntries) + "]}");
         Path config = Files.writeString(folder.resolve("agent.json"), """
                 {"name": "%s", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256},
                  "rollouts": {"address": "127.0.0.1:1"}, "known": {"index": 1, "snapshot": true, "endpoints": []},
@@ -67,35 +67,35 @@
         List<String> command = new ArrayList<>(List.of("sh", "-c",
                 // The shell waits for the end of the pipe and takes the process with it.
                 "\"$@\" < /dev/null & P=$!; echo \"pid $P\"; cat > /dev/null; kill -9 $P", "member"));
-        command.addAll(runtime);
-        command.addAll(List.of("honeygap.cli.Start", "serve", "--config", config.toString(), "--door", at, "--ledger",
+        command.addAll(jvmCommand);
+        command.addAll(List.of("honeygap.cli.Start", "serve", "--config", config.toString(), "--door", adminAddress, "--ledger",
                 folder.resolve("ledger").toString(), "--sites", sites.toString()));
         process = new ProcessBuilder(command).redirectErrorStream(true).start();
         CompletableFuture<InetSocketAddress> ready = new CompletableFuture<>();
-        Process mine = process;
-        Thread reader = new Thread(() -> read(mine, ready), "reads " + name);
+        Process started = process;
+        Thread reader = new Thread(() -> readOutput(started, ready), "reads " + name);
         reader.setDaemon(true);
         reader.start();
         try {
-            door = ready.get(READY_S, TimeUnit.SECONDS);
+            adminEndpoint = ready.get(READY_S, TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-            throw new IOException(name + " did not come up: " + e.getMessage() + "; " + Files.readString(log()));
+            throw new IOException(name + " did not come up: " + e.getMessage() + "; " + Files.readString(logFile()));
         }
     }
 
     private volatile long pid;
 
-    private void read(Process mine, CompletableFuture<InetSocketAddress> ready) {
+    private void readOutput(Process started, CompletableFuture<InetSocketAddress> ready) {
         try (BufferedReader lines = new BufferedReader(
-                new InputStreamReader(mine.getInputStream(), StandardCharsets.UTF_8))) {
+                new InputStreamReader(started.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                Files.writeString(log(), line + "\n", java.nio.file.StandardOpenOption.CREATE,
+                Files.writeString(logFile(), line + "\n", java.nio.file.StandardOpenOption.CREATE,
                         java.nio.file.StandardOpenOption.APPEND);
                 if (line.startsWith("pid ")) {
                     pid = Long.parseLong(line.substring(4).strip());
                 }
-                int said = line.indexOf("the door is at ");
-                if (said >= 0) {
+                int endpointAt = line.indexOf("the door is at ");
+                if (endpointAt >= 0) {
                     ready.complete(new InetSocketAddress("127.0.0.1",
                             Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip())));
                 }
@@ -106,16 +106,16 @@
         }
     }
 
-    private Path log() {
+    private Path logFile() {
         return folder.resolve("log");
     }
 
     public InetSocketAddress door() {
-        return door;
+        return adminEndpoint;
     }
 
     public String log(String part) throws IOException {
-        return Files.readAllLines(log()).stream().filter(line -> line.contains(part)).reduce("", (a, b) -> a + b + "\n");
+        return Files.readAllLines(logFile()).stream().filter(line -> line.contains(part)).reduce("", (a, b) -> a + b + "\n");
     }
 
     /** STOP, CONT or KILL, to this process alone. */
@@ -136,7 +136,7 @@
     /** What its door answers, read directly and not through a gate; empty where it does not answer. */
     public String ask(String path) throws InterruptedException {
         try {
-            return CLIENT.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + door.getPort() + path))
+            return CLIENT.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + adminEndpoint.getPort() + path))
                     .timeout(Duration.ofSeconds(2)).build(), HttpResponse.BodyHandlers.ofString()).body();
         } catch (IOException e) {
             return "";
@@ -148,6 +148,6 @@
         if (process != null && process.isAlive()) {
             kill();
         }
-        gate.close();
+        proxy.close();
     }
 }
--- a/src/main/java/honeygap/lab/scale/DiscoveryModel.java
+++ b/src/main/java/honeygap/lab/scale/DiscoveryModel.java
@@ -20,7 +20,7 @@
     private final long longestWait;
     private final List<Consumer<Boolean>> watches = new ArrayList<>();
     private long busyUntil;
-    private long changesTurn;
+    private long nextChangeWriteAt;
     private boolean isDown;
     private long calls;
     private long failures;
@@ -53,14 +53,14 @@
             if (busyUntil - now > longestWait) {
                 failLater(caller, longestWait);
             } else {
-                clock.at(busyUntil, () -> answer(caller));
+                clock.schedule(busyUntil, () -> answer(caller));
             }
         }
     }
 
     private void failLater(Consumer<Boolean> caller, long delay) {
         failures++;
-        clock.at(clock.now() + delay, () -> caller.accept(false));
+        clock.schedule(clock.now() + delay, () -> caller.accept(false));
     }
 
     private void answer(Consumer<Boolean> caller) {
@@ -73,26 +73,26 @@
     }
 
     /** The watch of a caller that has died; nothing is told to it any more. */
-    public void drop(Consumer<Boolean> caller) {
+    public void cancelWatch(Consumer<Boolean> caller) {
         watches.remove(caller);
     }
 
     /** A change of the list, written to every watch; one that comes before the last one's turn is written with it. */
-    public void change() {
-        if (clock.now() >= changesTurn) {
-            changesTurn = Math.max(clock.now(), busyUntil);
-            busyUntil = changesTurn + callCost * watches.size();
+    public void publishChange() {
+        if (clock.now() >= nextChangeWriteAt) {
+            nextChangeWriteAt = Math.max(clock.now(), busyUntil);
+            busyUntil = nextChangeWriteAt + callCost * watches.size();
         }
     }
 
     /** Goes down, which ends all watches, or comes back with an empty queue. */
-    public void down(boolean isDown) {
+    public void setDown(boolean isDown) {
         this.isDown = isDown;
         busyUntil = clock.now();
         if (isDown) {
-            List<Consumer<Boolean>> ended = List.copyOf(watches);
+            List<Consumer<Boolean>> endedWatches = List.copyOf(watches);
             watches.clear();
-            ended.forEach(caller -> caller.accept(false));
+            endedWatches.forEach(caller -> caller.accept(false));
         }
     }
 }
--- a/src/main/java/honeygap/lab/scale/ListCaller.java
+++ b/src/main/java/honeygap/lab/scale/SimulatedAgent.java
@@ -6,21 +6,21 @@
 import java.util.function.Consumer;
 
 /** One agent as discovery sees it: the agent's own decisions when to call, on a virtual clock. */
-public final class ListCaller {
+public final class SimulatedAgent {
 
     private final VirtualClock clock;
     private final DiscoveryModel discovery;
-    private final Listing listing;
+    private final Listing listingSettings;
     private final long seed;
     private Consumer<Boolean> watch = answered -> { };
     private ListCalls calls;
     private boolean isCurrent;
     private int restarts;
 
-    public ListCaller(VirtualClock clock, DiscoveryModel discovery, Listing listing, long seed) {
+    public SimulatedAgent(VirtualClock clock, DiscoveryModel discovery, Listing listing, long seed) {
         this.clock = clock;
         this.discovery = discovery;
-        this.listing = listing;
+        this.listingSettings = listing;
         this.seed = seed;
     }
 
@@ -32,14 +32,14 @@
     /** Starts a new process with a list of the one before. */
     public void start() {
         kill();
-        calls = new ListCalls(clock.now(), new Chance(seed + 1_000_003L * restarts++), listing);
+        calls = new ListCalls(clock.now(), new Chance(seed + 1_000_003L * restarts++), listingSettings);
         calls.known(clock.now());
         schedule(calls);
     }
 
     /** Ends the process; what it has asked for is told to nobody. */
     public void kill() {
-        discovery.drop(watch);
+        discovery.cancelWatch(watch);
         calls = null;
         isCurrent = false;
     }
@@ -47,18 +47,18 @@
     private void schedule(ListCalls process) {
         long at = process.callAt();
         if (at < Long.MAX_VALUE) {
-            clock.at(at, () -> callIfDue(process));
+            clock.schedule(at, () -> callIfDue(process));
         }
     }
 
     private void callIfDue(ListCalls process) {
         if (process == calls && process.calls(clock.now())) {
-            watch = answered -> heard(process, answered);
+            watch = answered -> onAnswer(process, answered);
             discovery.call(watch);
         }
     }
 
-    private void heard(ListCalls process, boolean answered) {
+    private void onAnswer(ListCalls process, boolean answered) {
         if (process != calls) {
             return;
         }
--- a/src/main/java/honeygap/lab/scale/VirtualClock.java
+++ b/src/main/java/honeygap/lab/scale/VirtualClock.java
@@ -5,12 +5,12 @@
 /** Runs tasks in the order of their times, in tenths of a millisecond; those of one time in the order of scheduling. */
 public final class VirtualClock {
 
-    private record Task(long at, long number, Runnable work) { }
+    private record Task(long at, long sequence, Runnable work) { }
 
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>((one, two) ->
-            one.at != two.at ? Long.compare(one.at, two.at) : Long.compare(one.number, two.number));
+    private final PriorityQueue<Task> tasks = new PriorityQueue<>((left, right) ->
+            left.at != right.at ? Long.compare(left.at, right.at) : Long.compare(left.sequence, right.sequence));
     private long now;
-    private long scheduled;
+    private long nextSequence;
 
     /** The time of the task that runs now. */
     public long now() {
@@ -18,8 +18,8 @@
     }
 
     /** Schedules a task; one whose time has passed runs at the present time. */
-    public void at(long time, Runnable work) {
-        tasks.add(new Task(Math.max(now, time), scheduled++, work));
+    public void schedule(long time, Runnable work) {
+        tasks.add(new Task(Math.max(now, time), nextSequence++, work));
     }
 
     /** Runs all tasks up to and including this time. */
--- a/src/main/java/honeygap/lab/soak/FaultKind.java
+++ b/src/main/java/honeygap/lab/soak/FaultKind.java
@@ -36,9 +36,9 @@
     APPLIANCE_CLOSES(false);
 
     /** Whether it lasts for a while and then ends. */
-    final boolean lasts;
+    final boolean hasDuration;
 
     FaultKind(boolean lasts) {
-        this.lasts = lasts;
+        this.hasDuration = lasts;
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakClient.java
+++ b/src/main/java/honeygap/lab/soak/SoakClient.java
@@ -18,19 +18,19 @@
 final class SoakClient {
 
     private static final long PAUSE_MS = 40;
-    private static final long LISTEN_MS = 8000;
-    private static final int CONNECT_MS = 500;
+    private static final long READ_TIMEOUT_MS = 8000;
+    private static final int CONNECT_TIMEOUT_MS = 500;
     private static final long RECONNECT_PAUSE_MS = 100;
-    private static final double LEAVES = 0.03;
-    private static final long LEAVES_AFTER_MS = 15;
+    private static final double DISCONNECT_PROBABILITY = 0.03;
+    private static final long MAX_DISCONNECT_DELAY_MS = 15;
     private static final int KEYS = 200;
     /** One client of an agent sends as soon as it is answered, and one sends two requests at a time. */
-    private static final int GREEDY = 1;
-    private static final int PIPELINING = 2;
+    private static final int GREEDY_CLIENT = 1;
+    private static final int PIPELINING_CLIENT = 2;
     /** Part of the new connections that say nothing for a while. */
-    private static final double SILENT = 0.05;
-    private static final int SILENT_MOST_MS = 2500;
-    private static final double SHORTEST_PART_OF_DEADLINE = 0.3;
+    private static final double SILENT_PROBABILITY = 0.05;
+    private static final int MAX_SILENCE_MS = 2500;
+    private static final double MIN_DEADLINE_FRACTION = 0.3;
 
     private final int agent;
     private final int number;
@@ -41,7 +41,7 @@
     private final BooleanSupplier mayConnect;
     private Socket socket;
     private DataInputStream in;
-    private long requests;
+    private long nextRequest;
 
     SoakClient(int agent, int number, InetSocketAddress address, SoakRecord record, SoakPlan plan,
             BooleanSupplier mayConnect) {
@@ -55,25 +55,25 @@
     }
 
     /** Sends until then. */
-    void runUntil(long end) throws InterruptedException {
-        while (record.now() < end) {
+    void runUntil(long endTime) throws InterruptedException {
+        while (record.now() < endTime) {
             try {
                 if (socket == null) {
-                    connect(random.nextDouble() < SILENT ? random.nextInt(SILENT_MOST_MS) : 0);
+                    connect(random.nextDouble() < SILENT_PROBABILITY ? random.nextInt(MAX_SILENCE_MS) : 0);
                 }
-                send(number == PIPELINING ? 2 : 1);
-                Thread.sleep(number == GREEDY ? 0 : 1 + random.nextInt((int) (2 * pauseMs())));
+                send(number == PIPELINING_CLIENT ? 2 : 1);
+                Thread.sleep(number == GREEDY_CLIENT ? 0 : 1 + random.nextInt((int) (2 * pauseMs())));
             } catch (IOException e) {
-                hangUp();
+                disconnect();
                 Thread.sleep(RECONNECT_PAUSE_MS);
             }
         }
-        hangUp();
+        disconnect();
     }
 
     /** All clients of an agent together send alike, many or few. */
     private long pauseMs() {
-        return PAUSE_MS * Math.max(1, load.clientsPerAgent() / SoakLoad.CLIENTS);
+        return PAUSE_MS * Math.max(1, load.clientsPerAgent() / SoakLoad.CLIENTS_PER_AGENT);
     }
 
     /** Connects, and says nothing for so long. */
@@ -81,23 +81,23 @@
         if (!mayConnect.getAsBoolean()) {
             throw new IOException("the front deals nobody to it now");
         }
-        Socket fresh = new Socket();
+        Socket connection = new Socket();
         try {
-            fresh.connect(address, CONNECT_MS);
-            fresh.setTcpNoDelay(true);
-            fresh.setSoTimeout((int) LISTEN_MS);
-            in = new DataInputStream(fresh.getInputStream());
+            connection.connect(address, CONNECT_TIMEOUT_MS);
+            connection.setTcpNoDelay(true);
+            connection.setSoTimeout((int) READ_TIMEOUT_MS);
+            in = new DataInputStream(connection.getInputStream());
             Thread.sleep(silentMs);
-            write(fresh, Words.startup());
-            answer();
+            write(connection, Words.startup());
+            readAnswer();
         } catch (IOException e) {
-            fresh.close();
+            connection.close();
             throw e;
         }
-        socket = fresh;
+        socket = connection;
     }
 
-    private void hangUp() {
+    private void disconnect() {
         try {
             if (socket != null) {
                 socket.close();
@@ -108,128 +108,128 @@
         socket = null;
     }
 
-    private static void write(Socket to, ByteBuffer words) throws IOException {
-        byte[] bytes = new byte[words.remaining()];
-        words.duplicate().get(bytes);
-        OutputStream out = to.getOutputStream();
+    private static void write(Socket target, ByteBuffer message) throws IOException {
+        byte[] bytes = new byte[message.remaining()];
+        message.duplicate().get(bytes);
+        OutputStream out = target.getOutputStream();
         out.write(bytes);
     }
 
     /** One request that has no answer yet. */
-    private record Request(String id, ByteBuffer query, long giveUpAt) { }
+    private record Request(String id, ByteBuffer query, long deadline) { }
 
-    private Request next() {
+    private Request createRequest() {
         SoakMethod method = SoakMethod.values()[random.nextInt(SoakMethod.values().length)];
-        String id = String.format("%02x-%x-%x", agent, number, requests++);
+        String id = String.format("%02x-%x-%x", agent, number, nextRequest++);
         String key = "k" + random.nextInt(KEYS);
-        double part = SHORTEST_PART_OF_DEADLINE + (1 - SHORTEST_PART_OF_DEADLINE) * random.nextDouble();
-        long timeMs = (long) (part * load.deadlineMs().get(method));
-        long at = record.now();
-        record.sent.put(id, new SoakRecord.Sent(id, agent, method, at, timeMs));
-        return new Request(id, Words.query("SELECT content FROM kv WHERE name = '" + key + "' /* id=" + id + ",c=" + method.word
-                + ",t=acme,d=" + timeMs + ",k=" + key + " */"), at + timeMs);
+        double fraction = MIN_DEADLINE_FRACTION + (1 - MIN_DEADLINE_FRACTION) * random.nextDouble();
+        long timeMs = (long) (fraction * load.deadlineMs().get(method));
+        long now = record.now();
+        record.sent.put(id, new SoakRecord.SentRequest(id, agent, method, now, timeMs));
+        return new Request(id, Words.query("SELECT content FROM kv WHERE name = '" + key + "' /* id=" + id + ",c=" + method.label
+                + ",t=acme,d=" + timeMs + ",k=" + key + " */"), now + timeMs);
     }
 
     /** Sends so many requests, one right behind the other, and hears their answers. */
-    private void send(int many) throws IOException, InterruptedException {
-        ArrayDeque<Request> open = new ArrayDeque<>();
-        for (int i = 0; i < many; i++) {
-            open.add(next());
+    private void send(int count) throws IOException, InterruptedException {
+        ArrayDeque<Request> unanswered = new ArrayDeque<>();
+        for (int i = 0; i < count; i++) {
+            unanswered.add(createRequest());
         }
-        if (many == 1 && random.nextDouble() < LEAVES) {
-            write(socket, open.peek().query());
-            leave(open.peek().id());
+        if (count == 1 && random.nextDouble() < DISCONNECT_PROBABILITY) {
+            write(socket, unanswered.peek().query());
+            disconnectEarly(unanswered.peek().id());
             return;
         }
         try {
-            for (Request request : open) {
+            for (Request request : unanswered) {
                 write(socket, request.query());
             }
-            while (!open.isEmpty()) {
-                hear(open.peek().id());
-                open.remove();
-                if (!open.isEmpty()) {
-                    record.sent.computeIfPresent(open.peek().id(), (id, sent) -> sent.from(record.now()));
+            while (!unanswered.isEmpty()) {
+                recordAnswer(unanswered.peek().id());
+                unanswered.remove();
+                if (!unanswered.isEmpty()) {
+                    record.sent.computeIfPresent(unanswered.peek().id(), (id, sent) -> sent.withSentAt(record.now()));
                 }
             }
         } catch (IOException e) {
-            hangUp();
-            for (Request request : open) {
-                sendAgain(request);
+            disconnect();
+            for (Request request : unanswered) {
+                resend(request);
             }
         }
     }
 
     /** A close that crosses a request which was not read: it is sent once more, on a new connection. */
-    private void sendAgain(Request request) throws InterruptedException {
-        hangUp();
+    private void resend(Request request) throws InterruptedException {
+        disconnect();
         try {
-            if (record.now() > request.giveUpAt()) {
+            if (record.now() > request.deadline()) {
                 throw new IOException("nobody waits any more");
             }
             connect(0);
         } catch (IOException e) {
-            record.ended.add(new SoakRecord.Ended(request.id(), SoakRecord.Ending.CLOSED, record.now(), ""));
+            record.completions.add(new SoakRecord.Completion(request.id(), SoakRecord.Ending.CLOSED, record.now(), ""));
             return;
         }
-        record.sentAgain.put(request.id(), new SoakRecord.SentAgain(request.id(), record.now()));
+        record.resends.put(request.id(), new SoakRecord.Resend(request.id(), record.now()));
         try {
             write(socket, request.query());
-            hear(request.id());
+            recordAnswer(request.id());
         } catch (IOException e) {
-            hangUp();
-            record.ended.add(new SoakRecord.Ended(request.id(), SoakRecord.Ending.UNANSWERED, record.now(), ""));
+            disconnect();
+            record.completions.add(new SoakRecord.Completion(request.id(), SoakRecord.Ending.UNANSWERED, record.now(), ""));
         }
     }
 
-    private void leave(String id) throws InterruptedException {
-        Thread.sleep(random.nextInt((int) LEAVES_AFTER_MS));
-        hangUp();
-        record.left.put(id, new SoakRecord.Left(id, record.now()));
+    private void disconnectEarly(String id) throws InterruptedException {
+        Thread.sleep(random.nextInt((int) MAX_DISCONNECT_DELAY_MS));
+        disconnect();
+        record.disconnects.put(id, new SoakRecord.Disconnect(id, record.now()));
     }
 
-    private void hear(String id) throws IOException {
-        String heard = answer();
-        SoakRecord.Ending ending = heard.startsWith("D") ? SoakRecord.Ending.SERVED
-                : heard.equals("E" + Words.TOO_MANY) ? SoakRecord.Ending.REFUSED : SoakRecord.Ending.FAILED;
-        record.ended.add(new SoakRecord.Ended(id, ending, record.now(), heard.substring(1)));
+    private void recordAnswer(String id) throws IOException {
+        String answer = readAnswer();
+        SoakRecord.Ending ending = answer.startsWith("D") ? SoakRecord.Ending.SERVED
+                : answer.equals("E" + Words.TOO_MANY) ? SoakRecord.Ending.REFUSED : SoakRecord.Ending.FAILED;
+        record.completions.add(new SoakRecord.Completion(id, ending, record.now(), answer.substring(1)));
     }
 
     /** Up to ready: D and the value, or E and the code. */
-    private String answer() throws IOException {
-        String heard = "";
+    private String readAnswer() throws IOException {
+        String answer = "";
         while (true) {
             char type = (char) in.readUnsignedByte();
             byte[] body = in.readNBytes(in.readInt() - 4);
             if (type == 'Z') {
-                return heard;
+                return answer;
             }
             if (type == 'D') {
-                heard += "D" + new String(body, 6, body.length - 6, StandardCharsets.US_ASCII);
+                answer += "D" + new String(body, 6, body.length - 6, StandardCharsets.US_ASCII);
             } else if (type == 'E') {
-                String words = new String(body, StandardCharsets.US_ASCII);
-                heard += "E" + words.substring(words.indexOf("\0C") + 2).split("\0", 2)[0];
+                String fields = new String(body, StandardCharsets.US_ASCII);
+                answer += "E" + fields.substring(fields.indexOf("\0C") + 2).split("\0", 2)[0];
             }
         }
     }
 
     /** A client that stops in the middle of a request and stays; how long it waited for an error or a close, in milliseconds. */
-    static long halfRequest(InetSocketAddress address) throws IOException {
-        try (Socket half = new Socket(InetAddress.getLoopbackAddress(), address.getPort())) {
-            half.setSoTimeout((int) LISTEN_MS);
-            write(half, Words.startup());
+    static long sendIncompleteRequest(InetSocketAddress address) throws IOException {
+        try (Socket connection = new Socket(InetAddress.getLoopbackAddress(), address.getPort())) {
+            connection.setSoTimeout((int) READ_TIMEOUT_MS);
+            write(connection, Words.startup());
             ByteBuffer query = Words.query("SELECT content FROM kv WHERE name = 'half' /* id=half,c=read,t=acme,d=900 */");
-            write(half, query.slice(0, query.remaining() / 2));
-            long from = System.nanoTime();
-            awaitClose(half);
-            return (System.nanoTime() - from) / 1_000_000;
+            write(connection, query.slice(0, query.remaining() / 2));
+            long startNs = System.nanoTime();
+            awaitClose(connection);
+            return (System.nanoTime() - startNs) / 1_000_000;
         }
     }
 
-    private static void awaitClose(Socket half) throws IOException {
-        byte[] rest = new byte[4096];
+    private static void awaitClose(Socket connection) throws IOException {
+        byte[] buffer = new byte[4096];
         try {
-            while (half.getInputStream().read(rest) >= 0) {
+            while (connection.getInputStream().read(buffer) >= 0) {
                 continue;
             }
         } catch (SocketException e) {
--- a/src/main/java/honeygap/lab/soak/SoakCommand.java
+++ b/src/main/java/honeygap/lab/soak/SoakCommand.java
@@ -17,8 +17,8 @@
         description = "Run agents in processes of their own under faults that a seed schedules, and check the rules.")
 public final class SoakCommand implements Callable<Integer> {
 
-    private static final int BREACHES_SHOWN = 10;
-    private static final int SHRINKING_PLAYS = 16;
+    private static final int MAX_VIOLATIONS_SHOWN = 10;
+    private static final int MAX_SHRINKING_RUNS = 16;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -50,51 +50,51 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         out = spec.commandLine().getOut();
-        int broken = 0;
-        for (long one : LongStream.range(seed, seed + seeds).toArray()) {
-            SoakPlan plan = SoakPlan.drawn(one, agents, 1000 * seconds);
-            SoakRun.Outcome outcome = play(plan);
-            tell(outcome);
-            if (outcome.isBroken()) {
-                broken++;
+        int failedSeeds = 0;
+        for (long currentSeed : LongStream.range(seed, seed + seeds).toArray()) {
+            SoakPlan plan = SoakPlan.generate(currentSeed, agents, 1000 * seconds);
+            SoakRun.Outcome outcome = run(plan);
+            printOutcome(outcome);
+            if (outcome.hasViolations()) {
+                failedSeeds++;
                 if (shrinks) {
                     shrink(outcome);
                 }
             }
         }
-        out.printf("%d of %d seeds kept all rules, %d agents, %d s%n", seeds - broken, seeds, agents, seconds);
-        return broken == 0 ? 0 : 1;
+        out.printf("%d of %d seeds kept all rules, %d agents, %d s%n", seeds - failedSeeds, seeds, agents, seconds);
+        return failedSeeds == 0 ? 0 : 1;
     }
 
-    private SoakRun.Outcome play(SoakPlan plan) throws IOException, InterruptedException {
-        Path place = folder == null ? Files.createTempDirectory("soak") : Files.createDirectories(folder.resolve("seed"
+    private SoakRun.Outcome run(SoakPlan plan) throws IOException, InterruptedException {
+        Path runFolder = folder == null ? Files.createTempDirectory("soak") : Files.createDirectories(folder.resolve("seed"
                 + plan.seed()));
-        try (SoakRun run = new SoakRun(plan, place)) {
-            return run.play();
+        try (SoakRun run = new SoakRun(plan, runFolder)) {
+            return run.run();
         } finally {
             if (folder == null) {
-                delete(place);
+                delete(runFolder);
             }
         }
     }
 
-    private static void delete(Path place) throws IOException {
-        try (Stream<Path> all = Files.walk(place)) {
-            for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.deleteIfExists(one);
+    private static void delete(Path directory) throws IOException {
+        try (Stream<Path> paths = Files.walk(directory)) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+                Files.deleteIfExists(path);
             }
         }
     }
 
-    private void tell(SoakRun.Outcome outcome) {
+    private void printOutcome(SoakRun.Outcome outcome) {
         SoakPlan plan = outcome.plan();
         out.printf("seed %d: %d requests, %d served, %d refused; %d told to end, %d ended before the kill at %d ms; %d clients an agent;"
                 + " late by %d ms at most; %d faults; %s%n", plan.seed(), outcome.requests(), outcome.served(), outcome.refused(),
-                outcome.signalled(), outcome.endedByThemselves(), plan.load().killAfterMs(), plan.load().clientsPerAgent(),
+                outcome.signalled(), outcome.exitedByThemselves(), plan.load().killAfterMs(), plan.load().clientsPerAgent(),
                 outcome.latenessMs(), plan.faults().size(),
-                outcome.isBroken() ? outcome.breaches().size() + " BROKEN" : "all rules kept");
-        outcome.breaches().stream().limit(BREACHES_SHOWN).forEach(breach -> out.println("  " + breach));
-        if (outcome.isBroken()) {
+                outcome.hasViolations() ? outcome.violations().size() + " BROKEN" : "all rules kept");
+        outcome.violations().stream().limit(MAX_VIOLATIONS_SHOWN).forEach(violation -> out.println("  " + violation));
+        if (outcome.hasViolations()) {
             out.printf("  again: --seed %d --agents %d --seconds %d%n", plan.seed(), plan.agents(), plan.loadMs() / 1000);
         }
         out.flush();
@@ -103,19 +103,19 @@
     /** Leaves out halves, then smaller parts, of the faults as long as a rule breaks without them. */
     private void shrink(SoakRun.Outcome failing) throws IOException, InterruptedException {
         SoakPlan smallest = failing.plan();
-        int plays = 0;
-        for (int part = (smallest.faults().size() + 1) / 2; part > 0 && plays < SHRINKING_PLAYS; part /= 2) {
-            for (int from = 0; from < smallest.faults().size() && plays < SHRINKING_PLAYS; from += part) {
-                List<PlannedFault> fewer = new ArrayList<>(smallest.faults());
-                fewer.subList(from, Math.min(fewer.size(), from + part)).clear();
-                plays++;
-                if (play(smallest.with(fewer)).isBroken()) {
-                    smallest = smallest.with(fewer);
-                    from -= part;
+        int runs = 0;
+        for (int chunkSize = (smallest.faults().size() + 1) / 2; chunkSize > 0 && runs < MAX_SHRINKING_RUNS; chunkSize /= 2) {
+            for (int from = 0; from < smallest.faults().size() && runs < MAX_SHRINKING_RUNS; from += chunkSize) {
+                List<PlannedFault> remaining = new ArrayList<>(smallest.faults());
+                remaining.subList(from, Math.min(remaining.size(), from + chunkSize)).clear();
+                runs++;
+                if (run(smallest.withFaults(remaining)).hasViolations()) {
+                    smallest = smallest.withFaults(remaining);
+                    from -= chunkSize;
                 }
             }
         }
-        out.printf("  smallest found in %d plays, %d faults:%n", plays, smallest.faults().size());
+        out.printf("  smallest found in %d plays, %d faults:%n", runs, smallest.faults().size());
         smallest.faults().forEach(fault -> out.println("    " + fault));
         out.flush();
     }
--- a/src/main/java/honeygap/lab/soak/SoakLoad.java
+++ b/src/main/java/honeygap/lab/soak/SoakLoad.java
@@ -12,38 +12,38 @@
  * @param sockets how many descriptors an agent may hold
  * @param connectsAlways whether clients open connections to an agent that was told to end for as long as somebody listens
  */
-record SoakLoad(Map<SoakMethod, Long> deadlineMs, int clientsPerAgent, int sockets, boolean connectsAlways) {
+record SoakLoad(Map<SoakMethod, Long> deadlineMs, int clientsPerAgent, int maxSockets, boolean connectsDuringShutdown) {
 
-    private static final long SHORTEST_DEADLINE_MS = 800;
-    private static final long LONGEST_DEADLINE_MS = 5000;
-    static final int CLIENTS = 4;
-    private static final int SOCKETS = 512;
-    private static final int CLIENTS_OF_A_CROWD = 60;
-    private static final int CLIENTS_OF_ALL_AT_MOST = 360;
-    private static final int SOCKETS_IN_A_CROWD = 96;
-    private static final int CROWD_EVERY = 4;
-    private static final int CONNECTS_ALWAYS_EVERY = 3;
+    private static final long MIN_DEADLINE_MS = 800;
+    private static final long MAX_DEADLINE_MS = 5000;
+    static final int CLIENTS_PER_AGENT = 4;
+    private static final int MAX_SOCKETS = 512;
+    private static final int CROWD_CLIENTS_PER_AGENT = 60;
+    private static final int MAX_CROWD_CLIENTS = 360;
+    private static final int CROWD_MAX_SOCKETS = 96;
+    private static final int CROWD_ONE_IN = 4;
+    private static final int CONNECTS_DURING_SHUTDOWN_ONE_IN = 3;
     /** The operators kill a process so long after its signal, beyond the longest deadline, which counts as this at most. */
     private static final long KILL_GRACE_MS = 700;
-    private static final long LONGEST_COUNTED_MS = 3000;
+    private static final long MAX_COUNTED_DEADLINE_MS = 3000;
 
-    static SoakLoad drawn(long seed, int agents) {
+    static SoakLoad generate(long seed, int agents) {
         // Not the faults' own: what is drawn here changes nothing of them.
         Random random = new Random(~seed);
         Map<SoakMethod, Long> deadlines = new EnumMap<>(SoakMethod.class);
-        long longest = SHORTEST_DEADLINE_MS + random.nextInt((int) (LONGEST_DEADLINE_MS - SHORTEST_DEADLINE_MS) + 1);
+        long longest = MIN_DEADLINE_MS + random.nextInt((int) (MAX_DEADLINE_MS - MIN_DEADLINE_MS) + 1);
         for (SoakMethod method : SoakMethod.values()) {
-            deadlines.put(method, SHORTEST_DEADLINE_MS + random.nextInt((int) (longest - SHORTEST_DEADLINE_MS) + 1));
+            deadlines.put(method, MIN_DEADLINE_MS + random.nextInt((int) (longest - MIN_DEADLINE_MS) + 1));
         }
-        boolean isCrowd = random.nextInt(CROWD_EVERY) == 0;
-        boolean connectsAlways = random.nextInt(CONNECTS_ALWAYS_EVERY) == 0;
-        return new SoakLoad(deadlines, isCrowd ? Math.min(CLIENTS_OF_A_CROWD, Math.max(CLIENTS, CLIENTS_OF_ALL_AT_MOST / agents))
-                : CLIENTS, isCrowd ? SOCKETS_IN_A_CROWD : SOCKETS, connectsAlways);
+        boolean isCrowd = random.nextInt(CROWD_ONE_IN) == 0;
+        boolean connectsDuringShutdown = random.nextInt(CONNECTS_DURING_SHUTDOWN_ONE_IN) == 0;
+        return new SoakLoad(deadlines, isCrowd ? Math.min(CROWD_CLIENTS_PER_AGENT, Math.max(CLIENTS_PER_AGENT, MAX_CROWD_CLIENTS / agents))
+                : CLIENTS_PER_AGENT, isCrowd ? CROWD_MAX_SOCKETS : MAX_SOCKETS, connectsDuringShutdown);
     }
 
     /** When SIGKILL comes at the earliest, in milliseconds after SIGTERM. */
     long killAfterMs() {
-        long longest = deadlineMs.values().stream().mapToLong(Long::longValue).max().orElse(LONGEST_COUNTED_MS);
-        return KILL_GRACE_MS + Math.min(LONGEST_COUNTED_MS, longest);
+        long longest = deadlineMs.values().stream().mapToLong(Long::longValue).max().orElse(MAX_COUNTED_DEADLINE_MS);
+        return KILL_GRACE_MS + Math.min(MAX_COUNTED_DEADLINE_MS, longest);
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakMethod.java
+++ b/src/main/java/honeygap/lab/soak/SoakMethod.java
@@ -10,20 +10,20 @@
     /** For so long an appliance knows a key that it has answered. */
     static final long TOKEN_WINDOW_MS = 5000;
 
-    final String word;
+    final String label;
     final String effect;
 
-    SoakMethod(String word, String effect) {
-        this.word = word;
+    SoakMethod(String label, String effect) {
+        this.label = label;
         this.effect = effect;
     }
 
-    static SoakMethod of(String word) {
+    static SoakMethod ofLabel(String label) {
         for (SoakMethod method : values()) {
-            if (method.word.equals(word)) {
+            if (method.label.equals(label)) {
                 return method;
             }
         }
-        throw new IllegalArgumentException("no method " + word);
+        throw new IllegalArgumentException("no method " + label);
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakPlan.java
+++ b/src/main/java/honeygap/lab/soak/SoakPlan.java
@@ -12,72 +12,72 @@
  */
 record SoakPlan(long seed, int agents, int appliances, long loadMs, SoakLoad load, List<PlannedFault> faults) {
 
-    private static final int FAULTS_A_MINUTE = 60;
-    private static final int APPLIANCES_AT_LEAST = 12;
-    private static final long LONGEST_FAULT_MS = 4000;
-    private static final int TRIAL_EVERY = 5;
+    private static final int FAULTS_PER_MINUTE = 60;
+    private static final int MIN_APPLIANCES = 12;
+    private static final long FAULT_DURATION_RANGE_MS = 4000;
+    private static final int TRIAL_ONE_IN = 5;
     private static final long OUTAGE_MS = 8000;
-    private static final long SHORTEST_STOP_MS = 150;
-    private static final int ROLL_STEPS = 10;
-    private static final long ROLL_FROM_MS = 1500;
-    private static final long ROLL_BEFORE_END_MS = 5000;
-    private static final long HANGS_FOR_MS = 5000;
+    private static final long MIN_PAUSE_MS = 150;
+    private static final int RESTART_STEPS = 10;
+    private static final long RESTART_START_MS = 1500;
+    private static final long RESTART_END_MARGIN_MS = 5000;
+    private static final long HANG_MS = 5000;
 
-    static SoakPlan drawn(long seed, int agents, long loadMs) {
+    static SoakPlan generate(long seed, int agents, long loadMs) {
         Random random = new Random(seed);
-        int appliances = Math.max(APPLIANCES_AT_LEAST, agents);
+        int appliances = Math.max(MIN_APPLIANCES, agents);
         List<PlannedFault> faults = new ArrayList<>();
-        int many = (int) Math.max(4, FAULTS_A_MINUTE * loadMs / 60_000);
+        int faultCount = (int) Math.max(4, FAULTS_PER_MINUTE * loadMs / 60_000);
         FaultKind[] kinds = FaultKind.values();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < faultCount; i++) {
             FaultKind kind = kinds[random.nextInt(kinds.length)];
-            long lasts = kind == FaultKind.AGENT_STOPPED ? SHORTEST_STOP_MS + random.nextInt(1000)
-                    : 500 + random.nextInt((int) LONGEST_FAULT_MS);
-            int target = kind == FaultKind.APPLIANCE_REPLACED ? replaced(random, appliances)
+            long durationMs = kind == FaultKind.AGENT_STOPPED ? MIN_PAUSE_MS + random.nextInt(1000)
+                    : 500 + random.nextInt((int) FAULT_DURATION_RANGE_MS);
+            int target = kind == FaultKind.APPLIANCE_REPLACED ? drawReplaced(random, appliances)
                     : random.nextInt(kind.name().startsWith("AGENT") ? agents : appliances);
             faults.add(new PlannedFault(kind, 1000 + random.nextInt((int) Math.max(1, loadMs - 3000)),
-                    kind.lasts ? lasts : 0, target));
+                    kind.hasDuration ? durationMs : 0, target));
         }
         // In each run, since it is what lists are leased for: agents are killed after an outage while appliances are replaced.
-        long down = 1000 + random.nextInt((int) Math.max(1, loadMs / 4));
-        faults.add(new PlannedFault(FaultKind.DISCOVERY_DOWN, down, OUTAGE_MS, 0));
+        long outageAtMs = 1000 + random.nextInt((int) Math.max(1, loadMs / 4));
+        faults.add(new PlannedFault(FaultKind.DISCOVERY_DOWN, outageAtMs, OUTAGE_MS, 0));
         for (int i = 0; i < appliances / 3; i++) {
-            faults.add(new PlannedFault(FaultKind.APPLIANCE_REPLACED, down + 2000 + random.nextInt(8000), 0,
-                    replaced(random, appliances)));
+            faults.add(new PlannedFault(FaultKind.APPLIANCE_REPLACED, outageAtMs + 2000 + random.nextInt(8000), 0,
+                    drawReplaced(random, appliances)));
         }
         for (int i = 0; i < agents / 2; i++) {
-            faults.add(new PlannedFault(FaultKind.AGENT_KILLED, down + OUTAGE_MS + random.nextInt(2000), 0,
+            faults.add(new PlannedFault(FaultKind.AGENT_KILLED, outageAtMs + OUTAGE_MS + random.nextInt(2000), 0,
                     random.nextInt(agents)));
         }
-        roll(random, agents, appliances, loadMs, faults);
+        addRollingRestart(random, agents, appliances, loadMs, faults);
         faults.sort(Comparator.comparingLong(PlannedFault::atMs));
-        return new SoakPlan(seed, agents, appliances, loadMs, SoakLoad.drawn(seed, agents), List.copyOf(faults));
+        return new SoakPlan(seed, agents, appliances, loadMs, SoakLoad.generate(seed, agents), List.copyOf(faults));
     }
 
     /** Each agent is told to end once, a tenth of the fleet at a time, while an appliance hangs. */
-    private static void roll(Random random, int agents, int appliances, long loadMs, List<PlannedFault> faults) {
-        int atOnce = (agents + ROLL_STEPS - 1) / ROLL_STEPS;
-        long last = Math.max(ROLL_FROM_MS, loadMs - ROLL_BEFORE_END_MS);
+    private static void addRollingRestart(Random random, int agents, int appliances, long loadMs, List<PlannedFault> faults) {
+        int agentsPerStep = (agents + RESTART_STEPS - 1) / RESTART_STEPS;
+        long endMs = Math.max(RESTART_START_MS, loadMs - RESTART_END_MARGIN_MS);
         for (int i = 0; i < agents; i++) {
-            long at = ROLL_FROM_MS + (last - ROLL_FROM_MS) * (i / atOnce) / ROLL_STEPS;
-            faults.add(new PlannedFault(FaultKind.AGENT_TERMINATED, at, 0, i));
-            if (i % atOnce == 0) {
-                faults.add(new PlannedFault(FaultKind.APPLIANCE_HANGS, at, HANGS_FOR_MS, random.nextInt(appliances)));
+            long atMs = RESTART_START_MS + (endMs - RESTART_START_MS) * (i / agentsPerStep) / RESTART_STEPS;
+            faults.add(new PlannedFault(FaultKind.AGENT_TERMINATED, atMs, 0, i));
+            if (i % agentsPerStep == 0) {
+                faults.add(new PlannedFault(FaultKind.APPLIANCE_HANGS, atMs, HANG_MS, random.nextInt(appliances)));
             }
         }
     }
 
     /** Drains follow from rollouts: one of the earlier build, never of the newest. */
-    private static int replaced(Random random, int appliances) {
-        int drawn = random.nextInt(appliances);
-        return isOfTrialBuild(drawn) ? Math.max(1, drawn - 1) : drawn;
+    private static int drawReplaced(Random random, int appliances) {
+        int appliance = random.nextInt(appliances);
+        return isOfTrialBuild(appliance) ? Math.max(1, appliance - 1) : appliance;
     }
 
     static boolean isOfTrialBuild(int appliance) {
-        return appliance % TRIAL_EVERY == 0;
+        return appliance % TRIAL_ONE_IN == 0;
     }
 
-    SoakPlan with(List<PlannedFault> fewer) {
-        return new SoakPlan(seed, agents, appliances, loadMs, load, List.copyOf(fewer));
+    SoakPlan withFaults(List<PlannedFault> remaining) {
+        return new SoakPlan(seed, agents, appliances, loadMs, load, List.copyOf(remaining));
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakRecord.java
+++ b/src/main/java/honeygap/lab/soak/SoakRecord.java
@@ -16,31 +16,31 @@
     }
 
     /** A request as its client sent it; the second sending is on a new connection, where the first was closed unanswered. */
-    record Sent(String id, int agent, SoakMethod method, long at, long timeMs) {
+    record SentRequest(String id, int agent, SoakMethod method, long at, long timeoutMs) {
 
         /** Behind another request on its connection: its time counts from that one's answer. */
-        Sent from(long later) {
-            return new Sent(id, agent, method, later, timeMs);
+        SentRequest withSentAt(long later) {
+            return new SentRequest(id, agent, method, later, timeoutMs);
         }
     }
 
-    record Ended(String id, Ending ending, long at, String value) { }
+    record Completion(String id, Ending ending, long at, String value) { }
 
     /** Its connection was closed with no answer, and it was sent once more on a new one. */
-    record SentAgain(String id, long at) { }
+    record Resend(String id, long at) { }
 
     /** A client has closed its connection under a request. */
-    record Left(String id, long at) { }
+    record Disconnect(String id, long at) { }
 
     /** A request as it came to an appliance's process. */
-    record Arrival(String id, int appliance, int life, int build, int zone, long firstByteAt, long at, long timeToldMs,
-                   boolean ran) { }
+    record Arrival(String id, int appliance, int restarts, int build, int zone, long firstByteAt, long at, long timeoutMs,
+                   boolean executed) { }
 
     /** Discovery's list has changed. */
-    record Change(long version, int appliance, ApplianceState state, long at) { }
+    record ListChange(long version, int appliance, ApplianceState state, long at) { }
 
     /** Discovery has written all changes up to this version to an agent. */
-    record Told(int agent, long version, long at) { }
+    record ListDelivery(int agent, long version, long at) { }
 
     /** How a process ended. */
     enum Death {
@@ -55,36 +55,36 @@
     }
 
     /** From the start of a process to its end; when it was told to end, Long.MAX_VALUE where it was not. */
-    record Life(int agent, long from, long signalledAt, long to, Death death) { }
+    record ProcessLifetime(int agent, long from, long signalledAt, long to, Death death) { }
 
     /** A process stood still, by a signal. */
-    record Standstill(int agent, long from, long to) { }
+    record ProcessPause(int agent, long from, long to) { }
 
     /** Discovery could not be reached. */
     record Outage(long from, long to) { }
 
     /** What a process held when nothing was going on. */
-    record Holdings(int agent, long pid, String when, long descriptors, long threads, long memoryKb) { }
+    record ResourceUsage(int agent, long pid, String phase, long descriptors, long threads, long memoryKb) { }
 
-    final Map<String, Sent> sent = new ConcurrentHashMap<>();
-    final Collection<Ended> ended = new ConcurrentLinkedQueue<>();
-    final Map<String, SentAgain> sentAgain = new ConcurrentHashMap<>();
+    final Map<String, SentRequest> sent = new ConcurrentHashMap<>();
+    final Collection<Completion> completions = new ConcurrentLinkedQueue<>();
+    final Map<String, Resend> resends = new ConcurrentHashMap<>();
     /** Requests that an agent's log says it took on after its signal to end. */
-    final Collection<String> takenAfterSignal = ConcurrentHashMap.newKeySet();
-    final Map<String, Left> left = new ConcurrentHashMap<>();
+    final Collection<String> acceptedAfterSignal = ConcurrentHashMap.newKeySet();
+    final Map<String, Disconnect> disconnects = new ConcurrentHashMap<>();
     final Collection<Arrival> arrivals = new ConcurrentLinkedQueue<>();
-    final Collection<Change> changes = new ConcurrentLinkedQueue<>();
-    final Collection<Told> told = new ConcurrentLinkedQueue<>();
-    final Collection<Life> lives = new ConcurrentLinkedQueue<>();
-    final Collection<Standstill> standstills = new ConcurrentLinkedQueue<>();
+    final Collection<ListChange> listChanges = new ConcurrentLinkedQueue<>();
+    final Collection<ListDelivery> listDeliveries = new ConcurrentLinkedQueue<>();
+    final Collection<ProcessLifetime> lifetimes = new ConcurrentLinkedQueue<>();
+    final Collection<ProcessPause> pauses = new ConcurrentLinkedQueue<>();
     final Collection<Outage> outages = new ConcurrentLinkedQueue<>();
-    final Collection<Holdings> holdings = new ConcurrentLinkedQueue<>();
+    final Collection<ResourceUsage> resourceUsage = new ConcurrentLinkedQueue<>();
     /** How late the run's own threads were at the most: what is measured may be late by as much. */
     volatile long latenessMs;
 
-    private final long zero = System.nanoTime();
+    private final long startNs = System.nanoTime();
 
     long now() {
-        return (System.nanoTime() - zero) / 1_000_000;
+        return (System.nanoTime() - startNs) / 1_000_000;
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakRun.java
+++ b/src/main/java/honeygap/lab/soak/SoakRun.java
@@ -18,24 +18,24 @@
 final class SoakRun implements AutoCloseable {
 
     /** What came of a run. */
-    record Outcome(SoakPlan plan, List<Breach> breaches, long requests, long served, long refused, long latenessMs,
-            long signalled, long endedByThemselves) {
+    record Outcome(SoakPlan plan, List<Violation> violations, long requests, long served, long refused, long latenessMs,
+            long signalled, long exitedByThemselves) {
 
-        boolean isBroken() {
-            return !breaches.isEmpty();
+        boolean hasViolations() {
+            return !violations.isEmpty();
         }
     }
 
     private static final int ZONES = 3;
-    private static final long DRAINS_FOR_MS = 1500;
-    private static final long GONE_FOR_MS = 1000;
-    private static final long DOWN_FOR_MS = 700;
+    private static final long DRAIN_MS = 1500;
+    private static final long APPLIANCE_DOWN_MS = 1000;
+    private static final long AGENT_DOWN_MS = 700;
     private static final long HOUR_S = 3600;
     private static final long QUIET_MS = 4000;
-    private static final int STARTS_AT_ONCE = 8;
+    private static final int CONCURRENT_STARTS = 8;
     private static final long TICK_MS = 10;
-    private static final int FAULT_RATE = 400;
-    private static final long AGENTS_AT_MOST = 1 << 20;
+    private static final int CALLS_PER_FAULT = 400;
+    private static final long MAX_AGENTS = 1 << 20;
 
     private final SoakPlan plan;
     private final SoakRecord record = new SoakRecord();
@@ -43,27 +43,27 @@
     private final List<SoakAgent> agents = new ArrayList<>();
     private final StandInDiscovery discovery;
     private final StandInDesk desk;
-    private final SystemFaults systemFaults;
+    private final SystemCallFaults systemFaults;
     private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(4, SoakRun::daemon);
     private final ExecutorService workers = Executors.newCachedThreadPool(SoakRun::daemon);
-    private final ConcurrentLinkedQueue<Breach> found = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Violation> incompleteRequestViolations = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
 
     SoakRun(SoakPlan plan, Path folder) throws IOException, InterruptedException {
         this.plan = plan;
         discovery = new StandInDiscovery(plan.agents(), record);
         desk = new StandInDesk();
-        systemFaults = new SystemFaults(folder, FAULT_RATE);
+        systemFaults = new SystemCallFaults(folder, CALLS_PER_FAULT);
         for (int i = 0; i < plan.appliances(); i++) {
             int build = SoakPlan.isOfTrialBuild(i) ? StandInDesk.TRIAL_BUILD : StandInDesk.EARLIER_BUILD;
             StandInAppliance appliance = new StandInAppliance(i, i % ZONES, build, record);
             appliances.add(appliance);
-            discovery.add(appliance);
+            discovery.addInitial(appliance);
         }
         for (int i = 0; i < plan.agents(); i++) {
             int number = i;
             agents.add(new SoakAgent(i, plan.agents(), folder.resolve("agent" + i), record, systemFaults,
-                    () -> discovery.known(number), discovery.port(i), desk.port(), plan.load()));
+                    () -> discovery.lastDeliveredList(number), discovery.port(i), desk.port(), plan.load()));
         }
     }
 
@@ -74,45 +74,45 @@
     }
 
     /** Carries the plan out. */
-    Outcome play() throws InterruptedException, IOException {
+    Outcome run() throws InterruptedException, IOException {
         startAgents();
         measureLateness();
         TimeUnit.MILLISECONDS.sleep(QUIET_MS / 2);
-        measure("start");
-        long begin = record.now();
+        recordResourceUsage("start");
+        long loadStart = record.now();
         for (PlannedFault fault : plan.faults()) {
-            timers.schedule(() -> workers.submit(() -> guarded(fault)), fault.atMs(), TimeUnit.MILLISECONDS);
+            timers.schedule(() -> workers.submit(() -> injectRecordingFailure(fault)), fault.atMs(), TimeUnit.MILLISECONDS);
         }
-        load(begin + plan.loadMs());
-        discovery.down(false);
+        runClients(loadStart + plan.loadMs());
+        discovery.setDown(false);
         TimeUnit.MILLISECONDS.sleep(QUIET_MS);
-        measure("end");
+        recordResourceUsage("end");
         for (SoakAgent agent : agents) {
             agent.close();
         }
-        List<Breach> all = new ArrayList<>(SoakChecker.check(record));
-        all.addAll(found);
-        failures.forEach(why -> all.add(new Breach("run", 0, "", why)));
-        Collections.sort(all, java.util.Comparator.comparingLong(Breach::at));
-        return new Outcome(plan, all, record.sent.size(), ended(SoakRecord.Ending.SERVED),
-                ended(SoakRecord.Ending.REFUSED), record.latenessMs,
-                died(SoakRecord.Death.ENDED) + died(SoakRecord.Death.KILLED_AFTER_SIGNAL), died(SoakRecord.Death.ENDED));
+        List<Violation> violations = new ArrayList<>(SoakChecker.check(record));
+        violations.addAll(incompleteRequestViolations);
+        failures.forEach(failure -> violations.add(new Violation("run", 0, "", failure)));
+        Collections.sort(violations, java.util.Comparator.comparingLong(Violation::atMs));
+        return new Outcome(plan, violations, record.sent.size(), countCompletions(SoakRecord.Ending.SERVED),
+                countCompletions(SoakRecord.Ending.REFUSED), record.latenessMs,
+                countDeaths(SoakRecord.Death.ENDED) + countDeaths(SoakRecord.Death.KILLED_AFTER_SIGNAL), countDeaths(SoakRecord.Death.ENDED));
     }
 
     SoakRecord record() {
         return record;
     }
 
-    private long ended(SoakRecord.Ending ending) {
-        return record.ended.stream().filter(one -> one.ending() == ending).count();
+    private long countCompletions(SoakRecord.Ending ending) {
+        return record.completions.stream().filter(completion -> completion.ending() == ending).count();
     }
 
-    private long died(SoakRecord.Death death) {
-        return record.lives.stream().filter(life -> life.death() == death).count();
+    private long countDeaths(SoakRecord.Death death) {
+        return record.lifetimes.stream().filter(lifetime -> lifetime.death() == death).count();
     }
 
     private void startAgents() throws InterruptedException, IOException {
-        ExecutorService starters = Executors.newFixedThreadPool(STARTS_AT_ONCE, SoakRun::daemon);
+        ExecutorService starters = Executors.newFixedThreadPool(CONCURRENT_STARTS, SoakRun::daemon);
         List<Future<?>> starts = new ArrayList<>();
         for (SoakAgent agent : agents) {
             starts.add(starters.submit(() -> {
@@ -133,31 +133,31 @@
 
     /** How late a thread of this process is woken: on a busy machine what it measures is late by as much. */
     private void measureLateness() {
-        long[] last = {record.now()};
+        long[] lastTickAt = {record.now()};
         timers.scheduleAtFixedRate(() -> {
             long now = record.now();
-            record.latenessMs = Math.max(record.latenessMs, now - last[0] - TICK_MS);
-            last[0] = now;
+            record.latenessMs = Math.max(record.latenessMs, now - lastTickAt[0] - TICK_MS);
+            lastTickAt[0] = now;
         }, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void measure(String when) {
+    private void recordResourceUsage(String phase) {
         for (SoakAgent agent : agents) {
             try {
-                agent.measure(when);
+                agent.recordResourceUsage(phase);
             } catch (IOException e) {
                 failures.add("agent " + agent.number + " can't be measured: " + e.getMessage());
             }
         }
     }
 
-    private void load(long until) throws InterruptedException {
+    private void runClients(long endTime) throws InterruptedException {
         List<Future<?>> clients = new ArrayList<>();
         for (SoakAgent agent : agents) {
             for (int i = 0; i < plan.load().clientsPerAgent(); i++) {
-                SoakClient client = new SoakClient(agent.number, i, agent.address, record, plan, agent::takesNewClients);
+                SoakClient client = new SoakClient(agent.number, i, agent.address, record, plan, agent::acceptsNewClients);
                 clients.add(workers.submit(() -> {
-                    client.runUntil(until);
+                    client.runUntil(endTime);
                     return null;
                 }));
             }
@@ -171,9 +171,9 @@
         }
     }
 
-    private void guarded(PlannedFault fault) {
+    private void injectRecordingFailure(PlannedFault fault) {
         try {
-            carryOut(fault);
+            inject(fault);
         } catch (IOException | UncheckedIOException e) {
             failures.add(fault + " failed: " + e.getMessage());
         } catch (InterruptedException e) {
@@ -181,36 +181,36 @@
         }
     }
 
-    private void carryOut(PlannedFault fault) throws IOException, InterruptedException {
+    private void inject(PlannedFault fault) throws IOException, InterruptedException {
         switch (fault.kind()) {
             case AGENT_KILLED -> restart(agents.get(fault.target()), true);
             case AGENT_TERMINATED -> restart(agents.get(fault.target()), false);
-            case AGENT_HUNG_UP -> hangUp(agents.get(fault.target()));
-            case AGENT_STOPPED -> standStill(agents.get(fault.target()), fault.forMs());
-            case CLOCK_STEPPED -> systemFaults.step(fault.target() % 2 == 0 ? HOUR_S : -HOUR_S);
+            case AGENT_HUNG_UP -> reloadTwice(agents.get(fault.target()));
+            case AGENT_STOPPED -> pause(agents.get(fault.target()), fault.durationMs());
+            case CLOCK_STEPPED -> systemFaults.stepClock(fault.target() % 2 == 0 ? HOUR_S : -HOUR_S);
             case DISCOVERY_DOWN -> {
-                discovery.down(true);
-                TimeUnit.MILLISECONDS.sleep(fault.forMs());
-                discovery.down(false);
+                discovery.setDown(true);
+                TimeUnit.MILLISECONDS.sleep(fault.durationMs());
+                discovery.setDown(false);
             }
-            case DISCOVERY_SILENT -> discovery.silent();
+            case DISCOVERY_SILENT -> discovery.silenceWatches();
             case DISCOVERY_SPOILT -> {
-                discovery.spoilt(true);
-                TimeUnit.MILLISECONDS.sleep(fault.forMs());
-                discovery.spoilt(false);
+                discovery.setMalformed(true);
+                TimeUnit.MILLISECONDS.sleep(fault.durationMs());
+                discovery.setMalformed(false);
             }
             case DESK_DOWN -> {
-                desk.down(true);
-                TimeUnit.MILLISECONDS.sleep(fault.forMs());
-                desk.down(false);
+                desk.setDown(true);
+                TimeUnit.MILLISECONDS.sleep(fault.durationMs());
+                desk.setDown(false);
             }
             case APPLIANCE_REPLACED -> replace(appliances.get(fault.target()));
             case APPLIANCE_CLOSES -> appliances.get(fault.target()).closeConnections();
             default -> {
                 StandInAppliance appliance = appliances.get(fault.target());
-                appliance.fault(fault.kind(), true);
-                TimeUnit.MILLISECONDS.sleep(fault.forMs());
-                appliance.fault(fault.kind(), false);
+                appliance.setFault(fault.kind(), true);
+                TimeUnit.MILLISECONDS.sleep(fault.durationMs());
+                appliance.setFault(fault.kind(), false);
             }
         }
     }
@@ -219,27 +219,27 @@
         synchronized (agent) {
             if (isKilled) {
                 agent.kill();
-                TimeUnit.MILLISECONDS.sleep(DOWN_FOR_MS);
+                TimeUnit.MILLISECONDS.sleep(AGENT_DOWN_MS);
             } else {
-                agent.shutDown(SignalSeries.drawn(new Random(plan.seed() * AGENTS_AT_MOST + agent.number)));
+                agent.shutDown(SignalSequence.generate(new Random(plan.seed() * MAX_AGENTS + agent.number)));
             }
             agent.start();
         }
-        found.addAll(SoakChecker.checkHalfRequest(record, agent.number, SoakClient.halfRequest(agent.address), record.now()));
+        incompleteRequestViolations.addAll(SoakChecker.checkIncompleteRequest(record, agent.number, SoakClient.sendIncompleteRequest(agent.address), record.now()));
     }
 
-    private static void hangUp(SoakAgent agent) throws IOException, InterruptedException {
-        agent.hangUp();
-        agent.hangUp();
+    private static void reloadTwice(SoakAgent agent) throws IOException, InterruptedException {
+        agent.reloadConfiguration();
+        agent.reloadConfiguration();
     }
 
-    private void standStill(SoakAgent agent, long forMs) throws IOException, InterruptedException {
+    private void pause(SoakAgent agent, long durationMs) throws IOException, InterruptedException {
         synchronized (agent) {
-            long from = record.now();
-            agent.signal("STOP");
-            TimeUnit.MILLISECONDS.sleep(forMs);
-            agent.signal("CONT");
-            record.standstills.add(new SoakRecord.Standstill(agent.number, from, record.now()));
+            long pausedAt = record.now();
+            agent.sendSignal("STOP");
+            TimeUnit.MILLISECONDS.sleep(durationMs);
+            agent.sendSignal("CONT");
+            record.pauses.add(new SoakRecord.ProcessPause(agent.number, pausedAt, record.now()));
         }
     }
 
@@ -247,13 +247,13 @@
     private void replace(StandInAppliance appliance) throws IOException, InterruptedException {
         synchronized (appliance) {
             appliance.drain();
-            discovery.change(appliance, ApplianceState.DRAINING);
-            TimeUnit.MILLISECONDS.sleep(DRAINS_FOR_MS);
-            discovery.change(appliance, ApplianceState.DELETED);
+            discovery.publishChange(appliance, ApplianceState.DRAINING);
+            TimeUnit.MILLISECONDS.sleep(DRAIN_MS);
+            discovery.publishChange(appliance, ApplianceState.DELETED);
             appliance.stop();
-            TimeUnit.MILLISECONDS.sleep(GONE_FOR_MS);
-            appliance.startAgain(appliance.build, systemFaults.wallMs());
-            discovery.change(appliance, ApplianceState.SERVING);
+            TimeUnit.MILLISECONDS.sleep(APPLIANCE_DOWN_MS);
+            appliance.restart(appliance.build, systemFaults.wallClockMs());
+            discovery.publishChange(appliance, ApplianceState.SERVING);
         }
     }
 
--- a/src/main/java/honeygap/lab/soak/StandInAppliance.java
+++ b/src/main/java/honeygap/lab/soak/StandInAppliance.java
@@ -21,22 +21,22 @@
 final class StandInAppliance implements AutoCloseable {
 
     private static final long WORK_MS = 10;
-    private static final long REPEAT_AFTER_MS = 5;
-    private static final long REPEAT_LATEST_MS = 10;
+    private static final long REPEAT_DELAY_MS = 5;
+    private static final long MAX_REPEAT_DELAY_MS = 10;
     private static final int BACKLOG = 512;
     /** What an appliance that drains says to a probe. */
-    private static final String NOT_NOW = "57P03";
+    private static final String SQLSTATE_CANNOT_CONNECT_NOW = "57P03";
 
     final int number;
     final int zone;
     private final SoakRecord record;
     private final InetSocketAddress address;
     private final Set<FaultKind> faults = EnumSet.noneOf(FaultKind.class);
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
     /** Times at which keys were answered, by key: repeats of them have no effect within the window. */
     private final Map<String, Long> answeredKeys = new ConcurrentHashMap<>();
     private ServerSocket server;
-    private volatile int life;
+    private volatile int restarts;
     private volatile boolean isDraining;
     volatile int build;
     /** The wall-clock time of its start in milliseconds, 0 for long ago. */
@@ -49,33 +49,33 @@
         this.record = record;
         server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         address = (InetSocketAddress) server.getLocalSocketAddress();
-        accept(server, life);
+        startAccepting(server, restarts);
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    private void accept(ServerSocket from, int ofLife) {
+    private void startAccepting(ServerSocket listener, int processRestarts) {
         StandInThread.start("appliance " + number, () -> {
             while (true) {
-                Socket socket = from.accept();
+                Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                open.add(socket);
+                openConnections.add(socket);
                 StandInThread.start("appliance " + number, () -> {
                     try (socket) {
-                        serve(socket, ofLife);
+                        serve(socket, processRestarts);
                     } catch (Malformed e) {
                         throw new IOException(e);
                     } finally {
-                        open.remove(socket);
+                        openConnections.remove(socket);
                     }
                 });
             }
         });
     }
 
-    synchronized void fault(FaultKind kind, boolean isOn) {
+    synchronized void setFault(FaultKind kind, boolean isOn) {
         if (isOn) {
             faults.add(kind);
         } else {
@@ -83,7 +83,7 @@
         }
     }
 
-    private synchronized boolean has(FaultKind kind) {
+    private synchronized boolean hasFault(FaultKind kind) {
         return faults.contains(kind);
     }
 
@@ -98,39 +98,39 @@
     }
 
     void closeConnections() throws IOException {
-        for (Socket socket : Set.copyOf(open)) {
+        for (Socket socket : Set.copyOf(openConnections)) {
             socket.close();
         }
     }
 
     /** Another process at the same address. */
-    void startAgain(int withBuild, long wallMs) throws IOException {
-        build = withBuild;
+    void restart(int newBuild, long wallMs) throws IOException {
+        build = newBuild;
         sinceMs = wallMs;
         isDraining = false;
         answeredKeys.clear();
-        life++;
+        restarts++;
         server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(address, BACKLOG);
-        accept(server, life);
+        startAccepting(server, restarts);
     }
 
-    private void serve(Socket socket, int ofLife) throws IOException, Malformed, InterruptedException {
+    private void serve(Socket socket, int processRestarts) throws IOException, Malformed, InterruptedException {
         InputStream in = socket.getInputStream();
         Frames frames = new Frames(1 << 18);
         byte[] buffer = new byte[1 << 14];
         boolean isStarted = false;
         long firstByteAt = record.now();
-        for (int many = in.read(buffer); many > 0; many = in.read(buffer)) {
+        for (int count = in.read(buffer); count > 0; count = in.read(buffer)) {
             long readAt = record.now();
             firstByteAt = frames.waiting() == 0 ? readAt : firstByteAt;
-            frames.feed(ByteBuffer.wrap(buffer.clone(), 0, many));
+            frames.feed(ByteBuffer.wrap(buffer.clone(), 0, count));
             while (isStarted ? frames.next() : frames.nextUntyped(10_000)) {
                 if (!isStarted) {
                     isStarted = true;
                     write(socket, Words.welcome());
-                } else if (frames.type() == 'Q' && !request(socket, frames.body(), ofLife, firstByteAt)) {
+                } else if (frames.type() == 'Q' && !handleRequest(socket, frames.body(), processRestarts, firstByteAt)) {
                     return;
                 }
             }
@@ -138,33 +138,33 @@
     }
 
     /** One request; false where the connection is over. */
-    private boolean request(Socket socket, ByteBuffer body, int ofLife, long firstByteAt)
+    private boolean handleRequest(Socket socket, ByteBuffer body, int processRestarts, long firstByteAt)
             throws IOException, InterruptedException {
         Statement statement = new Statement();
         if (!statement.read(body)) {
-            write(socket, isDraining ? Words.error(NOT_NOW, "draining", 0) : Morning.row("1"));
+            write(socket, isDraining ? Words.error(SQLSTATE_CANNOT_CONNECT_NOW, "draining", 0) : Morning.row("1"));
             return true;
         }
-        boolean refuses = isDraining || has(FaultKind.APPLIANCE_REFUSES);
-        SoakMethod method = SoakMethod.of(statement.method());
+        boolean refuses = isDraining || hasFault(FaultKind.APPLIANCE_REFUSES);
+        SoakMethod method = SoakMethod.ofLabel(statement.method());
         boolean isKnown = method == SoakMethod.BOOK && isAnswered(statement.key());
-        record.arrivals.add(new SoakRecord.Arrival(statement.id(), number, ofLife, build, zone, firstByteAt,
+        record.arrivals.add(new SoakRecord.Arrival(statement.id(), number, processRestarts, build, zone, firstByteAt,
                 record.now(), statement.timeMs(), !refuses && !isKnown));
         if (refuses) {
             write(socket, Words.error(Words.TOO_MANY, "no place", 0));
             return true;
         }
-        if (has(FaultKind.APPLIANCE_RESETS)) {
+        if (hasFault(FaultKind.APPLIANCE_RESETS)) {
             socket.setSoLinger(true, 0);
             return false;
         }
-        if (has(FaultKind.APPLIANCE_HANGS)) {
+        if (hasFault(FaultKind.APPLIANCE_HANGS)) {
             socket.getInputStream().read();
             return false;
         }
         Thread.sleep(WORK_MS);
         answeredKeys.put(statement.key(), record.now());
-        answer(socket, Morning.row(statement.id()));
+        writeAnswer(socket, Morning.row(statement.id()));
         return true;
     }
 
@@ -173,8 +173,8 @@
         return at != null && record.now() < at + SoakMethod.TOKEN_WINDOW_MS;
     }
 
-    private void answer(Socket socket, ByteBuffer row) throws IOException, InterruptedException {
-        if (has(FaultKind.APPLIANCE_DRIBBLES)) {
+    private void writeAnswer(Socket socket, ByteBuffer row) throws IOException, InterruptedException {
+        if (hasFault(FaultKind.APPLIANCE_DRIBBLES)) {
             byte[] bytes = bytes(row);
             for (int i = 0; i < bytes.length; i += 16) {
                 socket.getOutputStream().write(bytes, i, Math.min(16, bytes.length - i));
@@ -183,24 +183,24 @@
             return;
         }
         write(socket, row);
-        if (has(FaultKind.APPLIANCE_REPEATS)) {
+        if (hasFault(FaultKind.APPLIANCE_REPEATS)) {
             long wroteAt = record.now();
-            Thread.sleep(REPEAT_AFTER_MS);
+            Thread.sleep(REPEAT_DELAY_MS);
             // Some milliseconds late and no more, also where this thread was woken late.
-            if (record.now() <= wroteAt + REPEAT_LATEST_MS) {
+            if (record.now() <= wroteAt + MAX_REPEAT_DELAY_MS) {
                 write(socket, row);
             }
         }
     }
 
-    private static byte[] bytes(ByteBuffer from) {
-        byte[] bytes = new byte[from.remaining()];
-        from.duplicate().get(bytes);
+    private static byte[] bytes(ByteBuffer buffer) {
+        byte[] bytes = new byte[buffer.remaining()];
+        buffer.duplicate().get(bytes);
         return bytes;
     }
 
-    private static void write(Socket socket, ByteBuffer from) throws IOException {
-        socket.getOutputStream().write(bytes(from));
+    private static void write(Socket socket, ByteBuffer buffer) throws IOException {
+        socket.getOutputStream().write(bytes(buffer));
     }
 
     @Override
--- a/src/main/java/honeygap/lab/soak/StandInDesk.java
+++ b/src/main/java/honeygap/lab/soak/StandInDesk.java
@@ -14,13 +14,13 @@
     static final int EARLIER_BUILD = 1;
     static final int TRIAL_BUILD = 2;
     static final double CAP = 0.2;
-    private static final long SIGN_OF_LIFE_MS = 1000;
-    private static final int NEWS_EVERY = 2;
-    private static final String STREAM = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+    private static final long HEARTBEAT_MS = 1000;
+    private static final int HEARTBEATS_PER_STATUS = 2;
+    private static final String STREAM_HEAD = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
-    private static final String NEWS = "event: progress\ndata: Revision=" + TRIAL_BUILD
+    private static final String STATUS_EVENT = "event: progress\ndata: Revision=" + TRIAL_BUILD
             + "&Wave=0&State=Progressing&MaxShare=" + CAP + "&AgeMs=100000\n\n";
-    private static final String ITEM = "<?xml version=\"1.0\"?>\n<Response><entries><item><Revision>" + TRIAL_BUILD
+    private static final String STATUS_RESPONSE = "<?xml version=\"1.0\"?>\n<Response><entries><item><Revision>" + TRIAL_BUILD
             + "</Revision><Wave>0</Wave><State>Progressing</State><MaxShare>" + CAP
             + "</MaxShare><AgeMs>100000</AgeMs></item></entries></Response>";
 
@@ -40,7 +40,7 @@
         return server.getLocalPort();
     }
 
-    void down(boolean down) {
+    void setDown(boolean down) {
         isDown = down;
     }
 
@@ -49,36 +49,36 @@
             DataInputStream in = new DataInputStream(socket.getInputStream());
             OutputStream out = socket.getOutputStream();
             while (true) {
-                String head = head(in);
+                String head = readRequest(in);
                 while (isDown) {
-                    Thread.sleep(SIGN_OF_LIFE_MS / 10);
+                    Thread.sleep(HEARTBEAT_MS / 10);
                 }
                 if (head.startsWith("GET /bulletin")) {
-                    stream(out);
+                    streamStatus(out);
                 }
-                write(out, "HTTP/1.1 200 OK\r\nContent-Type: text/xml\r\nContent-Length: " + ITEM.length() + "\r\n\r\n"
-                        + ITEM);
+                write(out, "HTTP/1.1 200 OK\r\nContent-Type: text/xml\r\nContent-Length: " + STATUS_RESPONSE.length() + "\r\n\r\n"
+                        + STATUS_RESPONSE);
             }
         }
     }
 
-    private void stream(OutputStream out) throws IOException, InterruptedException {
-        write(out, STREAM);
+    private void streamStatus(OutputStream out) throws IOException, InterruptedException {
+        write(out, STREAM_HEAD);
         for (long i = 0; ; i++) {
             if (!isDown) {
-                String words = i % NEWS_EVERY == 0 ? NEWS : ":\n\n";
-                write(out, Integer.toHexString(words.length()) + "\r\n" + words + "\r\n");
+                String chunk = i % HEARTBEATS_PER_STATUS == 0 ? STATUS_EVENT : ":\n\n";
+                write(out, Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n");
             }
-            Thread.sleep(SIGN_OF_LIFE_MS);
+            Thread.sleep(HEARTBEAT_MS);
         }
     }
 
-    private static void write(OutputStream out, String words) throws IOException {
-        out.write(words.getBytes(StandardCharsets.US_ASCII));
+    private static void write(OutputStream out, String text) throws IOException {
+        out.write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     /** A head and its body, which is a form. */
-    private static String head(DataInputStream in) throws IOException {
+    private static String readRequest(DataInputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) in.readUnsignedByte());
--- a/src/main/java/honeygap/lab/soak/StandInDiscovery.java
+++ b/src/main/java/honeygap/lab/soak/StandInDiscovery.java
@@ -19,10 +19,10 @@
 final class StandInDiscovery implements AutoCloseable {
 
     /** It takes a call of every agent in this time, whatever their number. */
-    private static final long ROUND_MS = 8000;
+    private static final long ROUND_OF_CALLS_MS = 8000;
     private static final long LONGEST_WAIT_MS = 2000;
-    private static final long SIGN_OF_LIFE_MS = 2000;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final long HEARTBEAT_MS = 2000;
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
     /** One entry, as it was at a version. */
@@ -51,12 +51,12 @@
     private final long[] versionsWritten;
     private long version;
     private boolean isDown;
-    private boolean isSpoilt;
+    private boolean isMalformed;
     private long downSince;
 
     StandInDiscovery(int agents, SoakRecord record) throws IOException {
         this.record = record;
-        callMs = ROUND_MS / agents;
+        callMs = ROUND_OF_CALLS_MS / agents;
         versionsWritten = new long[agents];
         for (int agent = 0; agent < agents; agent++) {
             ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
@@ -65,7 +65,7 @@
             StandInThread.start("discovery", () -> {
                 while (true) {
                     Socket socket = server.accept();
-                    StandInThread.start("discovery", () -> take(caller, socket));
+                    StandInThread.start("discovery", () -> handleCall(caller, socket));
                 }
             });
         }
@@ -76,8 +76,8 @@
         });
         StandInThread.start("discovery signs", () -> {
             while (true) {
-                Thread.sleep(SIGN_OF_LIFE_MS);
-                signsOfLife();
+                Thread.sleep(HEARTBEAT_MS);
+                sendHeartbeats();
             }
         });
     }
@@ -87,37 +87,37 @@
     }
 
     /** The list as an agent was told it last, for its next process. */
-    synchronized String known(int agent) {
-        return document(versionsWritten[agent], true, 0);
+    synchronized String lastDeliveredList(int agent) {
+        return listDocument(versionsWritten[agent], true, 0);
     }
 
-    private String document(long upTo, boolean isWhole, long after) {
-        List<String> newest = new ArrayList<>();
+    private String listDocument(long upToVersion, boolean isWhole, long afterVersion) {
+        List<String> entriesJson = new ArrayList<>();
         for (int i = entries.size() - 1; i >= 0; i--) {
             Entry entry = entries.get(i);
             boolean isSuperseded = entries.stream().anyMatch(other -> other.appliance == entry.appliance
-                    && other.version > entry.version && other.version <= upTo);
-            if (entry.version > after && entry.version <= upTo && !isSuperseded) {
-                newest.add(entry.json);
+                    && other.version > entry.version && other.version <= upToVersion);
+            if (entry.version > afterVersion && entry.version <= upToVersion && !isSuperseded) {
+                entriesJson.add(entry.json);
             }
         }
-        return "{\"index\":" + upTo + ",\"snapshot\":" + isWhole + ",\"endpoints\":[" + String.join(",", newest) + "]}";
+        return "{\"index\":" + upToVersion + ",\"snapshot\":" + isWhole + ",\"endpoints\":[" + String.join(",", entriesJson) + "]}";
     }
 
     /** A change of one appliance, told to all watches. */
-    synchronized void change(StandInAppliance appliance, ApplianceState state) {
+    synchronized void publishChange(StandInAppliance appliance, ApplianceState state) {
         version++;
         entries.add(new Entry(version, appliance.number, json(appliance, state)));
-        record.changes.add(new SoakRecord.Change(version, appliance.number, state, record.now()));
+        record.listChanges.add(new SoakRecord.ListChange(version, appliance.number, state, record.now()));
         for (Watch watch : List.copyOf(watches)) {
             if (!watch.isSilent) {
-                write(watch, document(version, false, watch.version) + "\n", version);
+                write(watch, listDocument(version, false, watch.version) + "\n", version);
             }
         }
     }
 
     /** An appliance of the first list: from before the run. */
-    synchronized void add(StandInAppliance appliance) {
+    synchronized void addInitial(StandInAppliance appliance) {
         entries.add(new Entry(++version, appliance.number, json(appliance, ApplianceState.SERVING)));
         Arrays.fill(versionsWritten, version);
     }
@@ -128,25 +128,25 @@
                 appliance.address().getPort(), appliance.zone, appliance.zone, state, appliance.sinceMs, appliance.build);
     }
 
-    private void take(int agent, Socket socket) throws IOException, InterruptedException {
+    private void handleCall(int agent, Socket socket) throws IOException, InterruptedException {
         socket.setTcpNoDelay(true);
-        String head = head(new DataInputStream(socket.getInputStream()));
-        long after = Long.parseLong(head.replaceAll("(?s).*[?&]index=(\\d+).*", "$1").replaceAll("(?s)\\D.*", "0"));
-        long from = record.now();
+        String head = readHead(new DataInputStream(socket.getInputStream()));
+        long afterVersion = Long.parseLong(head.replaceAll("(?s).*[?&]index=(\\d+).*", "$1").replaceAll("(?s)\\D.*", "0"));
+        long receivedAt = record.now();
         boolean refuses;
         synchronized (this) {
             refuses = isDown;
         }
         if (refuses) {
-            fail(socket);
+            failAfterWait(socket);
             return;
         }
         queue.add(() -> {
             sleep(callMs);
-            if (record.now() - from > LONGEST_WAIT_MS) {
-                StandInThread.start("discovery", () -> answer(socket, UNAVAILABLE, true));
+            if (record.now() - receivedAt > LONGEST_WAIT_MS) {
+                StandInThread.start("discovery", () -> respond(socket, UNAVAILABLE, true));
             } else {
-                open(agent, socket, after);
+                openWatch(agent, socket, afterVersion);
             }
         });
     }
@@ -159,30 +159,30 @@
         }
     }
 
-    private void fail(Socket socket) throws IOException, InterruptedException {
+    private void failAfterWait(Socket socket) throws IOException, InterruptedException {
         Thread.sleep(LONGEST_WAIT_MS);
-        answer(socket, UNAVAILABLE, true);
+        respond(socket, UNAVAILABLE, true);
     }
 
-    private static void answer(Socket socket, String words, boolean ends) throws IOException {
-        socket.getOutputStream().write(words.getBytes(StandardCharsets.US_ASCII));
-        if (ends) {
+    private static void respond(Socket socket, String text, boolean closes) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+        if (closes) {
             socket.close();
         }
     }
 
-    private synchronized void open(int agent, Socket socket, long after) {
+    private synchronized void openWatch(int agent, Socket socket, long afterVersion) {
         Watch watch = new Watch(agent, socket);
-        watch.version = after;
+        watch.version = afterVersion;
         try {
             if (isDown) {
-                answer(socket, UNAVAILABLE, true);
+                respond(socket, UNAVAILABLE, true);
                 return;
             }
-            String first = document(version, false, after) + "\n";
-            answer(socket, HEAD, false);
-            if (isSpoilt) {
-                answer(socket, chunk(first.substring(0, first.length() / 2)), true);
+            String first = listDocument(version, false, afterVersion) + "\n";
+            respond(socket, RESPONSE_HEAD, false);
+            if (isMalformed) {
+                respond(socket, chunk(first.substring(0, first.length() / 2)), true);
                 return;
             }
             watches.removeIf(other -> other.agent == agent);
@@ -193,26 +193,26 @@
         }
     }
 
-    private static String chunk(String words) {
-        return Integer.toHexString(words.length()) + "\r\n" + words + "\r\n";
+    private static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
     /** Writes a line to a watch; the version is that which it brings the agent to. */
-    private void write(Watch watch, String words, long upTo) {
+    private void write(Watch watch, String line, long upToVersion) {
         try {
             OutputStream out = watch.socket.getOutputStream();
-            out.write(chunk(words).getBytes(StandardCharsets.US_ASCII));
-            if (upTo > watch.version || upTo == version) {
-                watch.version = upTo;
-                versionsWritten[watch.agent] = upTo;
-                record.told.add(new SoakRecord.Told(watch.agent, upTo, record.now()));
+            out.write(chunk(line).getBytes(StandardCharsets.US_ASCII));
+            if (upToVersion > watch.version || upToVersion == version) {
+                watch.version = upToVersion;
+                versionsWritten[watch.agent] = upToVersion;
+                record.listDeliveries.add(new SoakRecord.ListDelivery(watch.agent, upToVersion, record.now()));
             }
         } catch (IOException e) {
             watches.remove(watch);
         }
     }
 
-    private synchronized void signsOfLife() {
+    private synchronized void sendHeartbeats() {
         for (Watch watch : List.copyOf(watches)) {
             if (!watch.isSilent) {
                 write(watch, "\n", -1);
@@ -220,7 +220,7 @@
         }
     }
 
-    private static String head(DataInputStream in) throws IOException {
+    private static String readHead(DataInputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) in.readUnsignedByte());
@@ -228,7 +228,7 @@
         return head.toString();
     }
 
-    synchronized void down(boolean down) throws IOException {
+    synchronized void setDown(boolean down) throws IOException {
         if (down && !isDown) {
             downSince = record.now();
             for (Watch watch : watches) {
@@ -242,12 +242,12 @@
     }
 
     /** All watches that are open now say nothing any more. */
-    synchronized void silent() {
+    synchronized void silenceWatches() {
         watches.forEach(watch -> watch.isSilent = true);
     }
 
-    synchronized void spoilt(boolean spoilt) {
-        isSpoilt = spoilt;
+    synchronized void setMalformed(boolean malformed) {
+        isMalformed = malformed;
     }
 
     @Override
--- a/src/main/java/honeygap/lab/soak/StandInThread.java
+++ b/src/main/java/honeygap/lab/soak/StandInThread.java
@@ -5,7 +5,7 @@
 /** Threads of stand-ins: small, and over without a word when the other side has closed. */
 final class StandInThread {
 
-    private static final long STACK = 1 << 18;
+    private static final long STACK_BYTES = 1 << 18;
 
     /** What such a thread does. */
     interface Task {
@@ -25,7 +25,7 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-        }, name, STACK);
+        }, name, STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/src/main/java/honeygap/lab/soak/Breach.java
+++ b/src/main/java/honeygap/lab/soak/Violation.java
@@ -7,10 +7,10 @@
  * @param at when, in milliseconds of the run's clock
  * @param id the request's, or empty
  */
-record Breach(String rule, long at, String id, String what) {
+record Violation(String rule, long atMs, String requestId, String description) {
 
     @Override
     public String toString() {
-        return String.format("%s at %.3f s%s: %s", rule, at / 1000.0, id.isEmpty() ? "" : ", request " + id, what);
+        return String.format("%s at %.3f s%s: %s", rule, atMs / 1000.0, requestId.isEmpty() ? "" : ", request " + requestId, description);
     }
 }
--- a/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
+++ b/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
@@ -25,17 +25,17 @@
 
         final VirtualClock clock = new VirtualClock();
         final DiscoveryModel discovery;
-        final List<ListCaller> agents;
+        final List<SimulatedAgent> agents;
 
         World(int agents, long seed) {
             discovery = new DiscoveryModel(clock, ROUND / agents, LONGEST_WAIT);
             Listing listing = new Listing(true, false, ASK_WITHIN, 0);
             this.agents = IntStream.range(0, agents)
-                    .mapToObj(i -> new ListCaller(clock, discovery, listing, seed * agents + i)).toList();
+                    .mapToObj(i -> new SimulatedAgent(clock, discovery, listing, seed * agents + i)).toList();
         }
 
         long current() {
-            return agents.stream().filter(ListCaller::isCurrent).count();
+            return agents.stream().filter(SimulatedAgent::isCurrent).count();
         }
 
         /** Tenths of a millisecond from now until this part of the fleet is current, at most a minute. */
@@ -49,7 +49,7 @@
 
         void changesEvery(long period, long upTo) {
             for (long at = clock.now(); at < upTo; at += period) {
-                clock.at(at, discovery::change);
+                clock.schedule(at, discovery::publishChange);
             }
         }
     }
@@ -73,7 +73,7 @@
     void allStartAtOnce(int agents) {
         for (long seed = 0; seed < SEEDS; seed++) {
             World world = new World(agents, seed);
-            world.agents.forEach(ListCaller::start);
+            world.agents.forEach(SimulatedAgent::start);
             long most = world.until(0.9);
             long all = world.until(1);
             report("start", agents, seed, world, most, most + all);
@@ -87,16 +87,16 @@
     void outageAndMassRestart(int agents) {
         for (long seed = 0; seed < SEEDS; seed++) {
             World world = new World(agents, seed);
-            world.agents.forEach(ListCaller::start);
+            world.agents.forEach(SimulatedAgent::start);
             world.clock.runTo(20 * SECOND);
-            world.discovery.down(true);
+            world.discovery.setDown(true);
             world.clock.runTo(28 * SECOND);
-            world.discovery.down(false);
+            world.discovery.setDown(false);
             world.clock.runTo(29 * SECOND + SECOND / 2);
-            List<ListCaller> killed = world.agents.subList(0, agents * 7 / 10);
-            killed.forEach(ListCaller::kill);
+            List<SimulatedAgent> killed = world.agents.subList(0, agents * 7 / 10);
+            killed.forEach(SimulatedAgent::kill);
             world.clock.runTo(32 * SECOND);
-            killed.forEach(ListCaller::start);
+            killed.forEach(SimulatedAgent::start);
             long most = world.until(0.9);
             long all = world.until(1);
             report("outage", agents, seed, world, most, most + all);
@@ -110,9 +110,9 @@
     void massRestartWhileListsChange(int agents) {
         for (long seed = 0; seed < SEEDS; seed++) {
             World world = new World(agents, seed);
-            world.agents.forEach(ListCaller::start);
+            world.agents.forEach(SimulatedAgent::start);
             world.clock.runTo(20 * SECOND);
-            world.agents.subList(0, agents * 7 / 10).forEach(ListCaller::start);
+            world.agents.subList(0, agents * 7 / 10).forEach(SimulatedAgent::start);
             world.changesEvery(SECOND, 30 * SECOND);
             long most = world.until(0.9);
             long all = world.until(1);
--- a/src/test/java/honeygap/lab/soak/SoakCheckerTest.java
+++ b/src/test/java/honeygap/lab/soak/SoakCheckerTest.java
@@ -21,11 +21,11 @@
     }
 
     private void sent(String id, SoakMethod method, long at) {
-        record.sent.put(id, new SoakRecord.Sent(id, AGENT, method, at, 1000));
+        record.sent.put(id, new SoakRecord.SentRequest(id, AGENT, method, at, 1000));
     }
 
     private void served(String id, long at) {
-        record.ended.add(new SoakRecord.Ended(id, SoakRecord.Ending.SERVED, at, id));
+        record.completions.add(new SoakRecord.Completion(id, SoakRecord.Ending.SERVED, at, id));
     }
 
     private void arrives(String id, int appliance, int zone, long at, boolean ran) {
@@ -33,7 +33,7 @@
     }
 
     private List<String> broken() {
-        return SoakChecker.check(record).stream().map(Breach::rule).distinct().toList();
+        return SoakChecker.check(record).stream().map(Violation::rule).distinct().toList();
     }
 
     @Test
@@ -56,7 +56,7 @@
     }
 
     private void ends(long signalledAt, long to, SoakRecord.Death death) {
-        record.lives.add(new SoakRecord.Life(AGENT, 0, signalledAt, to, death));
+        record.lifetimes.add(new SoakRecord.ProcessLifetime(AGENT, 0, signalledAt, to, death));
     }
 
     /** A process that was killed without a word before owes nothing; one that was told to end does, however it ended. */
@@ -73,9 +73,9 @@
     void heldUpAtTheEnd() {
         sent("a", SoakMethod.READ, 1000);
         ends(500, 1900, SoakRecord.Death.KILLED_AFTER_SIGNAL);
-        record.standstills.add(new SoakRecord.Standstill(AGENT, 1000, 1100));
+        record.pauses.add(new SoakRecord.ProcessPause(AGENT, 1000, 1100));
         assertEquals(List.of("lost"), broken());
-        record.standstills.add(new SoakRecord.Standstill(AGENT, 1200, 1300));
+        record.pauses.add(new SoakRecord.ProcessPause(AGENT, 1200, 1300));
         assertEquals(List.of(), broken());
     }
 
@@ -83,14 +83,14 @@
     @Test
     void closedUnanswered() {
         sent("a", SoakMethod.READ, 1000);
-        record.ended.add(new SoakRecord.Ended("a", SoakRecord.Ending.CLOSED, 1100, ""));
+        record.completions.add(new SoakRecord.Completion("a", SoakRecord.Ending.CLOSED, 1100, ""));
         assertEquals(List.of(), broken());
-        record.takenAfterSignal.add("a");
+        record.acceptedAfterSignal.add("a");
         assertEquals(List.of("lost"), broken());
         start();
         sent("b", SoakMethod.READ, 1000);
         arrives("b", 1, 0, 1010, true);
-        record.sentAgain.put("b", new SoakRecord.SentAgain("b", 1050));
+        record.resends.put("b", new SoakRecord.Resend("b", 1050));
         served("b", 1100);
         assertEquals(List.of("lost"), broken(), "read on the first connection");
     }
@@ -98,7 +98,7 @@
     @Test
     void valueOfAnotherRequest() {
         sent("a", SoakMethod.READ, 1000);
-        record.ended.add(new SoakRecord.Ended("a", SoakRecord.Ending.SERVED, 1010, "b"));
+        record.completions.add(new SoakRecord.Completion("a", SoakRecord.Ending.SERVED, 1010, "b"));
         assertEquals(List.of("value"), broken());
     }
 
@@ -127,22 +127,22 @@
     /** A drain counts from when it was written to the agent, or six seconds after it could have been. */
     @Test
     void drains() {
-        record.changes.add(new SoakRecord.Change(7, 3, ApplianceState.DRAINING, 1000));
+        record.listChanges.add(new SoakRecord.ListChange(7, 3, ApplianceState.DRAINING, 1000));
         sent("a", SoakMethod.READ, 7500);
         served("a", 7520);
         arrives("a", 3, 0, 7510, true);
         assertEquals(List.of(), broken(), "within the grace");
-        record.told.add(new SoakRecord.Told(AGENT, 7, 6500));
+        record.listDeliveries.add(new SoakRecord.ListDelivery(AGENT, 7, 6500));
         assertEquals(List.of("drain"), broken());
-        record.changes.add(new SoakRecord.Change(8, 3, ApplianceState.SERVING, 7000));
-        record.told.add(new SoakRecord.Told(AGENT, 8, 7100));
+        record.listChanges.add(new SoakRecord.ListChange(8, 3, ApplianceState.SERVING, 7000));
+        record.listDeliveries.add(new SoakRecord.ListDelivery(AGENT, 8, 7100));
         assertEquals(List.of(), broken(), "it serves again");
     }
 
     @Test
     void drainsDuringAnOutage() {
         record.outages.add(new SoakRecord.Outage(500, 9000));
-        record.changes.add(new SoakRecord.Change(7, 3, ApplianceState.DRAINING, 1000));
+        record.listChanges.add(new SoakRecord.ListChange(7, 3, ApplianceState.DRAINING, 1000));
         sent("a", SoakMethod.READ, 15_400);
         served("a", 15_420);
         arrives("a", 3, 0, 15_410, true);
@@ -169,7 +169,7 @@
     @Test
     void clientsThatLeft() {
         sent("a", SoakMethod.READ, 1000);
-        record.left.put("a", new SoakRecord.Left("a", 1100));
+        record.disconnects.put("a", new SoakRecord.Disconnect("a", 1100));
         arrives("a", 1, 0, 1190, true);
         assertEquals(List.of(), broken());
         arrives("a", 1, 0, 1400, true);
@@ -186,20 +186,20 @@
 
     @Test
     void holdings() {
-        record.holdings.add(new SoakRecord.Holdings(AGENT, 77, "start", 20, 12, 60_000));
-        record.holdings.add(new SoakRecord.Holdings(AGENT, 77, "end", 24, 13, 70_000));
+        record.resourceUsage.add(new SoakRecord.ResourceUsage(AGENT, 77, "start", 20, 12, 60_000));
+        record.resourceUsage.add(new SoakRecord.ResourceUsage(AGENT, 77, "end", 24, 13, 70_000));
         assertEquals(List.of(), broken());
-        record.holdings.add(new SoakRecord.Holdings(AGENT, 77, "later", 60, 13, 200_000));
+        record.resourceUsage.add(new SoakRecord.ResourceUsage(AGENT, 77, "later", 60, 13, 200_000));
         assertEquals(List.of("memory", "holdings"), broken());
     }
 
     /** Half a request is kept for three seconds at the most, less what the process stood still. */
     @Test
     void halfRequest() {
-        assertEquals(List.of(), SoakChecker.checkHalfRequest(record, AGENT, 3100, 10_000));
-        assertEquals(1, SoakChecker.checkHalfRequest(record, AGENT, 3400, 10_000).size());
-        record.standstills.add(new SoakRecord.Standstill(AGENT, 9000, 9400));
-        assertEquals(List.of(), SoakChecker.checkHalfRequest(record, AGENT, 3400, 10_000));
+        assertEquals(List.of(), SoakChecker.checkIncompleteRequest(record, AGENT, 3100, 10_000));
+        assertEquals(1, SoakChecker.checkIncompleteRequest(record, AGENT, 3400, 10_000).size());
+        record.pauses.add(new SoakRecord.ProcessPause(AGENT, 9000, 9400));
+        assertEquals(List.of(), SoakChecker.checkIncompleteRequest(record, AGENT, 3400, 10_000));
     }
 
     /** A busy machine measures late: limits are longer by as much. */
@@ -214,9 +214,9 @@
     /** The same seed draws the same plan, and one that was made smaller keeps the rest. */
     @Test
     void plans() {
-        SoakPlan plan = SoakPlan.drawn(5, 12, 30_000);
-        assertEquals(plan, SoakPlan.drawn(5, 12, 30_000));
-        SoakPlan smaller = plan.with(plan.faults().subList(0, 3));
+        SoakPlan plan = SoakPlan.generate(5, 12, 30_000);
+        assertEquals(plan, SoakPlan.generate(5, 12, 30_000));
+        SoakPlan smaller = plan.withFaults(plan.faults().subList(0, 3));
         assertEquals(3, smaller.faults().size());
         assertEquals(plan.appliances(), smaller.appliances());
     }
--- a/src/test/java/honeygap/lab/soak/SoakTest.java
+++ b/src/test/java/honeygap/lab/soak/SoakTest.java
@@ -25,9 +25,9 @@
     @ParameterizedTest
     @CsvSource({"4, 15000", "2, 40000"})
     void keepsAllRules(long seed, long loadMs) throws Exception {
-        try (SoakRun run = new SoakRun(SoakPlan.drawn(seed, AGENTS, loadMs), folder)) {
-            SoakRun.Outcome outcome = run.play();
-            assertEquals(List.of(), outcome.breaches());
+        try (SoakRun run = new SoakRun(SoakPlan.generate(seed, AGENTS, loadMs), folder)) {
+            SoakRun.Outcome outcome = run.run();
+            assertEquals(List.of(), outcome.violations());
             assertTrue(outcome.signalled() >= AGENTS, outcome.signalled() + " told to end");
             assertTrue(outcome.served() > outcome.requests() / 10, outcome.served() + " of " + outcome.requests());
         }
