--- a/src/main/java/honeygap/lab/Fault.java
+++ b/src/main/java/honeygap/lab/Fault.java
@@ -1,18 +1,18 @@
 package honeygap.lab;
 
-/** What becomes of a call on its way between two processes. */
+/** Network fault injected into a call between two processes. */
 public enum Fault {
     NONE,
-    /** The connection breaks before the call goes on. */
+    /** The connection is reset before the call is forwarded. */
     RESET,
-    /** The call goes nowhere and nothing comes back. */
+    /** The call is not forwarded, and the caller gets no response until the connection is reset after a timeout. */
     SILENT,
-    /** The call arrives, the answer does not: a link that is stalled in one direction. */
+    /** The call is forwarded but its response is dropped, as on a network path that is stalled in one direction. */
     ANSWER_LOST,
-    /** Half of the answer comes, then the connection breaks. */
+    /** Half of the response is delivered, then the connection is closed. */
     HALF,
-    /** The answer comes as other bytes. */
+    /** The last bytes of the response are corrupted. */
     SPOILT,
-    /** Two seconds later. */
+    /** The call is delayed by two seconds. */
     LATE
 }
--- a/src/main/java/honeygap/lab/Gate.java
+++ b/src/main/java/honeygap/lab/Gate.java
@@ -14,8 +14,8 @@
 import java.util.function.Function;
 
 /**
- * The way out of one process: a forward proxy on loopback that all of its calls go through, so that a rig knows who
- * calls whom and can do to each call what a network does. Thread a connection; for tests and the rig alone.
+ * Forward proxy on loopback that carries all outgoing calls of one process, so that a test knows the caller of each
+ * call and can inject a network fault into it. Uses one thread per connection; meant for tests only.
  */
 public final class Gate implements AutoCloseable {
 
@@ -26,7 +26,11 @@
     private final Function<InetSocketAddress, Fault> faults;
     private volatile boolean closed;
 
-    /** What becomes of each call is asked by where it goes, when it comes. */
+    /**
+     * Starts the proxy on a free port.
+     *
+     * @param faults returns the fault to inject into a call to the given address; asked once per call
+     */
     public Gate(Function<InetSocketAddress, Fault> faults) throws IOException {
         this.faults = faults;
         server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
@@ -54,7 +58,7 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // One side has closed.
+                // One of the two sides closed the connection.
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -67,7 +71,7 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** One call and its answer; false at the end of the connection. */
+    /** Forwards one call and its response; returns false when the connection is over. */
     private boolean forwardCall(Socket connection) throws IOException, InterruptedException {
         DataInputStream in = new DataInputStream(connection.getInputStream());
         byte[] head = readHead(in);
@@ -125,7 +129,7 @@
         }
     }
 
-    /** Up to and with the empty line; nothing at the end of the stream. */
+    /** Reads a head including its empty line; returns an empty array at the end of the stream. */
     private static byte[] readHead(DataInputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         int lastFourBytes = 0;
--- a/src/main/java/honeygap/lab/Member.java
+++ b/src/main/java/honeygap/lab/Member.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process of the program under the rig: started, stopped and continued, killed and started again by its handle. Its
- * calls to others go through a gate of its own. It ends with the rig, also when that is killed: its input is a pipe
- * from it, and a shell beside it ends it when the pipe does.
+ * An agent process under test that can be started, paused, resumed, killed and restarted. Its outgoing calls go through
+ * its own fault proxy. The process ends with the test JVM, even if that is killed: a parent shell reads a pipe from the
+ * JVM and kills the process when the pipe is closed.
  */
 public final class Member implements AutoCloseable {
 
@@ -37,9 +37,14 @@
     private Process process;
     private InetSocketAddress adminEndpoint;
 
-    /** The command is a JVM's with its class path and flags, up to the main class; the folder is the process's own. */
-    public Member(String name, String site, Path folder, Gate proxy, List<String> jvmCommand, List<InetSocketAddress> seeds)
-            throws IOException {
+    /**
+     * Prepares a process without starting it.
+     *
+     * @param folder working folder of this process alone
+     * @param jvmCommand command line of the JVM with flags and class path, up to the main class
+     */
+    public Member(String name, String site, Path folder, Gate proxy, List<String> jvmCommand,
+            List<InetSocketAddress> seeds) throws IOException {
         this.name = name;
         this.site = site;
         this.folder = Files.createDirectories(folder);
@@ -48,7 +53,7 @@
         this.seeds = seeds;
     }
 
-    /** Starts it, at the address of its earlier life where it had one; comes back when its door is open. */
+    /** Starts the process, on restart at the same address, and returns when its admin endpoint accepts connections. */
     public void start() throws IOException, InterruptedException {
         String adminAddress = adminEndpoint == null ? "127.0.0.1:0" : "127.0.0.1:" + adminEndpoint.getPort();
         List<String> seedEntries = new ArrayList<>();
@@ -65,21 +70,21 @@
                   "Classes": [{"Name": "look", "AimNs": 500000000, "GiveUpNs": 2000000000, "Effect": "read_like"}]}}
                 """.formatted(name));
         List<String> command = new ArrayList<>(List.of("sh", "-c",
-                // The shell waits for the end of the pipe and takes the process with it.
-                "\"$@\" < /dev/null & P=$!; echo \"pid $P\"; cat > /dev/null; kill -9 $P", "member"));
+                // The shell waits for the end of the pipe and then kills the process.
+                "\"$@\" < /dev/null & P=$!; echo \"pid $P\"; cat > /dev/null; kill -9 $P", "agent"));
         command.addAll(jvmCommand);
-        command.addAll(List.of("honeygap.cli.Start", "serve", "--config", config.toString(), "--door", adminAddress, "--ledger",
-                folder.resolve("ledger").toString(), "--sites", sites.toString()));
+        command.addAll(List.of("honeygap.cli.Start", "serve", "--config", config.toString(), "--door", adminAddress,
+                "--ledger", folder.resolve("ledger").toString(), "--sites", sites.toString()));
         process = new ProcessBuilder(command).redirectErrorStream(true).start();
         CompletableFuture<InetSocketAddress> ready = new CompletableFuture<>();
         Process started = process;
-        Thread reader = new Thread(() -> readOutput(started, ready), "reads " + name);
+        Thread reader = new Thread(() -> readOutput(started, ready), "output of " + name);
         reader.setDaemon(true);
         reader.start();
         try {
             adminEndpoint = ready.get(READY_S, TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-            throw new IOException(name + " did not come up: " + e.getMessage() + "; " + Files.readString(logFile()));
+            throw new IOException(name + " failed to start: " + e.getMessage() + "; " + Files.readString(logFile()));
         }
     }
 
@@ -100,7 +105,7 @@
                             Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip())));
                 }
             }
-            ready.completeExceptionally(new IOException("it ended"));
+            ready.completeExceptionally(new IOException("process exited before it was ready"));
         } catch (IOException e) {
             ready.completeExceptionally(e);
         }
@@ -115,15 +120,16 @@
     }
 
     public String log(String part) throws IOException {
-        return Files.readAllLines(logFile()).stream().filter(line -> line.contains(part)).reduce("", (a, b) -> a + b + "\n");
+        return Files.readAllLines(logFile()).stream().filter(line -> line.contains(part))
+                .reduce("", (a, b) -> a + b + "\n");
     }
 
-    /** STOP, CONT or KILL, to this process alone. */
+    /** Sends STOP, CONT or KILL to this process alone. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor();
     }
 
-    /** Kills it outright and waits for its end. */
+    /** Kills the process with SIGKILL and waits for its end. */
     public void kill() {
         ProcessHandle handle = ProcessHandle.of(pid).orElse(null);
         process.descendants().forEach(ProcessHandle::destroyForcibly);
@@ -133,7 +139,7 @@
         }
     }
 
-    /** What its door answers, read directly and not through a gate; empty where it does not answer. */
+    /** Body of the response of the admin endpoint, read without the fault proxy; empty if there is no response. */
     public String ask(String path) throws InterruptedException {
         try {
             return CLIENT.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + adminEndpoint.getPort() + path))
--- a/src/main/java/honeygap/lab/scale/DiscoveryModel.java
+++ b/src/main/java/honeygap/lab/scale/DiscoveryModel.java
@@ -5,14 +5,15 @@
 import java.util.function.Consumer;
 
 /**
- * A discovery service that answers calls one after another. A call costs a fixed time; one that would wait longer than
- * the longest wait fails then, and still costs its time, since the service learns only at its turn that nobody waits;
- * one that finds the queue full fails at once. A call that is answered becomes a watch, to which each change costs
- * the same time. During an outage watches end, and calls fail after the longest wait. Times are tenths of a millisecond.
+ * Model of a discovery service that processes calls sequentially. Each call costs a fixed time. A call that would wait
+ * longer than the longest wait fails after that wait but still costs its time, since the service notices only when it
+ * dequeues the call that the caller has given up. A call that finds the queue full fails at once. An answered call
+ * becomes a watch, and writing a change to a watch costs the same time as a call. During an outage watches end, and
+ * calls fail after the longest wait. Times are tenths of a millisecond.
  */
 public final class DiscoveryModel {
 
-    /** Times the longest wait that the queue may hold. */
+    /** Limit of the queue, as a multiple of the longest wait. */
     private static final double QUEUE_LIMIT = 2.5;
 
     private final VirtualClock clock;
@@ -31,16 +32,19 @@
         this.longestWait = longestWait;
     }
 
-    /** Calls made, and how many of them failed. */
+    /** Number of calls made. */
     public long calls() {
         return calls;
     }
 
+    /** Number of calls that failed. */
     public long failures() {
         return failures;
     }
 
-    /** A call: the caller hears true when it is answered, and false when it fails or, later, its watch ends. */
+    /**
+     * Makes a call: the caller receives true when it is answered, and false when it fails or, later, its watch ends.
+     */
     public void call(Consumer<Boolean> caller) {
         calls++;
         long now = clock.now();
@@ -72,12 +76,15 @@
         }
     }
 
-    /** The watch of a caller that has died; nothing is told to it any more. */
+    /** Cancels the watch of a caller whose process has ended; the caller is not notified any more. */
     public void cancelWatch(Consumer<Boolean> caller) {
         watches.remove(caller);
     }
 
-    /** A change of the list, written to every watch; one that comes before the last one's turn is written with it. */
+    /**
+     * Publishes a change of the list to every watch; changes made while an earlier one is still queued are merged into
+     * it.
+     */
     public void publishChange() {
         if (clock.now() >= nextChangeWriteAt) {
             nextChangeWriteAt = Math.max(clock.now(), busyUntil);
@@ -85,7 +92,7 @@
         }
     }
 
-    /** Goes down, which ends all watches, or comes back with an empty queue. */
+    /** Starts an outage, which ends all watches, or ends it with an empty queue. */
     public void setDown(boolean isDown) {
         this.isDown = isDown;
         busyUntil = clock.now();
--- a/src/main/java/honeygap/lab/scale/SimulatedAgent.java
+++ b/src/main/java/honeygap/lab/scale/SimulatedAgent.java
@@ -5,7 +5,9 @@
 import honeygap.terms.Listing;
 import java.util.function.Consumer;
 
-/** One agent as discovery sees it: the agent's own decisions when to call, on a virtual clock. */
+/**
+ * Simulates an agent's calls to discovery: runs the agent's own code that decides when to call, on a virtual clock.
+ */
 public final class SimulatedAgent {
 
     private final VirtualClock clock;
@@ -24,12 +26,12 @@
         this.seed = seed;
     }
 
-    /** Whether discovery tells this agent what changes. */
+    /** Whether this agent has an open watch and therefore a current list. */
     public boolean isCurrent() {
         return isCurrent;
     }
 
-    /** Starts a new process with a list of the one before. */
+    /** Starts a new process that begins with the list of the previous one. */
     public void start() {
         kill();
         calls = new ListCalls(clock.now(), new Chance(seed + 1_000_003L * restarts++), listingSettings);
@@ -37,7 +39,7 @@
         schedule(calls);
     }
 
-    /** Ends the process; what it has asked for is told to nobody. */
+    /** Ends the process; responses to its open calls are discarded. */
     public void kill() {
         discovery.cancelWatch(watch);
         calls = null;
--- a/src/main/java/honeygap/lab/scale/VirtualClock.java
+++ b/src/main/java/honeygap/lab/scale/VirtualClock.java
@@ -2,7 +2,9 @@
 
 import java.util.PriorityQueue;
 
-/** Runs tasks in the order of their times, in tenths of a millisecond; those of one time in the order of scheduling. */
+/**
+ * Runs tasks in order of time, in tenths of a millisecond; tasks with the same time run in the order of scheduling.
+ */
 public final class VirtualClock {
 
     private record Task(long at, long sequence, Runnable work) { }
@@ -12,12 +14,12 @@
     private long now;
     private long nextSequence;
 
-    /** The time of the task that runs now. */
+    /** Time of the currently running task. */
     public long now() {
         return now;
     }
 
-    /** Schedules a task; one whose time has passed runs at the present time. */
+    /** Schedules a task; a time in the past counts as the current time. */
     public void schedule(long time, Runnable work) {
         tasks.add(new Task(Math.max(now, time), nextSequence++, work));
     }
--- a/src/main/java/honeygap/lab/scale/package-info.java
+++ b/src/main/java/honeygap/lab/scale/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets of decision modules in one process: the same classes that agents run, before models of the services that they
- * share. Everything runs on a virtual clock and follows from a seed.
+ * Simulation of whole fleets in one process: the decision classes that agents run, against models of the services that
+ * they share. Everything runs on a virtual clock and is reproducible from a seed.
  */
 package honeygap.lab.scale;
--- a/src/main/java/honeygap/lab/soak/ApplianceState.java
+++ b/src/main/java/honeygap/lab/soak/ApplianceState.java
@@ -1,6 +1,6 @@
 package honeygap.lab.soak;
 
-/** What discovery says of an appliance. */
+/** State of an appliance in the list of discovery. */
 enum ApplianceState {
 
     SERVING, DRAINING, DELETED
--- a/src/main/java/honeygap/lab/soak/FaultKind.java
+++ b/src/main/java/honeygap/lab/soak/FaultKind.java
@@ -1,41 +1,44 @@
 package honeygap.lab.soak;
 
-/** What a soak run does to its processes and their surroundings. */
+/**
+ * Faults that a soak run injects into agents and the services around them. Plans draw constants by their order and tell
+ * agent faults by the prefix AGENT.
+ */
 enum FaultKind {
-    /** SIGKILL; started again at the same address a little later, with the list that it had. */
+    /** Killed by SIGKILL; restarted a little later at the same address with its last list. */
     AGENT_KILLED(false),
-    /** SIGTERM while clients go on, more signals, SIGKILL at the earliest; and a new process when it has ended. */
+    /** SIGTERM under load, maybe more signals, then SIGKILL at the earliest time allowed; restarted after its end. */
     AGENT_TERMINATED(false),
-    /** SIGHUP: the files are read again. */
+    /** SIGHUP: the configuration files are reloaded. */
     AGENT_HUNG_UP(false),
-    /** SIGSTOP, and SIGCONT when it is over. */
+    /** Paused by SIGSTOP, resumed by SIGCONT. */
     AGENT_STOPPED(true),
-    /** The wall clock of all processes is stepped by an hour, forward or back. */
+    /** The wall clock of all processes steps by an hour, forwards or backwards. */
     CLOCK_STEPPED(false),
-    /** Watches end, calls fail after two seconds. */
+    /** Watches are closed, and calls fail after two seconds. */
     DISCOVERY_DOWN(true),
-    /** Open watches stay and say nothing; calls are taken as always. */
+    /** Open watches stay connected but send nothing; new calls are processed as usual. */
     DISCOVERY_SILENT(false),
-    /** The answer to the next calls is cut in half. */
+    /** Responses to new calls are truncated to half their length. */
     DISCOVERY_SPOILT(true),
-    /** Votes and news are not answered. */
+    /** The rollout desk answers neither votes nor status requests. */
     DESK_DOWN(true),
-    /** Drains, goes, and comes back as another process under its name. */
+    /** The appliance drains, ends, and is replaced by another process with the same name. */
     APPLIANCE_REPLACED(false),
-    /** Turns all requests away though it is listed as serving. */
+    /** Refuses all requests although it is listed as serving. */
     APPLIANCE_REFUSES(true),
-    /** Resets each connection when a request has come. */
+    /** Resets the connection when a request has arrived. */
     APPLIANCE_RESETS(true),
-    /** Takes requests and answers none. */
+    /** Reads requests but never answers. */
     APPLIANCE_HANGS(true),
-    /** Writes its answers a few bytes at a time. */
+    /** Writes its responses a few bytes at a time. */
     APPLIANCE_DRIBBLES(true),
-    /** Writes each answer a second time, some milliseconds later. */
+    /** Writes each response a second time some milliseconds later. */
     APPLIANCE_REPEATS(true),
-    /** Closes all of its connections at once. */
+    /** Closes all of its open connections. */
     APPLIANCE_CLOSES(false);
 
-    /** Whether it lasts for a while and then ends. */
+    /** Whether the fault lasts for a period and then ends. */
     final boolean hasDuration;
 
     FaultKind(boolean lasts) {
--- a/src/main/java/honeygap/lab/soak/PlannedFault.java
+++ b/src/main/java/honeygap/lab/soak/PlannedFault.java
@@ -1,11 +1,12 @@
 package honeygap.lab.soak;
 
 /**
- * One fault of a plan.
+ * A fault of a plan.
  *
- * @param atMs when it begins, from the start of the load
- * @param forMs how long it lasts; 0 where it does not last
- * @param target the number of the agent or appliance that it strikes; without meaning for the others
+ * @param atMs start in milliseconds after the start of the load
+ * @param forMs duration in milliseconds; 0 for a fault without duration
+ * @param target number of the affected agent or appliance; its parity decides the direction of a clock step;
+ *     unused for faults of discovery and the desk
  */
 record PlannedFault(FaultKind kind, long atMs, long durationMs, int target) {
 
--- a/src/main/java/honeygap/lab/soak/SignalSequence.java
+++ b/src/main/java/honeygap/lab/soak/SignalSequence.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.Random;
 
-/** The signals between the first SIGTERM to a process and the SIGKILL, as a seed draws them. */
+/** Signals sent to a process between the first SIGTERM and the SIGKILL. */
 record SignalSequence(List<Step> steps) {
 
     /**
-     * One signal.
+     * A signal of the sequence.
      *
-     * @param afterMs how long after the one before
+     * @param afterMs delay in milliseconds after the previous signal
      */
     record Step(String signal, long delayMs) { }
 
@@ -18,7 +18,10 @@
     private static final int MAX_STEPS = 3;
     private static final int PLAIN_ONE_IN = 2;
 
-    /** Half of all processes get nothing but SIGTERM; the others more of it, SIGHUP, or a stop and a continuation. */
+    /**
+     * Half of all processes get no further signal; the others get more SIGTERM, SIGHUP, or SIGSTOP followed by
+     * SIGCONT.
+     */
     static SignalSequence generate(Random random) {
         List<Step> steps = new ArrayList<>();
         int count = random.nextInt(PLAIN_ONE_IN) == 0 ? 0 : 1 + random.nextInt(MAX_STEPS);
--- a/src/main/java/honeygap/lab/soak/SoakAgent.java
+++ b/src/main/java/honeygap/lab/soak/SoakAgent.java
@@ -20,15 +20,15 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One agent in a process of its own, started anew at the same address as often as the run wants. */
+/** An agent in its own process, which can be restarted at the same address any number of times. */
 final class SoakAgent implements AutoCloseable {
 
     private static final long READY_TIMEOUT_S = 30;
-    /** New connections come for so long after the signal to end. */
+    /** Clients open new connections for this long after SIGTERM, as a load balancer notices a shutdown with delay. */
     private static final long NEW_CONNECTIONS_AFTER_SIGNAL_MS = 400;
     private static final Pattern ACCEPTED_AFTER_SIGNAL = Pattern.compile("shutdown: RPC (\\S+) \\(.*\\) taken ");
 
-    /** The list that the next process starts with, as JSON. */
+    /** Provides the list of appliances that the next process starts with, as JSON. */
     interface KnownList {
 
         String json();
@@ -47,7 +47,7 @@
     private Process process;
     private long startedAt;
     private int startCount;
-    /** When it was told to end, or Long.MAX_VALUE. */
+    /** Time of the last SIGTERM or SIGKILL, or Long.MAX_VALUE while the process is meant to run. */
     private volatile long terminatedAt = Long.MAX_VALUE;
 
     SoakAgent(int number, int fleetSize, Path folder, SoakRecord record, SystemCallFaults faults, KnownList knownList,
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Starts a process; comes back when it is ready. */
+    /** Starts a process and returns when it is ready. */
     synchronized void start() throws IOException, InterruptedException {
         Path config = writeConfiguration();
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -78,25 +78,26 @@
         startedAt = record.now();
         terminatedAt = Long.MAX_VALUE;
         process = builder.start();
-        // Also where this process is told to end in the middle of a run.
+        // Ends the agent even if this JVM is terminated in the middle of a run.
         Runtime.getRuntime().addShutdownHook(new Thread(process.toHandle()::destroyForcibly));
         CompletableFuture<Void> ready = new CompletableFuture<>();
         Process started = process;
-        StandInThread.start("log of agent " + number, () -> readOutput(started, ready));
+        StandInThread.start("output of agent " + number, () -> readOutput(started, ready));
         try {
             ready.get(READY_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("agent " + number + " did not come up: " + e.getMessage() + "\n" + Files.readString(logFile()),
-                    e);
+            throw new IOException("agent " + number + " failed to start: " + e.getMessage() + "\n"
+                    + Files.readString(logFile()), e);
         }
     }
 
-    /** Its files as they are now; read at the start and on SIGHUP. */
+    /** Writes the configuration that the agent reads at its start and on SIGHUP. */
     private Path writeConfiguration() throws IOException {
         List<String> methods = new ArrayList<>();
         for (SoakMethod method : SoakMethod.values()) {
-            methods.add("{\"Name\":\"" + method.label + "\",\"AimNs\":500000000,\"GiveUpNs\":" + load.deadlineMs().get(method) + "000000,\"Effect\":\""
-                    + method.effect + "\",\"KeyScope\":\"zone\",\"WindowNs\":" + SoakMethod.TOKEN_WINDOW_MS + "000000}");
+            methods.add("{\"Name\":\"" + method.label + "\",\"AimNs\":500000000,\"GiveUpNs\":"
+                    + load.deadlineMs().get(method) + "000000,\"Effect\":\"" + method.effect
+                    + "\",\"KeyScope\":\"zone\",\"WindowNs\":" + SoakMethod.TOKEN_WINDOW_MS + "000000}");
         }
         Path newFile = Files.writeString(folder.resolve("agent.json.new"), """
                 {"name":"n%d","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"%x",
@@ -112,15 +113,15 @@
                   "FamilyInfo":{"GateMode":"by_count","AyesNeeded":100,"NoesNeeded":100,"VotesPerS":30,
                    "VoteStandsNs":6000000000,"SoakNs":2000000000,"CallTimeoutNs":2000000000,"Caps":[%s,1.0],
                    "Waves":[0.2,1.0],"WindowNs":%d000000,"Uncounted":1.0}}}
-                """.formatted(number, address.getPort(), discoveryPort, 1 + number + 1000L * startCount, load.maxSockets(), deskPort,
-                StandInDesk.TRIAL_BUILD, StandInDesk.CAP, knownList.json(), fleetSize, String.join(",", methods),
+                """.formatted(number, address.getPort(), discoveryPort, 1 + number + 1000L * startCount, load.maxSockets(),
+                deskPort, StandInDesk.TRIAL_BUILD, StandInDesk.CAP, knownList.json(), fleetSize, String.join(",", methods),
                 isProbingAllowed(), SoakChecker.DRAIN_GRACE_MS, StandInDesk.CAP, SoakChecker.EXPOSURE_WINDOW_MS));
         Path config = folder.resolve("agent.json");
         Files.move(newFile, config, StandardCopyOption.ATOMIC_MOVE);
         return config;
     }
 
-    /** Every other agent may ask appliances whether they serve. */
+    /** Every other agent may probe appliances. */
     private boolean isProbingAllowed() {
         return number % 2 == 0;
     }
@@ -144,16 +145,16 @@
                 }
             }
         } finally {
-            ready.completeExceptionally(new IOException("it ended"));
+            ready.completeExceptionally(new IOException("process exited before it was ready"));
         }
     }
 
-    /** A signal by its name, without the SIG. */
+    /** Sends a signal, named without the prefix SIG. */
     synchronized void sendSignal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Ends the process with SIGKILL at once, and records its life. */
+    /** Kills the process with SIGKILL and records its lifetime. */
     synchronized void kill() throws InterruptedException {
         boolean hadCrashed = !process.isAlive();
         terminatedAt = record.now();
@@ -163,7 +164,9 @@
                 hadCrashed ? SoakRecord.Death.CRASHED : SoakRecord.Death.KILLED));
     }
 
-    /** Ends the process with SIGTERM, more signals, and SIGKILL as soon as the operators may send it; records its life. */
+    /**
+     * Ends the process with SIGTERM, further signals, and SIGKILL at the earliest time allowed; records its lifetime.
+     */
     synchronized void shutDown(SignalSequence signals) throws IOException, InterruptedException {
         boolean hadCrashed = !process.isAlive();
         sendSignal("TERM");
@@ -172,7 +175,8 @@
         long killAt = signalledAt + load.killAfterMs();
         long pausedAt = -1;
         for (SignalSequence.Step step : signals.steps()) {
-            boolean hasExited = process.waitFor(Math.min(step.delayMs(), Math.max(0, killAt - record.now())), TimeUnit.MILLISECONDS);
+            boolean hasExited = process.waitFor(
+                    Math.min(step.delayMs(), Math.max(0, killAt - record.now())), TimeUnit.MILLISECONDS);
             if (hasExited || record.now() >= killAt) {
                 break;
             }
@@ -193,32 +197,38 @@
         if (pausedAt >= 0) {
             record.pauses.add(new SoakRecord.ProcessPause(number, pausedAt, endedAt));
         }
-        record.lifetimes.add(new SoakRecord.ProcessLifetime(number, startedAt, signalledAt, endedAt, hadCrashed ? SoakRecord.Death.CRASHED
+        record.lifetimes.add(new SoakRecord.ProcessLifetime(number, startedAt, signalledAt, endedAt,
+                hadCrashed ? SoakRecord.Death.CRASHED
                 : exitedByItself ? SoakRecord.Death.ENDED : SoakRecord.Death.KILLED_AFTER_SIGNAL));
     }
 
-    /** Whether the front deals clients to it now: for a while after it was told to end, and no more until it is there again. */
+    /**
+     * Whether clients may open connections now: until a short while after the signal to end, and again after the
+     * restart.
+     */
     boolean acceptsNewClients() {
-        return load.connectsDuringShutdown() || record.now() < terminatedAt + NEW_CONNECTIONS_AFTER_SIGNAL_MS || terminatedAt == Long.MAX_VALUE;
+        return load.connectsDuringShutdown() || record.now() < terminatedAt + NEW_CONNECTIONS_AFTER_SIGNAL_MS
+                || terminatedAt == Long.MAX_VALUE;
     }
 
-    /** Reads the files again. */
+    /** Writes the configuration again and makes the agent reload it by SIGHUP. */
     synchronized void reloadConfiguration() throws IOException, InterruptedException {
         writeConfiguration();
         sendSignal("HUP");
     }
 
-    /** What it holds now, as the system counts it. */
+    /** Records the open descriptors, threads and memory of the process as the system reports them. */
     synchronized void recordResourceUsage(String phase) throws IOException {
         long pid = process.pid();
         try (var descriptors = Files.list(Path.of("/proc/" + pid + "/fd"))) {
-            record.resourceUsage.add(new SoakRecord.ResourceUsage(number, pid, phase, descriptors.count(), procStatus(pid, "Threads"),
-                    procStatus(pid, "VmRSS")));
+            record.resourceUsage.add(new SoakRecord.ResourceUsage(number, pid, phase, descriptors.count(),
+                    procStatus(pid, "Threads"), procStatus(pid, "VmRSS")));
         }
     }
 
     private static long procStatus(long pid, String name) throws IOException {
-        return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream().filter(line -> line.startsWith(name + ":"))
+        return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
+                .filter(line -> line.startsWith(name + ":"))
                 .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElse(0);
     }
 
--- a/src/main/java/honeygap/lab/soak/SoakChecker.java
+++ b/src/main/java/honeygap/lab/soak/SoakChecker.java
@@ -8,15 +8,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Goes through the record of a run for broken rules. Every limit has the protocol's slack, and is longer by how late the
- * run's own threads were, so that a busy machine breaks no rule.
+ * Checks the record of a run for violations of the agent's rules. Every time limit includes the slack of the protocol
+ * and the largest scheduling delay of the run's own threads, so that a busy machine causes no violation.
  */
 final class SoakChecker {
 
     static final long DRAIN_GRACE_MS = 500;
     static final long EXPOSURE_WINDOW_MS = 2000;
     private static final long SLACK_MS = 150;
-    /** Whatever discovery has to tell counts as told so long after it could be reached. */
+    /** A list change counts as delivered this long after discovery was reachable, even if it was not written. */
     private static final long LIST_DELIVERY_MS = 6000;
     private static final long ANSWER_GRACE_MS = 500;
     private static final long DISCONNECT_GRACE_MS = 100;
@@ -28,7 +28,7 @@
     private static final long MAX_EXTRA_THREADS = 4;
     private static final long MAX_MEMORY_KB = 192 * 1024;
     private static final long INCOMPLETE_REQUEST_TIMEOUT_MS = 3000;
-    /** A process must bear to be held up for so long. */
+    /** Pause that a process must tolerate during its shutdown without losing requests. */
     private static final long TOLERATED_PAUSE_MS = 150;
 
     private final SoakRecord record;
@@ -45,7 +45,7 @@
         arrivalsById.values().forEach(all -> all.sort(Comparator.comparingLong(SoakRecord.Arrival::at)));
     }
 
-    /** All that is broken, in the order of time. */
+    /** Returns all violations, ordered by time. */
     static List<Violation> check(SoakRecord record) {
         SoakChecker checker = new SoakChecker(record);
         checker.checkAnswers();
@@ -65,35 +65,38 @@
         violations.add(new Violation(rule, atMs, requestId, description));
     }
 
-    /** Milliseconds that the agent stood still between these two. */
+    /** Milliseconds that the agent was paused between two times. */
     private long pausedMs(int agent, long from, long to) {
         return record.pauses.stream().filter(pause -> pause.agent() == agent)
                 .mapToLong(pause -> Math.max(0, Math.min(to, pause.to()) - Math.max(from, pause.from()))).sum();
     }
 
-    /** Whether a process of the agent was killed without a word before, or there was none, at some moment between these two. */
+    /** Whether a process of the agent was killed without prior SIGTERM between two times. */
     private boolean wasKilled(int agent, long from, long to) {
-        return record.lifetimes.stream().filter(life -> life.agent() == agent && life.death() == SoakRecord.Death.KILLED)
-                .anyMatch(life -> life.to() >= from - slackMs && life.to() <= to + slackMs);
+        return record.lifetimes.stream()
+                .filter(lifetime -> lifetime.agent() == agent && lifetime.death() == SoakRecord.Death.KILLED)
+                .anyMatch(lifetime -> lifetime.endedAt() >= from - slackMs && lifetime.endedAt() <= to + slackMs);
     }
 
     /**
-     * Whether a process of the agent stood still, for longer than any must bear, between its signal to end and its end, at some moment
-     * between these two.
+     * Whether the shutdown of an agent process overlaps the given period and the process was paused during the shutdown
+     * for longer than it must tolerate.
      */
     private boolean wasPausedDuringShutdown(int agent, long from, long to) {
         return record.lifetimes.stream()
-                .filter(life -> life.agent() == agent && life.signalledAt() <= to + slackMs && life.to() >= from - slackMs)
-                .anyMatch(life -> pausedMs(agent, life.signalledAt(), life.to()) > TOLERATED_PAUSE_MS);
+                .filter(lifetime -> lifetime.agent() == agent && lifetime.signalledAt() <= to + slackMs
+                        && lifetime.endedAt() >= from - slackMs)
+                .anyMatch(lifetime -> pausedMs(agent, lifetime.signalledAt(), lifetime.endedAt()) > TOLERATED_PAUSE_MS);
     }
 
     private boolean isExcused(int agent, long from, long to) {
         return wasKilled(agent, from, to) || wasPausedDuringShutdown(agent, from, to);
     }
 
-    /** Exactly one final answer, in time. */
+    /** Each request gets exactly one final answer, in time, unless its client disconnected. */
     private void checkAnswers() {
-        Map<String, List<SoakRecord.Completion>> completions = record.completions.stream().collect(Collectors.groupingBy(SoakRecord.Completion::id));
+        Map<String, List<SoakRecord.Completion>> completions = record.completions.stream()
+                .collect(Collectors.groupingBy(SoakRecord.Completion::id));
         for (SoakRecord.SentRequest sent : record.sent.values()) {
             if (!record.disconnects.containsKey(sent.id())) {
                 checkAnswer(sent, completions.getOrDefault(sent.id(), List.of()));
@@ -110,41 +113,54 @@
             return;
         }
         SoakRecord.Ending ending = completions.isEmpty() ? SoakRecord.Ending.UNANSWERED : completions.get(0).ending();
-        if (ending == SoakRecord.Ending.UNANSWERED || ending == SoakRecord.Ending.CLOSED && wasReadByAgent(sent, Long.MAX_VALUE)) {
-            addViolation("lost", sent.at(), sent.id(), "taken and never answered, by agent " + sent.agent() + timeline(sent));
+        if (ending == SoakRecord.Ending.UNANSWERED
+                || ending == SoakRecord.Ending.CLOSED && wasReadByAgent(sent, Long.MAX_VALUE)) {
+            addViolation("lost", sent.at(), sent.id(), "accepted and never answered, by agent " + sent.agent()
+                    + timeline(sent));
         } else if (record.resends.containsKey(sent.id()) && wasReadByAgent(sent, record.resends.get(sent.id()).at())) {
-            addViolation("lost", sent.at(), sent.id(), "taken and its connection closed, by agent " + sent.agent() + timeline(sent));
-        } else if (ending != SoakRecord.Ending.CLOSED && completions.get(0).at() > dueAt + pausedMs(sent.agent(), sent.at(), completions.get(0).at())) {
-            addViolation("lost", sent.at(), sent.id(), "answered " + (completions.get(0).at() - sent.at()) + " ms after it was sent" + timeline(sent));
+            addViolation("lost", sent.at(), sent.id(), "accepted but its connection closed, by agent " + sent.agent()
+                    + timeline(sent));
+        } else if (ending != SoakRecord.Ending.CLOSED
+                && completions.get(0).at() > dueAt + pausedMs(sent.agent(), sent.at(), completions.get(0).at())) {
+            addViolation("lost", sent.at(), sent.id(), "answered " + (completions.get(0).at() - sent.at())
+                    + " ms after it was sent" + timeline(sent));
         }
     }
 
-    /** Whether the agent had read it by then: it was forwarded, or the log says so. */
+    /**
+     * Whether the agent had read the request before a time: it was forwarded, or the agent logged that it accepted it.
+     */
     private boolean wasReadByAgent(SoakRecord.SentRequest sent, long before) {
         return arrivalsById.getOrDefault(sent.id(), List.of()).stream().anyMatch(arrival -> arrival.at() < before)
                 || before == Long.MAX_VALUE && record.acceptedAfterSignal.contains(sent.id());
     }
 
-    /** The way of a request, for whoever looks for what broke. */
+    /** Timeline of a request for the description of a violation. */
     private String timeline(SoakRecord.SentRequest sent) {
-        StringBuilder timeline = new StringBuilder("; sent at " + sent.at() + " (" + sent.method().label + ", " + sent.timeoutMs() + " ms)");
-        record.lifetimes.stream().filter(life -> life.agent() == sent.agent() && life.to() >= sent.at()
-                && life.signalledAt() <= sent.at() + sent.timeoutMs()).findFirst().ifPresent(life -> timeline.append(", signal at ")
-                        .append(life.signalledAt()).append(", ").append(life.death()).append(" at ").append(life.to()));
+        StringBuilder timeline = new StringBuilder("; sent at " + sent.at() + " ("
+                + sent.method().label + ", " + sent.timeoutMs() + " ms)");
+        record.lifetimes.stream().filter(lifetime -> lifetime.agent() == sent.agent() && lifetime.endedAt() >= sent.at()
+                && lifetime.signalledAt() <= sent.at() + sent.timeoutMs()).findFirst().ifPresent(lifetime -> timeline
+                        .append(", signal at ").append(lifetime.signalledAt()).append(", ")
+                        .append(lifetime.death()).append(" at ").append(lifetime.endedAt()));
         arrivalsById.getOrDefault(sent.id(), List.of()).forEach(arrival -> timeline.append(", at appliance ")
                 .append(arrival.appliance()).append(" at ").append(arrival.at()));
         SoakRecord.Resend resend = record.resends.get(sent.id());
-        timeline.append(resend == null ? "" : ", sent again at " + resend.at());
+        timeline.append(resend == null ? "" : ", resent at " + resend.at());
         return timeline.toString();
     }
 
-    /** No process ends before it is told to. */
+    /** No process exits without a signal. */
     private void checkCrashes() {
-        record.lifetimes.stream().filter(life -> life.death() == SoakRecord.Death.CRASHED).forEach(life ->
-                addViolation("crash", life.to(), "", "agent " + life.agent() + " ended before it was told to"));
+        record.lifetimes.stream().filter(lifetime -> lifetime.death() == SoakRecord.Death.CRASHED).forEach(lifetime ->
+                addViolation("crash", lifetime.endedAt(), "", "agent " + lifetime.agent()
+                        + " exited without a signal"));
     }
 
-    /** No effect twice. */
+    /**
+     * No request takes effect twice: a non-idempotent one executes once, and a tokened one is repeated only within the
+     * zone and time window in which appliances recognise its key.
+     */
     private void checkEffects() {
         for (List<SoakRecord.Arrival> attempts : arrivalsById.values()) {
             SoakRecord.SentRequest sent = record.sent.get(attempts.get(0).id());
@@ -152,9 +168,10 @@
             if (sent == null || sent.method() == SoakMethod.READ || attempts.size() < 2) {
                 continue;
             }
-            SoakRecord.Arrival firstExecuted = attempts.stream().filter(SoakRecord.Arrival::executed).findFirst().orElse(null);
+            SoakRecord.Arrival firstExecuted = attempts.stream().filter(SoakRecord.Arrival::executed).findFirst()
+                    .orElse(null);
             if (sent.method() == SoakMethod.ASSIGN && executed.size() > 1) {
-                addViolation("duplicate", executed.get(1).at(), sent.id(), "ran at appliances " + executed.stream()
+                addViolation("duplicate", executed.get(1).at(), sent.id(), "executed at appliances " + executed.stream()
                         .map(SoakRecord.Arrival::appliance).toList());
             } else if (sent.method() == SoakMethod.BOOK && firstExecuted != null) {
                 attempts.stream().filter(later -> later.at() > firstExecuted.at() && (later.zone() != firstExecuted.zone()
@@ -165,7 +182,7 @@
         }
     }
 
-    /** What was served is what an appliance made for this request. */
+    /** The served value is the one that an appliance produced for this request. */
     private void checkValues() {
         for (SoakRecord.Completion completion : record.completions) {
             if (completion.ending() == SoakRecord.Ending.SERVED && !completion.value().equals(completion.id())) {
@@ -174,20 +191,23 @@
         }
     }
 
-    /** From when a change could be heard of by anybody. */
+    /**
+     * Earliest time from which discovery could deliver a change made at the given time: the end of its outage, if any.
+     */
     private long reachableAt(long at) {
         return record.outages.stream().filter(outage -> outage.from() <= at && at < outage.to())
                 .mapToLong(SoakRecord.Outage::to).findFirst().orElse(at);
     }
 
-    /** When a change counts as told to an agent. */
+    /** Time at which a change counts as delivered to an agent. */
     private long deliveredAt(int agent, SoakRecord.ListChange change) {
-        long writtenAt = record.listDeliveries.stream().filter(delivery -> delivery.agent() == agent && delivery.version() >= change.version())
+        long writtenAt = record.listDeliveries.stream()
+                .filter(delivery -> delivery.agent() == agent && delivery.version() >= change.version())
                 .mapToLong(SoakRecord.ListDelivery::at).min().orElse(Long.MAX_VALUE);
         return Math.min(writtenAt, reachableAt(change.at()) + LIST_DELIVERY_MS);
     }
 
-    /** Nothing new to an appliance that drains or is gone, past its grace. */
+    /** No request is sent to an appliance that drains or is deleted, after a grace period. */
     private void checkDrains() {
         Map<Integer, List<SoakRecord.ListChange>> changes = record.listChanges.stream()
                 .sorted(Comparator.comparingLong(SoakRecord.ListChange::version))
@@ -200,16 +220,18 @@
             SoakRecord.ListChange effective = null;
             for (SoakRecord.ListChange change : changes.getOrDefault(arrival.appliance(), List.of())) {
                 boolean isNotServing = change.state() != ApplianceState.SERVING;
-                if (deliveredAt(sent.agent(), change) <= arrival.firstByteAt() && !(isNotServing && isNotServing(effective))) {
+                if (deliveredAt(sent.agent(), change) <= arrival.firstByteAt()
+                        && !(isNotServing && isNotServing(effective))) {
                     effective = change;
                 }
             }
             if (isNotServing(effective)) {
                 long deliveredAt = deliveredAt(sent.agent(), effective);
-                long lateMs = arrival.firstByteAt() - deliveredAt - pausedMs(sent.agent(), deliveredAt, arrival.firstByteAt());
+                long lateMs = arrival.firstByteAt() - deliveredAt
+                        - pausedMs(sent.agent(), deliveredAt, arrival.firstByteAt());
                 if (lateMs > DRAIN_GRACE_MS + slackMs) {
                     addViolation("drain", arrival.at(), arrival.id(), "agent " + sent.agent() + " sent to appliance "
-                            + arrival.appliance() + " " + lateMs + " ms after it counted as told of version "
+                            + arrival.appliance() + " " + lateMs + " ms after the delivery of version "
                             + effective.version() + ": " + effective.state());
                 }
             }
@@ -220,7 +242,7 @@
         return change != null && change.state() != ApplianceState.SERVING;
     }
 
-    /** Requests at the build on trial, in any window and for each life of an agent. */
+    /** The share of requests sent to the build on trial stays within its cap in each window of each agent. */
     private void checkExposure() {
         Map<Integer, List<SoakRecord.Arrival>> trialArrivals = record.arrivals.stream()
                 .filter(arrival -> arrival.build() == StandInDesk.TRIAL_BUILD && record.sent.containsKey(arrival.id()))
@@ -235,53 +257,56 @@
                     first++;
                 }
                 long inWindow = java.util.Arrays.stream(acceptedAt)
-                        .filter(at -> at > to - EXPOSURE_WINDOW_MS - slackMs - pausedMs(agent, to - 2 * EXPOSURE_WINDOW_MS, to)
+                        .filter(at -> at > to - EXPOSURE_WINDOW_MS - slackMs
+                                - pausedMs(agent, to - 2 * EXPOSURE_WINDOW_MS, to)
                                 && at <= to).count();
-                double allowed = (EXPOSURE_UNCOUNTED_REQUESTS + StandInDesk.CAP * inWindow) * EXPOSURE_SLACK_FACTOR + EXPOSURE_SLACK_REQUESTS;
+                double allowed = (EXPOSURE_UNCOUNTED_REQUESTS + StandInDesk.CAP * inWindow) * EXPOSURE_SLACK_FACTOR
+                        + EXPOSURE_SLACK_REQUESTS;
                 if (last - first + 1 > allowed && !wasKilled(agent, to - EXPOSURE_WINDOW_MS, to)) {
                     addViolation("exposure", to, arrivals.get(last).id(), "agent " + agent + " sent " + (last - first + 1)
-                            + " of " + inWindow + " taken in a window to the build on trial");
+                            + " of " + inWindow + " requests in a window to the build on trial");
                     return;
                 }
             }
         });
     }
 
-    /** No attempt begins for a client that has gone. */
+    /** No attempt starts after the client has disconnected. */
     private void checkDisconnects() {
         for (SoakRecord.Disconnect disconnect : record.disconnects.values()) {
             for (SoakRecord.Arrival arrival : arrivalsById.getOrDefault(disconnect.id(), List.of())) {
                 long lateMs = arrival.firstByteAt() - disconnect.at()
-                        - pausedMs(record.sent.get(disconnect.id()).agent(), disconnect.at() - DISCONNECT_GRACE_MS, arrival.firstByteAt());
+                        - pausedMs(record.sent.get(disconnect.id()).agent(), disconnect.at() - DISCONNECT_GRACE_MS,
+                                arrival.firstByteAt());
                 if (lateMs > DISCONNECT_GRACE_MS + slackMs) {
-                    addViolation("left", arrival.at(), disconnect.id(), "sent to appliance " + arrival.appliance() + " " + lateMs
-                            + " ms after its client had gone");
+                    addViolation("left", arrival.at(), disconnect.id(), "sent to appliance "
+                            + arrival.appliance() + " " + lateMs + " ms after its client disconnected");
                 }
             }
         }
     }
 
-    /** An attempt is told no more time than is left to its client. */
+    /** The timeout forwarded with an attempt does not exceed the remaining time of its client. */
     private void checkForwardedDeadlines() {
         for (SoakRecord.Arrival arrival : record.arrivals) {
             SoakRecord.SentRequest sent = record.sent.get(arrival.id());
             if (sent == null) {
                 continue;
             }
-            // Nothing in a request that is sent again tells when it was sent at first.
+            // A resent request does not carry the time at which it was first sent.
             SoakRecord.Resend resend = record.resends.get(sent.id());
             long sentAt = resend != null && resend.at() <= arrival.at() ? resend.at() : sent.at();
             long remainingMs = sentAt + sent.timeoutMs() - arrival.firstByteAt();
             long excessMs = arrival.timeoutMs() - Math.max(0, remainingMs)
                     - pausedMs(sent.agent(), sent.at(), arrival.firstByteAt());
             if (excessMs > DEADLINE_SLACK_MS + slackMs) {
-                addViolation("time told", arrival.at(), arrival.id(), "appliance " + arrival.appliance() + " was told "
-                        + arrival.timeoutMs() + " ms of " + remainingMs);
+                addViolation("deadline", arrival.at(), arrival.id(), "appliance " + arrival.appliance() + " got a timeout of "
+                        + arrival.timeoutMs() + " ms, remaining " + remainingMs);
             }
         }
     }
 
-    /** Memory, descriptors and threads are those of the start again. */
+    /** Memory stays below its limit, and descriptors and threads return to about their counts at the start. */
     private void checkResourceUsage() {
         Map<Long, List<SoakRecord.ResourceUsage>> byProcess = record.resourceUsage.stream()
                 .collect(Collectors.groupingBy(SoakRecord.ResourceUsage::pid));
@@ -289,21 +314,23 @@
             SoakRecord.ResourceUsage first = measurements.get(0);
             SoakRecord.ResourceUsage last = measurements.get(measurements.size() - 1);
             if (last.memoryKb() > MAX_MEMORY_KB) {
-                addViolation("memory", Long.MAX_VALUE, "", "agent " + last.agent() + " holds " + last.memoryKb() + " KB");
+                addViolation("memory", Long.MAX_VALUE, "", "agent " + last.agent() + " uses " + last.memoryKb() + " KB");
             }
             if (measurements.size() > 1 && (last.descriptors() > first.descriptors() + MAX_EXTRA_DESCRIPTORS
                     || last.threads() > first.threads() + MAX_EXTRA_THREADS)) {
                 addViolation("holdings", Long.MAX_VALUE, "", "agent " + last.agent() + " holds " + last.descriptors()
-                        + " descriptors and " + last.threads() + " threads, " + first.descriptors() + " and "
-                        + first.threads() + " at first");
+                        + " descriptors and " + last.threads() + " threads; at the start " + first.descriptors() + " and "
+                        + first.threads() + " respectively");
             }
         }
     }
 
-    /** What a client that stops in the middle of a request is owed. */
+    /** Checks that a connection with an incomplete request is closed within the timeout. */
     static List<Violation> checkIncompleteRequest(SoakRecord record, int agent, long waitedMs, long at) {
         SoakChecker checker = new SoakChecker(record);
-        return waitedMs <= INCOMPLETE_REQUEST_TIMEOUT_MS + checker.slackMs + checker.pausedMs(agent, at - waitedMs, at) ? List.of()
-                : List.of(new Violation("half request", at, "", "agent " + agent + " kept it for " + waitedMs + " ms"));
+        return waitedMs <= INCOMPLETE_REQUEST_TIMEOUT_MS + checker.slackMs
+                + checker.pausedMs(agent, at - waitedMs, at) ? List.of()
+                : List.of(new Violation("incomplete request", at, "", "agent " + agent
+                        + " kept its connection open for " + waitedMs + " ms"));
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakClient.java
+++ b/src/main/java/honeygap/lab/soak/SoakClient.java
@@ -14,7 +14,7 @@
 import java.util.Random;
 import java.util.function.BooleanSupplier;
 
-/** One client of one agent: requests one after another, each on the connection that it has, or on a new one. */
+/** A client of one agent that sends requests sequentially, reusing its connection while that is open. */
 final class SoakClient {
 
     private static final long PAUSE_MS = 40;
@@ -24,10 +24,11 @@
     private static final double DISCONNECT_PROBABILITY = 0.03;
     private static final long MAX_DISCONNECT_DELAY_MS = 15;
     private static final int KEYS = 200;
-    /** One client of an agent sends as soon as it is answered, and one sends two requests at a time. */
+    /** Number of the client that sends its next request without a pause. */
     private static final int GREEDY_CLIENT = 1;
+    /** Number of the client that pipelines two requests. */
     private static final int PIPELINING_CLIENT = 2;
-    /** Part of the new connections that say nothing for a while. */
+    /** Probability that a new connection stays silent for a while before its startup message. */
     private static final double SILENT_PROBABILITY = 0.05;
     private static final int MAX_SILENCE_MS = 2500;
     private static final double MIN_DEADLINE_FRACTION = 0.3;
@@ -54,7 +55,7 @@
         random = new Random(plan.seed() * 1_000_003 + agent * 1009L + number);
     }
 
-    /** Sends until then. */
+    /** Sends requests until the given time. */
     void runUntil(long endTime) throws InterruptedException {
         while (record.now() < endTime) {
             try {
@@ -71,15 +72,15 @@
         disconnect();
     }
 
-    /** All clients of an agent together send alike, many or few. */
+    /** The pause grows with the number of clients, so that the total rate per agent stays about the same. */
     private long pauseMs() {
         return PAUSE_MS * Math.max(1, load.clientsPerAgent() / SoakLoad.CLIENTS_PER_AGENT);
     }
 
-    /** Connects, and says nothing for so long. */
+    /** Connects and stays silent for the given time before the startup message. */
     private void connect(long silentMs) throws IOException, InterruptedException {
         if (!mayConnect.getAsBoolean()) {
-            throw new IOException("the front deals nobody to it now");
+            throw new IOException("agent does not get new connections at present");
         }
         Socket connection = new Socket();
         try {
@@ -103,7 +104,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // It is over all the same.
+            // The connection is unusable either way.
         }
         socket = null;
     }
@@ -115,7 +116,7 @@
         out.write(bytes);
     }
 
-    /** One request that has no answer yet. */
+    /** A request without an answer so far. */
     private record Request(String id, ByteBuffer query, long deadline) { }
 
     private Request createRequest() {
@@ -126,11 +127,11 @@
         long timeMs = (long) (fraction * load.deadlineMs().get(method));
         long now = record.now();
         record.sent.put(id, new SoakRecord.SentRequest(id, agent, method, now, timeMs));
-        return new Request(id, Words.query("SELECT content FROM kv WHERE name = '" + key + "' /* id=" + id + ",c=" + method.label
-                + ",t=acme,d=" + timeMs + ",k=" + key + " */"), now + timeMs);
+        return new Request(id, Words.query("SELECT content FROM kv WHERE name = '" + key + "' /* id=" + id + ",c="
+                + method.label + ",t=acme,d=" + timeMs + ",k=" + key + " */"), now + timeMs);
     }
 
-    /** Sends so many requests, one right behind the other, and hears their answers. */
+    /** Sends the given number of requests back to back and reads their answers. */
     private void send(int count) throws IOException, InterruptedException {
         ArrayDeque<Request> unanswered = new ArrayDeque<>();
         for (int i = 0; i < count; i++) {
@@ -160,12 +161,14 @@
         }
     }
 
-    /** A close that crosses a request which was not read: it is sent once more, on a new connection. */
+    /**
+     * Resends a request once on a new connection; the agent may have closed the old one before it read the request.
+     */
     private void resend(Request request) throws InterruptedException {
         disconnect();
         try {
             if (record.now() > request.deadline()) {
-                throw new IOException("nobody waits any more");
+                throw new IOException("deadline of the request has passed");
             }
             connect(0);
         } catch (IOException e) {
@@ -178,7 +181,8 @@
             recordAnswer(request.id());
         } catch (IOException e) {
             disconnect();
-            record.completions.add(new SoakRecord.Completion(request.id(), SoakRecord.Ending.UNANSWERED, record.now(), ""));
+            record.completions.add(new SoakRecord.Completion(request.id(), SoakRecord.Ending.UNANSWERED, record.now(),
+                    ""));
         }
     }
 
@@ -195,7 +199,7 @@
         record.completions.add(new SoakRecord.Completion(id, ending, record.now(), answer.substring(1)));
     }
 
-    /** Up to ready: D and the value, or E and the code. */
+    /** Reads up to ReadyForQuery; returns D and the value, or E and the SQLSTATE code. */
     private String readAnswer() throws IOException {
         String answer = "";
         while (true) {
@@ -213,7 +217,7 @@
         }
     }
 
-    /** A client that stops in the middle of a request and stays; how long it waited for an error or a close, in milliseconds. */
+    /** Sends half a request and returns how many milliseconds pass until the agent closes the connection. */
     static long sendIncompleteRequest(InetSocketAddress address) throws IOException {
         try (Socket connection = new Socket(InetAddress.getLoopbackAddress(), address.getPort())) {
             connection.setSoTimeout((int) READ_TIMEOUT_MS);
@@ -233,7 +237,7 @@
                 continue;
             }
         } catch (SocketException e) {
-            // A reset is a close as well.
+            // A reset counts as a close.
         }
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakCommand.java
+++ b/src/main/java/honeygap/lab/soak/SoakCommand.java
@@ -12,9 +12,9 @@
 import java.util.stream.Stream;
 import picocli.CommandLine;
 
-/** Soak runs by hand: one seed or many, and a failing one made smaller. */
+/** Command that runs soak tests for one or more seeds and can shrink the plan of a failing seed. */
 @CommandLine.Command(name = "soak", mixinStandardHelpOptions = true,
-        description = "Run agents in processes of their own under faults that a seed schedules, and check the rules.")
+        description = "Run agents in separate processes under faults that a seed schedules, and check the rules.")
 public final class SoakCommand implements Callable<Integer> {
 
     private static final int MAX_VIOLATIONS_SHOWN = 10;
@@ -26,19 +26,19 @@
     @CommandLine.Option(names = "--seed", defaultValue = "1", description = "The first seed (default: 1).")
     private long seed;
 
-    @CommandLine.Option(names = "--seeds", defaultValue = "1", description = "How many seeds, one after another (default: 1).")
+    @CommandLine.Option(names = "--seeds", defaultValue = "1", description = "Number of consecutive seeds (default: 1).")
     private int seeds;
 
-    @CommandLine.Option(names = "--agents", defaultValue = "12", description = "How many agents (default: 12).")
+    @CommandLine.Option(names = "--agents", defaultValue = "12", description = "Number of agents (default: 12).")
     private int agents;
 
     @CommandLine.Option(names = "--seconds", defaultValue = "30", description = "Seconds of load (default: 30).")
     private long seconds;
 
-    @CommandLine.Option(names = "--shrink", description = "Play a failing seed again with ever fewer faults.")
+    @CommandLine.Option(names = "--shrink", description = "Rerun a failing seed with fewer and fewer faults.")
     private boolean shrinks;
 
-    @CommandLine.Option(names = "--folder", description = "Keep the agents' files and logs there (default: a temporary one).")
+    @CommandLine.Option(names = "--folder", description = "Folder for the agents' files and logs (default: a temporary one).")
     private Path folder;
 
     private PrintWriter out;
@@ -62,7 +62,7 @@
                 }
             }
         }
-        out.printf("%d of %d seeds kept all rules, %d agents, %d s%n", seeds - failedSeeds, seeds, agents, seconds);
+        out.printf("%d of %d seeds without violations, %d agents, %d s%n", seeds - failedSeeds, seeds, agents, seconds);
         return failedSeeds == 0 ? 0 : 1;
     }
 
@@ -88,19 +88,20 @@
 
     private void printOutcome(SoakRun.Outcome outcome) {
         SoakPlan plan = outcome.plan();
-        out.printf("seed %d: %d requests, %d served, %d refused; %d told to end, %d ended before the kill at %d ms; %d clients an agent;"
-                + " late by %d ms at most; %d faults; %s%n", plan.seed(), outcome.requests(), outcome.served(), outcome.refused(),
-                outcome.signalled(), outcome.exitedByThemselves(), plan.load().killAfterMs(), plan.load().clientsPerAgent(),
+        out.printf("seed %d: %d requests, %d served, %d refused; %d terminated, %d exited before the kill at %d ms;"
+                + " %d clients per agent; max lateness %d ms; %d faults; %s%n", plan.seed(), outcome.requests(), outcome.served(),
+                outcome.refused(), outcome.signalled(), outcome.exitedByThemselves(), plan.load().killAfterMs(),
+                plan.load().clientsPerAgent(),
                 outcome.latenessMs(), plan.faults().size(),
-                outcome.hasViolations() ? outcome.violations().size() + " BROKEN" : "all rules kept");
+                outcome.hasViolations() ? outcome.violations().size() + " VIOLATIONS" : "no violations");
         outcome.violations().stream().limit(MAX_VIOLATIONS_SHOWN).forEach(violation -> out.println("  " + violation));
         if (outcome.hasViolations()) {
-            out.printf("  again: --seed %d --agents %d --seconds %d%n", plan.seed(), plan.agents(), plan.loadMs() / 1000);
+            out.printf("  rerun: --seed %d --agents %d --seconds %d%n", plan.seed(), plan.agents(), plan.loadMs() / 1000);
         }
         out.flush();
     }
 
-    /** Leaves out halves, then smaller parts, of the faults as long as a rule breaks without them. */
+    /** Removes halves, then smaller chunks, of the faults as long as the run still has violations without them. */
     private void shrink(SoakRun.Outcome failing) throws IOException, InterruptedException {
         SoakPlan smallest = failing.plan();
         int runs = 0;
@@ -115,7 +116,7 @@
                 }
             }
         }
-        out.printf("  smallest found in %d plays, %d faults:%n", runs, smallest.faults().size());
+        out.printf("  smallest failing plan after %d runs, %d faults:%n", runs, smallest.faults().size());
         smallest.faults().forEach(fault -> out.println("    " + fault));
         out.flush();
     }
--- a/src/main/java/honeygap/lab/soak/SoakLoad.java
+++ b/src/main/java/honeygap/lab/soak/SoakLoad.java
@@ -5,12 +5,12 @@
 import java.util.Random;
 
 /**
- * What a seed decides of a run's clients and of the agents' settings.
+ * Client load and agent settings of a run, generated from a seed.
  *
- * @param deadlineMs the deadline of each method
- * @param clientsPerAgent how many clients use an agent at once
- * @param sockets how many descriptors an agent may hold
- * @param connectsAlways whether clients open connections to an agent that was told to end for as long as somebody listens
+ * @param deadlineMs deadline of each method in milliseconds
+ * @param clientsPerAgent number of concurrent clients per agent
+ * @param sockets limit of open sockets of an agent
+ * @param connectsAlways whether clients open connections to an agent that shuts down as long as it listens
  */
 record SoakLoad(Map<SoakMethod, Long> deadlineMs, int clientsPerAgent, int maxSockets, boolean connectsDuringShutdown) {
 
@@ -23,12 +23,12 @@
     private static final int CROWD_MAX_SOCKETS = 96;
     private static final int CROWD_ONE_IN = 4;
     private static final int CONNECTS_DURING_SHUTDOWN_ONE_IN = 3;
-    /** The operators kill a process so long after its signal, beyond the longest deadline, which counts as this at most. */
+    /** Operators send SIGKILL this long after SIGTERM plus the longest deadline, which is capped for this purpose. */
     private static final long KILL_GRACE_MS = 700;
     private static final long MAX_COUNTED_DEADLINE_MS = 3000;
 
     static SoakLoad generate(long seed, int agents) {
-        // Not the faults' own: what is drawn here changes nothing of them.
+        // A separate generator, so that draws made here do not change the planned faults.
         Random random = new Random(~seed);
         Map<SoakMethod, Long> deadlines = new EnumMap<>(SoakMethod.class);
         long longest = MIN_DEADLINE_MS + random.nextInt((int) (MAX_DEADLINE_MS - MIN_DEADLINE_MS) + 1);
@@ -37,11 +37,12 @@
         }
         boolean isCrowd = random.nextInt(CROWD_ONE_IN) == 0;
         boolean connectsDuringShutdown = random.nextInt(CONNECTS_DURING_SHUTDOWN_ONE_IN) == 0;
-        return new SoakLoad(deadlines, isCrowd ? Math.min(CROWD_CLIENTS_PER_AGENT, Math.max(CLIENTS_PER_AGENT, MAX_CROWD_CLIENTS / agents))
-                : CLIENTS_PER_AGENT, isCrowd ? CROWD_MAX_SOCKETS : MAX_SOCKETS, connectsDuringShutdown);
+        return new SoakLoad(deadlines, isCrowd
+                ? Math.min(CROWD_CLIENTS_PER_AGENT, Math.max(CLIENTS_PER_AGENT, MAX_CROWD_CLIENTS / agents)) : CLIENTS_PER_AGENT,
+                isCrowd ? CROWD_MAX_SOCKETS : MAX_SOCKETS, connectsDuringShutdown);
     }
 
-    /** When SIGKILL comes at the earliest, in milliseconds after SIGTERM. */
+    /** Earliest time of the SIGKILL, in milliseconds after SIGTERM. */
     long killAfterMs() {
         long longest = deadlineMs.values().stream().mapToLong(Long::longValue).max().orElse(MAX_COUNTED_DEADLINE_MS);
         return KILL_GRACE_MS + Math.min(MAX_COUNTED_DEADLINE_MS, longest);
--- a/src/main/java/honeygap/lab/soak/SoakMethod.java
+++ b/src/main/java/honeygap/lab/soak/SoakMethod.java
@@ -1,13 +1,13 @@
 package honeygap.lab.soak;
 
-/** The methods that clients of a soak run call, one for each kind of effect. */
+/** Methods called by the clients of a soak run, one for each kind of effect. */
 enum SoakMethod {
 
     READ("read", "read_like"),
     BOOK("book", "idempotency_key"),
     ASSIGN("assign", "non_idempotent");
 
-    /** For so long an appliance knows a key that it has answered. */
+    /** How long an appliance remembers the idempotency key of an answered request. */
     static final long TOKEN_WINDOW_MS = 5000;
 
     final String label;
@@ -24,6 +24,6 @@
                 return method;
             }
         }
-        throw new IllegalArgumentException("no method " + label);
+        throw new IllegalArgumentException("unknown method " + label);
     }
 }
--- a/src/main/java/honeygap/lab/soak/SoakPlan.java
+++ b/src/main/java/honeygap/lab/soak/SoakPlan.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 
 /**
- * All that a seed decides of a run.
+ * Plan of a run, generated from a seed.
  *
- * @param loadMs for how long clients send
+ * @param loadMs how long clients send requests, in milliseconds
  */
 record SoakPlan(long seed, int agents, int appliances, long loadMs, SoakLoad load, List<PlannedFault> faults) {
 
@@ -38,7 +38,8 @@
             faults.add(new PlannedFault(kind, 1000 + random.nextInt((int) Math.max(1, loadMs - 3000)),
                     kind.hasDuration ? durationMs : 0, target));
         }
-        // In each run, since it is what lists are leased for: agents are killed after an outage while appliances are replaced.
+        // Part of each run, since the lease of the list guards against it: agents are killed after an outage of
+        // discovery during which appliances were replaced.
         long outageAtMs = 1000 + random.nextInt((int) Math.max(1, loadMs / 4));
         faults.add(new PlannedFault(FaultKind.DISCOVERY_DOWN, outageAtMs, OUTAGE_MS, 0));
         for (int i = 0; i < appliances / 3; i++) {
@@ -54,8 +55,9 @@
         return new SoakPlan(seed, agents, appliances, loadMs, SoakLoad.generate(seed, agents), List.copyOf(faults));
     }
 
-    /** Each agent is told to end once, a tenth of the fleet at a time, while an appliance hangs. */
-    private static void addRollingRestart(Random random, int agents, int appliances, long loadMs, List<PlannedFault> faults) {
+    /** Terminates each agent once, a tenth of the fleet at a time, while an appliance hangs. */
+    private static void addRollingRestart(Random random, int agents, int appliances, long loadMs,
+            List<PlannedFault> faults) {
         int agentsPerStep = (agents + RESTART_STEPS - 1) / RESTART_STEPS;
         long endMs = Math.max(RESTART_START_MS, loadMs - RESTART_END_MARGIN_MS);
         for (int i = 0; i < agents; i++) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /** Drains follow from rollouts: one of the earlier build, never of the newest. */
+    /** Draws an appliance to replace; never one with the trial build, since rollouts drain the earlier build only. */
     private static int drawReplaced(Random random, int appliances) {
         int appliance = random.nextInt(appliances);
         return isOfTrialBuild(appliance) ? Math.max(1, appliance - 1) : appliance;
--- a/src/main/java/honeygap/lab/soak/SoakRecord.java
+++ b/src/main/java/honeygap/lab/soak/SoakRecord.java
@@ -5,20 +5,25 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** What was seen in a run, by everybody but the agents. All times are milliseconds of one monotonic clock. */
+/**
+ * Observations made during a run by clients, stand-ins and the run itself, plus the requests that agents logged as
+ * accepted after SIGTERM. All times are milliseconds of one monotonic clock.
+ */
 final class SoakRecord {
 
-    /** How a client's request ended for it. */
+    /** Result of a request as its client saw it. */
     enum Ending {
         SERVED, REFUSED, FAILED, UNANSWERED,
-        /** Its connection was closed, and nobody was there to send it to once more: not taken, unless somebody saw it. */
+        /**
+         * The connection was closed and no resend was possible; counts as not accepted unless it was seen elsewhere.
+         */
         CLOSED
     }
 
-    /** A request as its client sent it; the second sending is on a new connection, where the first was closed unanswered. */
+    /** A request as its client first sent it. */
     record SentRequest(String id, int agent, SoakMethod method, long at, long timeoutMs) {
 
-        /** Behind another request on its connection: its time counts from that one's answer. */
+        /** Copy for a pipelined request, whose time counts from the answer to the request before it. */
         SentRequest withSentAt(long later) {
             return new SentRequest(id, agent, method, later, timeoutMs);
         }
@@ -26,50 +31,50 @@
 
     record Completion(String id, Ending ending, long at, String value) { }
 
-    /** Its connection was closed with no answer, and it was sent once more on a new one. */
+    /** A request was sent once more on a new connection, after the first one was closed without an answer. */
     record Resend(String id, long at) { }
 
-    /** A client has closed its connection under a request. */
+    /** A client closed its connection before the request was answered. */
     record Disconnect(String id, long at) { }
 
-    /** A request as it came to an appliance's process. */
-    record Arrival(String id, int appliance, int restarts, int build, int zone, long firstByteAt, long at, long timeoutMs,
-                   boolean executed) { }
+    /** Arrival of a request at an appliance; {@code restarts} tells the processes of one appliance apart. */
+    record Arrival(String id, int appliance, int restarts, int build, int zone, long firstByteAt, long at,
+                   long timeoutMs, boolean executed) { }
 
-    /** Discovery's list has changed. */
+    /** A change of the list in discovery. */
     record ListChange(long version, int appliance, ApplianceState state, long at) { }
 
-    /** Discovery has written all changes up to this version to an agent. */
+    /** Discovery wrote all changes up to this version to an agent. */
     record ListDelivery(int agent, long version, long at) { }
 
-    /** How a process ended. */
+    /** How an agent process ended. */
     enum Death {
-        /** SIGKILL without a word before. */
+        /** By SIGKILL without prior SIGTERM. */
         KILLED,
-        /** By itself after SIGTERM. */
+        /** Exited by itself after SIGTERM. */
         ENDED,
-        /** SIGKILL, at the earliest after SIGTERM. */
+        /** By SIGKILL after SIGTERM, at the earliest time allowed. */
         KILLED_AFTER_SIGNAL,
-        /** Before it was told to. */
+        /** Exited without a signal. */
         CRASHED
     }
 
-    /** From the start of a process to its end; when it was told to end, Long.MAX_VALUE where it was not. */
-    record ProcessLifetime(int agent, long from, long signalledAt, long to, Death death) { }
+    /** Start and end of a process, and the time of its SIGTERM or Long.MAX_VALUE. */
+    record ProcessLifetime(int agent, long startedAt, long signalledAt, long endedAt, Death death) { }
 
-    /** A process stood still, by a signal. */
+    /** Period in which a process was paused by SIGSTOP. */
     record ProcessPause(int agent, long from, long to) { }
 
-    /** Discovery could not be reached. */
+    /** Period in which discovery was unreachable. */
     record Outage(long from, long to) { }
 
-    /** What a process held when nothing was going on. */
+    /** Resource usage of a process while there is no load. */
     record ResourceUsage(int agent, long pid, String phase, long descriptors, long threads, long memoryKb) { }
 
     final Map<String, SentRequest> sent = new ConcurrentHashMap<>();
     final Collection<Completion> completions = new ConcurrentLinkedQueue<>();
     final Map<String, Resend> resends = new ConcurrentHashMap<>();
-    /** Requests that an agent's log says it took on after its signal to end. */
+    /** Ids of requests that an agent logged as accepted after SIGTERM. */
     final Collection<String> acceptedAfterSignal = ConcurrentHashMap.newKeySet();
     final Map<String, Disconnect> disconnects = new ConcurrentHashMap<>();
     final Collection<Arrival> arrivals = new ConcurrentLinkedQueue<>();
@@ -79,7 +84,7 @@
     final Collection<ProcessPause> pauses = new ConcurrentLinkedQueue<>();
     final Collection<Outage> outages = new ConcurrentLinkedQueue<>();
     final Collection<ResourceUsage> resourceUsage = new ConcurrentLinkedQueue<>();
-    /** How late the run's own threads were at the most: what is measured may be late by as much. */
+    /** Largest scheduling delay of the run's own threads; measured times may be late by as much. */
     volatile long latenessMs;
 
     private final long startNs = System.nanoTime();
--- a/src/main/java/honeygap/lab/soak/SoakRun.java
+++ b/src/main/java/honeygap/lab/soak/SoakRun.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** One run of a plan: starts all, carries the plan out, ends all by their handles, and has the record checked. */
+/** Executes a plan: starts all processes, runs clients and faults, ends the processes, and checks the record. */
 final class SoakRun implements AutoCloseable {
 
-    /** What came of a run. */
+    /** Outcome of a run. */
     record Outcome(SoakPlan plan, List<Violation> violations, long requests, long served, long refused, long latenessMs,
             long signalled, long exitedByThemselves) {
 
@@ -73,7 +73,7 @@
         return thread;
     }
 
-    /** Carries the plan out. */
+    /** Executes the plan and returns its outcome. */
     Outcome run() throws InterruptedException, IOException {
         startAgents();
         measureLateness();
@@ -81,7 +81,8 @@
         recordResourceUsage("start");
         long loadStart = record.now();
         for (PlannedFault fault : plan.faults()) {
-            timers.schedule(() -> workers.submit(() -> injectRecordingFailure(fault)), fault.atMs(), TimeUnit.MILLISECONDS);
+            timers.schedule(() -> workers.submit(() -> injectRecordingFailure(fault)),
+                    fault.atMs(), TimeUnit.MILLISECONDS);
         }
         runClients(loadStart + plan.loadMs());
         discovery.setDown(false);
@@ -96,7 +97,8 @@
         Collections.sort(violations, java.util.Comparator.comparingLong(Violation::atMs));
         return new Outcome(plan, violations, record.sent.size(), countCompletions(SoakRecord.Ending.SERVED),
                 countCompletions(SoakRecord.Ending.REFUSED), record.latenessMs,
-                countDeaths(SoakRecord.Death.ENDED) + countDeaths(SoakRecord.Death.KILLED_AFTER_SIGNAL), countDeaths(SoakRecord.Death.ENDED));
+                countDeaths(SoakRecord.Death.ENDED) + countDeaths(SoakRecord.Death.KILLED_AFTER_SIGNAL),
+                countDeaths(SoakRecord.Death.ENDED));
     }
 
     SoakRecord record() {
@@ -131,7 +133,7 @@
         }
     }
 
-    /** How late a thread of this process is woken: on a busy machine what it measures is late by as much. */
+    /** Measures how late a timer of this JVM fires; on a busy machine measured times are late by as much. */
     private void measureLateness() {
         long[] lastTickAt = {record.now()};
         timers.scheduleAtFixedRate(() -> {
@@ -146,7 +148,7 @@
             try {
                 agent.recordResourceUsage(phase);
             } catch (IOException e) {
-                failures.add("agent " + agent.number + " can't be measured: " + e.getMessage());
+                failures.add("agent " + agent.number + ": resource usage is not readable: " + e.getMessage());
             }
         }
     }
@@ -155,7 +157,8 @@
         List<Future<?>> clients = new ArrayList<>();
         for (SoakAgent agent : agents) {
             for (int i = 0; i < plan.load().clientsPerAgent(); i++) {
-                SoakClient client = new SoakClient(agent.number, i, agent.address, record, plan, agent::acceptsNewClients);
+                SoakClient client = new SoakClient(agent.number, i, agent.address, record, plan,
+                        agent::acceptsNewClients);
                 clients.add(workers.submit(() -> {
                     client.runUntil(endTime);
                     return null;
@@ -225,7 +228,8 @@
             }
             agent.start();
         }
-        incompleteRequestViolations.addAll(SoakChecker.checkIncompleteRequest(record, agent.number, SoakClient.sendIncompleteRequest(agent.address), record.now()));
+        incompleteRequestViolations.addAll(SoakChecker.checkIncompleteRequest(record, agent.number,
+                SoakClient.sendIncompleteRequest(agent.address), record.now()));
     }
 
     private static void reloadTwice(SoakAgent agent) throws IOException, InterruptedException {
@@ -243,7 +247,7 @@
         }
     }
 
-    /** The same steps as a rollout: drains, goes, comes back as another process. */
+    /** Replaces an appliance as a rollout does: drain, end, start of another process. */
     private void replace(StandInAppliance appliance) throws IOException, InterruptedException {
         synchronized (appliance) {
             appliance.drain();
--- a/src/main/java/honeygap/lab/soak/StandInAppliance.java
+++ b/src/main/java/honeygap/lab/soak/StandInAppliance.java
@@ -17,14 +17,14 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** An appliance that records what comes to it, and does what the run's faults want. */
+/** Stand-in for an appliance that records the requests that it receives and applies the faults of the run. */
 final class StandInAppliance implements AutoCloseable {
 
     private static final long WORK_MS = 10;
     private static final long REPEAT_DELAY_MS = 5;
     private static final long MAX_REPEAT_DELAY_MS = 10;
     private static final int BACKLOG = 512;
-    /** What an appliance that drains says to a probe. */
+    /** Error code with which a draining appliance answers a probe. */
     private static final String SQLSTATE_CANNOT_CONNECT_NOW = "57P03";
 
     final int number;
@@ -33,13 +33,13 @@
     private final InetSocketAddress address;
     private final Set<FaultKind> faults = EnumSet.noneOf(FaultKind.class);
     private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
-    /** Times at which keys were answered, by key: repeats of them have no effect within the window. */
+    /** Time of the last answer by idempotency key; repeats within the window have no effect. */
     private final Map<String, Long> answeredKeys = new ConcurrentHashMap<>();
     private ServerSocket server;
     private volatile int restarts;
     private volatile boolean isDraining;
     volatile int build;
-    /** The wall-clock time of its start in milliseconds, 0 for long ago. */
+    /** Wall-clock time of the process start in milliseconds; 0 if it started long before the run. */
     volatile long sinceMs;
 
     StandInAppliance(int number, int zone, int build, SoakRecord record) throws IOException {
@@ -64,7 +64,7 @@
                 openConnections.add(socket);
                 StandInThread.start("appliance " + number, () -> {
                     try (socket) {
-                        serve(socket, processRestarts);
+                        readRequests(socket, processRestarts);
                     } catch (Malformed e) {
                         throw new IOException(e);
                     } finally {
@@ -91,7 +91,7 @@
         isDraining = true;
     }
 
-    /** Ends the process; nothing listens at its address. */
+    /** Simulates the end of the process: nothing listens at its address any more. */
     void stop() throws IOException {
         server.close();
         closeConnections();
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Another process at the same address. */
+    /** Simulates the start of another process at the same address. */
     void restart(int newBuild, long wallMs) throws IOException {
         build = newBuild;
         sinceMs = wallMs;
@@ -116,7 +116,7 @@
         startAccepting(server, restarts);
     }
 
-    private void serve(Socket socket, int processRestarts) throws IOException, Malformed, InterruptedException {
+    private void readRequests(Socket socket, int processRestarts) throws IOException, Malformed, InterruptedException {
         InputStream in = socket.getInputStream();
         Frames frames = new Frames(1 << 18);
         byte[] buffer = new byte[1 << 14];
@@ -137,7 +137,7 @@
         }
     }
 
-    /** One request; false where the connection is over. */
+    /** Handles one request; returns false when the connection has to be closed. */
     private boolean handleRequest(Socket socket, ByteBuffer body, int processRestarts, long firstByteAt)
             throws IOException, InterruptedException {
         Statement statement = new Statement();
@@ -151,7 +151,7 @@
         record.arrivals.add(new SoakRecord.Arrival(statement.id(), number, processRestarts, build, zone, firstByteAt,
                 record.now(), statement.timeMs(), !refuses && !isKnown));
         if (refuses) {
-            write(socket, Words.error(Words.TOO_MANY, "no place", 0));
+            write(socket, Words.error(Words.TOO_MANY, "no capacity", 0));
             return true;
         }
         if (hasFault(FaultKind.APPLIANCE_RESETS)) {
@@ -186,7 +186,7 @@
         if (hasFault(FaultKind.APPLIANCE_REPEATS)) {
             long wroteAt = record.now();
             Thread.sleep(REPEAT_DELAY_MS);
-            // Some milliseconds late and no more, also where this thread was woken late.
+            // Skips the repeat if this thread was woken too late, since the repeat must follow within milliseconds.
             if (record.now() <= wroteAt + MAX_REPEAT_DELAY_MS) {
                 write(socket, row);
             }
--- a/src/main/java/honeygap/lab/soak/StandInDesk.java
+++ b/src/main/java/honeygap/lab/soak/StandInDesk.java
@@ -8,7 +8,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A rollout desk on which one build stays on trial: each vote counts and nothing moves on. */
+/** Stand-in for the rollout desk: one build stays on trial, and votes are accepted without advancing the rollout. */
 final class StandInDesk implements AutoCloseable {
 
     static final int EARLIER_BUILD = 1;
@@ -56,8 +56,8 @@
                 if (head.startsWith("GET /bulletin")) {
                     streamStatus(out);
                 }
-                write(out, "HTTP/1.1 200 OK\r\nContent-Type: text/xml\r\nContent-Length: " + STATUS_RESPONSE.length() + "\r\n\r\n"
-                        + STATUS_RESPONSE);
+                write(out, "HTTP/1.1 200 OK\r\nContent-Type: text/xml\r\nContent-Length: " + STATUS_RESPONSE.length()
+                        + "\r\n\r\n" + STATUS_RESPONSE);
             }
         }
     }
@@ -77,7 +77,7 @@
         out.write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A head and its body, which is a form. */
+    /** Reads a request, discards its body and returns its head. */
     private static String readRequest(DataInputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
--- a/src/main/java/honeygap/lab/soak/StandInDiscovery.java
+++ b/src/main/java/honeygap/lab/soak/StandInDiscovery.java
@@ -13,27 +13,27 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * Discovery for all agents: takes calls one after another, fails those that wait too long, and writes changes to open
- * watches. Each agent calls it at a port of its own, so that the record knows to whom it was that it wrote.
+ * Stand-in for discovery: processes calls sequentially, fails those that wait too long, and writes changes to open
+ * watches. Each agent calls it at its own port, so that list deliveries are recorded per agent.
  */
 final class StandInDiscovery implements AutoCloseable {
 
-    /** It takes a call of every agent in this time, whatever their number. */
+    /** Time to process one call of every agent, whatever their number. */
     private static final long ROUND_OF_CALLS_MS = 8000;
     private static final long LONGEST_WAIT_MS = 2000;
     private static final long HEARTBEAT_MS = 2000;
     private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-    /** One entry, as it was at a version. */
+    /** State of an entry as of a version. */
     private record Entry(long version, int appliance, String json) { }
 
-    /** A watch that is open. */
+    /** An open watch of an agent. */
     private static final class Watch {
 
         final int agent;
         final Socket socket;
-        long version;
+        long sentVersion;
         boolean isSilent;
 
         Watch(int agent, Socket socket) {
@@ -74,7 +74,7 @@
                 queue.take().run();
             }
         });
-        StandInThread.start("discovery signs", () -> {
+        StandInThread.start("discovery heartbeat", () -> {
             while (true) {
                 Thread.sleep(HEARTBEAT_MS);
                 sendHeartbeats();
@@ -86,7 +86,7 @@
         return servers.get(agent).getLocalPort();
     }
 
-    /** The list as an agent was told it last, for its next process. */
+    /** List last delivered to an agent, with which its next process starts. */
     synchronized String lastDeliveredList(int agent) {
         return listDocument(versionsWritten[agent], true, 0);
     }
@@ -101,22 +101,23 @@
                 entriesJson.add(entry.json);
             }
         }
-        return "{\"index\":" + upToVersion + ",\"snapshot\":" + isWhole + ",\"endpoints\":[" + String.join(",", entriesJson) + "]}";
+        return "{\"index\":" + upToVersion + ",\"snapshot\":" + isWhole + ",\"endpoints\":["
+                + String.join(",", entriesJson) + "]}";
     }
 
-    /** A change of one appliance, told to all watches. */
+    /** Records a change of one appliance and writes it to all watches that are not silenced. */
     synchronized void publishChange(StandInAppliance appliance, ApplianceState state) {
         version++;
         entries.add(new Entry(version, appliance.number, json(appliance, state)));
         record.listChanges.add(new SoakRecord.ListChange(version, appliance.number, state, record.now()));
         for (Watch watch : List.copyOf(watches)) {
             if (!watch.isSilent) {
-                write(watch, listDocument(version, false, watch.version) + "\n", version);
+                write(watch, listDocument(version, false, watch.sentVersion) + "\n", version);
             }
         }
     }
 
-    /** An appliance of the first list: from before the run. */
+    /** Adds an appliance to the initial list, which all agents know from the start. */
     synchronized void addInitial(StandInAppliance appliance) {
         entries.add(new Entry(++version, appliance.number, json(appliance, ApplianceState.SERVING)));
         Arrays.fill(versionsWritten, version);
@@ -173,7 +174,7 @@
 
     private synchronized void openWatch(int agent, Socket socket, long afterVersion) {
         Watch watch = new Watch(agent, socket);
-        watch.version = afterVersion;
+        watch.sentVersion = afterVersion;
         try {
             if (isDown) {
                 respond(socket, UNAVAILABLE, true);
@@ -197,13 +198,15 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Writes a line to a watch; the version is that which it brings the agent to. */
+    /**
+     * Writes a line to a watch; {@code upToVersion} is the version that the agent has after it, or -1 for a heartbeat.
+     */
     private void write(Watch watch, String line, long upToVersion) {
         try {
             OutputStream out = watch.socket.getOutputStream();
             out.write(chunk(line).getBytes(StandardCharsets.US_ASCII));
-            if (upToVersion > watch.version || upToVersion == version) {
-                watch.version = upToVersion;
+            if (upToVersion > watch.sentVersion || upToVersion == version) {
+                watch.sentVersion = upToVersion;
                 versionsWritten[watch.agent] = upToVersion;
                 record.listDeliveries.add(new SoakRecord.ListDelivery(watch.agent, upToVersion, record.now()));
             }
@@ -241,7 +244,7 @@
         isDown = down;
     }
 
-    /** All watches that are open now say nothing any more. */
+    /** Silences all watches that are open now: they stay connected, but nothing is written to them. */
     synchronized void silenceWatches() {
         watches.forEach(watch -> watch.isSilent = true);
     }
--- a/src/main/java/honeygap/lab/soak/StandInThread.java
+++ b/src/main/java/honeygap/lab/soak/StandInThread.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** Threads of stand-ins: small, and over without a word when the other side has closed. */
+/** Daemon threads of stand-ins with small stacks, which end silently when their peer closes the connection. */
 final class StandInThread {
 
     private static final long STACK_BYTES = 1 << 18;
 
-    /** What such a thread does. */
+    /** Body of such a thread. */
     interface Task {
 
         void run() throws IOException, InterruptedException;
@@ -21,7 +21,7 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // The other side has closed, or the run is over.
+                // The peer closed the connection, or the run is over.
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/honeygap/lab/soak/SystemCallFaults.java
+++ b/src/main/java/honeygap/lab/soak/SystemCallFaults.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A small library, built with the machine's C compiler, by which system calls of an agent fail and its wall clock steps. */
+/**
+ * Preloaded library, built with the C compiler of the machine, that makes system calls of an agent fail and steps its
+ * wall clock.
+ */
 final class SystemCallFaults {
 
     private static final String SOURCE = "faults.c";
@@ -18,7 +21,11 @@
     private final int callsPerFault;
     private volatile long clockOffsetSeconds;
 
-    /** One in so many calls fails; 0 is none. */
+    /**
+     * Builds the library.
+     *
+     * @param callsPerFault one in this many calls fails; 0 for no faults
+     */
     SystemCallFaults(Path folder, int callsPerFault) throws IOException, InterruptedException {
         this.callsPerFault = callsPerFault;
         Path source = folder.resolve(SOURCE);
@@ -31,24 +38,24 @@
                 source.toString(), "-ldl")).redirectErrorStream(true).start();
         String output = new String(compiler.getInputStream().readAllBytes());
         if (compiler.waitFor() != 0) {
-            throw new IOException("the library of faults can't be built: " + output);
+            throw new IOException("fault library failed to compile: " + output);
         }
     }
 
-    /** What a process is told by its environment. */
+    /** Environment variables that load the library into a process. */
     Map<String, String> environment(long seed) {
         return Map.of("LD_PRELOAD", library.toString(), "HONEYGAP_FAULT_RATE", Integer.toString(callsPerFault),
                 "HONEYGAP_FAULT_SEED", Long.toString(seed), "HONEYGAP_CLOCK_FILE", clockFile.toString());
     }
 
-    /** Steps the wall clock of all processes by so much more. */
+    /** Steps the wall clock of all processes by the given seconds, on top of earlier steps. */
     synchronized void stepClock(long seconds) throws IOException {
         clockOffsetSeconds += seconds;
         Path newFile = Files.writeString(clockFile.resolveSibling("clock.new"), Long.toString(clockOffsetSeconds));
         Files.move(newFile, clockFile, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** The wall clock that all processes read, in milliseconds since 1970. */
+    /** Wall-clock time that all processes see, in milliseconds since 1970. */
     long wallClockMs() {
         return System.currentTimeMillis() + 1000 * clockOffsetSeconds;
     }
--- a/src/main/java/honeygap/lab/soak/Violation.java
+++ b/src/main/java/honeygap/lab/soak/Violation.java
@@ -1,16 +1,17 @@
 package honeygap.lab.soak;
 
 /**
- * A broken rule.
+ * A violation of a rule that the checker found in the record of a run.
  *
- * @param rule its short name
- * @param at when, in milliseconds of the run's clock
- * @param id the request's, or empty
+ * @param rule short name of the rule
+ * @param at time of the violation in milliseconds of the run's clock; Long.MAX_VALUE for the end of the run
+ * @param id id of the request, or empty
  */
 record Violation(String rule, long atMs, String requestId, String description) {
 
     @Override
     public String toString() {
-        return String.format("%s at %.3f s%s: %s", rule, atMs / 1000.0, requestId.isEmpty() ? "" : ", request " + requestId, description);
+        return String.format("%s at %.3f s%s: %s", rule, atMs / 1000.0, requestId.isEmpty() ? "" : ", request " + requestId,
+                description);
     }
 }
--- a/src/main/java/honeygap/lab/soak/package-info.java
+++ b/src/main/java/honeygap/lab/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Soak runs: real processes of the agent before stand-ins of appliances, discovery, the rollout desk and clients, with faults
- * that a seed schedules, and a checker that goes through the records of all for broken rules. For tests and operators by
- * hand; no part of an agent.
+ * Soak runs: real agent processes with simulated clients and stand-ins for appliances, discovery and the rollout desk,
+ * under faults that a seed schedules, and a checker that searches the record for violations of the agent's rules. Used
+ * by tests and by operators on the command line; not part of the agent.
  */
 package honeygap.lab.soak;
--- a/src/main/resources/honeygap/lab/soak/faults.c
+++ b/src/main/resources/honeygap/lab/soak/faults.c
@@ -1,8 +1,8 @@
 /*
- * Faults of the system's calls for soak runs, loaded into an agent by LD_PRELOAD: calls on sockets fail for a moment in the
- * ways that Linux documents, reads and writes are short, waits are interrupted, and the wall clock is stepped. The
- * monotonic clock is left alone. HONEYGAP_FAULT_RATE is one fault in so many calls, 0 for none; HONEYGAP_FAULT_SEED seeds
- * them; HONEYGAP_CLOCK_FILE holds the step of the wall clock, in seconds, as text.
+ * System call faults for soak runs, loaded into an agent by LD_PRELOAD: socket calls fail temporarily with errors that
+ * Linux documents, reads and writes are short, waits are interrupted, and the wall clock is stepped. The monotonic
+ * clock is not changed. HONEYGAP_FAULT_RATE: one in this many calls fails, 0 for none. HONEYGAP_FAULT_SEED: seed of the
+ * faults. HONEYGAP_CLOCK_FILE: file with the offset of the wall clock in seconds, as text.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -26,7 +26,7 @@
     return text ? strtoul(text, 0, 10) : 0;
 }
 
-/* 0 for no fault, or a number drawn for it. */
+/* Returns 0 for no fault, or a positive random number that selects the kind of fault. */
 static unsigned long fault(void) {
     static unsigned long rate, seed;
     static atomic_int known;
@@ -52,7 +52,7 @@
 
 #define NEXT(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
 
-/* Connections that were accepted: an error on one of them would be its client's end, and the client is still there. */
+/* Marks accepted connections. They get no errors: an error means that the client is gone, but it is still connected. */
 #define DESCRIPTORS 65536
 static atomic_char accepted[DESCRIPTORS];
 
--- a/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
+++ b/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
@@ -10,17 +10,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How long fleets of several sizes take to get their lists from one discovery service. */
+/** Tests how long fleets of several sizes take to get current lists from one discovery service. */
 class ListRecoveryTest {
 
     private static final long SECOND = Fleet.SECOND;
     private static final long ASK_WITHIN = 10 * SECOND;
     private static final long LONGEST_WAIT = 2 * SECOND;
-    /** What it costs discovery to answer each agent of the fleet once, as measured: 18.7 calls a second for 93. */
+    /**
+     * Time in which discovery answers each agent once; the real service answered 18.7 calls per second for 93 agents.
+     */
     private static final long ROUND = 5 * SECOND;
     private static final int SEEDS = 20;
 
-    /** A fleet before one discovery service. */
+    /** A fleet of agents and the discovery service that they call. */
     private static final class World {
 
         final VirtualClock clock = new VirtualClock();
@@ -38,7 +40,10 @@
             return agents.stream().filter(SimulatedAgent::isCurrent).count();
         }
 
-        /** Tenths of a millisecond from now until this part of the fleet is current, at most a minute. */
+        /**
+         * Runs until the given fraction of the fleet is current, at most a minute; returns the time in tenths of a
+         * millisecond.
+         */
         long until(double part) {
             long from = clock.now();
             while (current() < part * agents.size() && clock.now() < from + 60 * SECOND) {
@@ -56,18 +61,20 @@
 
     private static void report(String what, int agents, long seed, World world, long... times) {
         System.out.printf("%s: %d agents, seed %d: %s; calls %d, failed %d%n", what, agents, seed,
-                java.util.Arrays.stream(times).mapToObj(time -> time / (double) SECOND + " s").toList(), world.discovery.calls(), world.discovery.failures());
+                java.util.Arrays.stream(times).mapToObj(time -> time / (double) SECOND + " s").toList(),
+                world.discovery.calls(), world.discovery.failures());
     }
 
     /**
-     * One and a half times what discovery's capacity allows; a dozen agents, of which each takes it half a second, are
-     * too few for an even spread, and those that fail wait for up to a quarter of the time for asking, then for half of it, then for all.
+     * Recovery time allowed: one and a half times what the capacity of discovery requires. A dozen agents, each of which
+     * costs discovery almost half a second, are too few to spread evenly; they get more time, since an agent whose call
+     * fails waits for up to a quarter of the time for asking, then half of it, then all of it.
      */
     private static double capacity(int agents) {
         return 1.5 * ROUND + (agents < 100 ? ASK_WITHIN : 0);
     }
 
-    /** Guards against a queue that calls made again keep full for ever. */
+    /** All agents start at once. Guards against retries that keep the queue of discovery full for ever. */
     @ParameterizedTest
     @ValueSource(ints = {12, 120, 930})
     void allStartAtOnce(int agents) {
@@ -81,7 +88,7 @@
         }
     }
 
-    /** An outage of 8 s; then seven in ten are killed at once and come back with what they knew. */
+    /** After an outage of 8 s, 70% of the agents are killed at once and restart with their last lists. */
     @ParameterizedTest
     @ValueSource(ints = {12, 120, 930})
     void outageAndMassRestart(int agents) {
@@ -104,7 +111,7 @@
         }
     }
 
-    /** The same with a change of the list every second for 10 s after the restart. */
+    /** 70% of the agents restart while the list changes every second for 10 s. */
     @ParameterizedTest
     @ValueSource(ints = {12, 120, 930})
     void massRestartWhileListsChange(int agents) {
@@ -117,7 +124,7 @@
             long most = world.until(0.9);
             long all = world.until(1);
             report("changes", agents, seed, world, most, most + all);
-            // Half a minute is 10 s of changes, which take all of discovery's time, and four rounds.
+            // 10 s of changes, which use the whole capacity of discovery, and four rounds of calls.
             assertTrue(most <= 10 * SECOND + 4 * ROUND + (agents < 100 ? ASK_WITHIN / 2 : 0), "90% after " + most);
         }
     }
--- a/src/test/java/honeygap/lab/soak/SoakCheckerTest.java
+++ b/src/test/java/honeygap/lab/soak/SoakCheckerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the checker finds in a record, and what it lets pass. Times are milliseconds. */
+/** Tests which violations the checker reports for a record, and what it accepts. Times are milliseconds. */
 class SoakCheckerTest {
 
     private static final int AGENT = 1;
@@ -59,7 +59,9 @@
         record.lifetimes.add(new SoakRecord.ProcessLifetime(AGENT, 0, signalledAt, to, death));
     }
 
-    /** A process that was killed without a word before owes nothing; one that was told to end does, however it ended. */
+    /**
+     * A process that was killed without a word before owes nothing; one that was told to end does, however it ended.
+     */
     @ParameterizedTest
     @CsvSource({"KILLED, ''", "ENDED, lost", "KILLED_AFTER_SIGNAL, lost", "CRASHED, lost crash"})
     void deathOfTheProcess(SoakRecord.Death death, String rules) {
@@ -68,7 +70,7 @@
         assertEquals(rules, String.join(" ", broken()));
     }
 
-    /** One that stood still for longer than it must bear, after its signal, is excused. */
+    /** Lost requests are excused if the process was paused for too long after its SIGTERM. */
     @Test
     void heldUpAtTheEnd() {
         sent("a", SoakMethod.READ, 1000);
@@ -79,7 +81,10 @@
         assertEquals(List.of(), broken());
     }
 
-    /** A request whose connection was closed was not taken, unless an appliance or the agent's log has it. */
+    /**
+     * A request whose connection was closed counts as not accepted unless an appliance received it or the agent logged
+     * it.
+     */
     @Test
     void closedUnanswered() {
         sent("a", SoakMethod.READ, 1000);
@@ -108,7 +113,7 @@
         arrives("a", 1, 0, 1010, false);
         arrives("a", 2, 0, 1020, true);
         served("a", 1030);
-        assertEquals(List.of(), broken(), "the first one was turned away");
+        assertEquals(List.of(), broken(), "the first attempt was refused");
         arrives("a", 3, 0, 1040, true);
         assertEquals(List.of("duplicate"), broken());
     }
@@ -124,7 +129,7 @@
         assertEquals(List.of("duplicate"), broken());
     }
 
-    /** A drain counts from when it was written to the agent, or six seconds after it could have been. */
+    /** The grace of a drain starts when the change is written to the agent, or six seconds after that was possible. */
     @Test
     void drains() {
         record.listChanges.add(new SoakRecord.ListChange(7, 3, ApplianceState.DRAINING, 1000));
@@ -136,7 +141,7 @@
         assertEquals(List.of("drain"), broken());
         record.listChanges.add(new SoakRecord.ListChange(8, 3, ApplianceState.SERVING, 7000));
         record.listDeliveries.add(new SoakRecord.ListDelivery(AGENT, 8, 7100));
-        assertEquals(List.of(), broken(), "it serves again");
+        assertEquals(List.of(), broken(), "serving again");
     }
 
     @Test
@@ -146,7 +151,7 @@
         sent("a", SoakMethod.READ, 15_400);
         served("a", 15_420);
         arrives("a", 3, 0, 15_410, true);
-        assertEquals(List.of(), broken(), "six seconds from its end, and the grace");
+        assertEquals(List.of(), broken(), "within the grace six seconds after the outage");
         sent("b", SoakMethod.READ, 15_900);
         served("b", 15_920);
         arrives("b", 3, 0, 15_910, true);
@@ -181,7 +186,7 @@
         sent("a", SoakMethod.READ, 1000);
         served("a", 1900);
         record.arrivals.add(new SoakRecord.Arrival("a", 1, 0, 1, 0, 1800, 1800, 600, true));
-        assertEquals(List.of("time told"), broken());
+        assertEquals(List.of("deadline"), broken());
     }
 
     @Test
@@ -193,7 +198,7 @@
         assertEquals(List.of("memory", "holdings"), broken());
     }
 
-    /** Half a request is kept for three seconds at the most, less what the process stood still. */
+    /** A connection with an incomplete request is closed within three seconds, not counting pauses of the process. */
     @Test
     void halfRequest() {
         assertEquals(List.of(), SoakChecker.checkIncompleteRequest(record, AGENT, 3100, 10_000));
@@ -202,7 +207,7 @@
         assertEquals(List.of(), SoakChecker.checkIncompleteRequest(record, AGENT, 3400, 10_000));
     }
 
-    /** A busy machine measures late: limits are longer by as much. */
+    /** Time limits grow by the scheduling delay that the run measured, since a busy machine measures late. */
     @Test
     void latenessOfTheRunItself() {
         sent("late", SoakMethod.READ, 1000);
@@ -211,7 +216,7 @@
         assertEquals(List.of(), broken());
     }
 
-    /** The same seed draws the same plan, and one that was made smaller keeps the rest. */
+    /** A seed always generates the same plan, and a plan with fewer faults keeps its other values. */
     @Test
     void plans() {
         SoakPlan plan = SoakPlan.generate(5, 12, 30_000);
--- a/src/test/java/honeygap/lab/soak/SoakTest.java
+++ b/src/test/java/honeygap/lab/soak/SoakTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Two short soak runs, the same each time but for how threads interleave; longer ones by hand, see docs/soak.md. In each every
- * agent is told to end once, and killed at the earliest. Without the lease of the list the first breaks drain some two hundred times.
+ * Two short soak runs with fixed plans; only the interleaving of threads differs between executions. For longer runs see
+ * docs/soak.md. In each run every agent gets SIGTERM once, and SIGKILL at the earliest time allowed. Guards the lease of
+ * the list: without it the first run violates the drain rule about two hundred times.
  */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SoakTest {
@@ -28,7 +29,7 @@
         try (SoakRun run = new SoakRun(SoakPlan.generate(seed, AGENTS, loadMs), folder)) {
             SoakRun.Outcome outcome = run.run();
             assertEquals(List.of(), outcome.violations());
-            assertTrue(outcome.signalled() >= AGENTS, outcome.signalled() + " told to end");
+            assertTrue(outcome.signalled() >= AGENTS, outcome.signalled() + " agents terminated");
             assertTrue(outcome.served() > outcome.requests() / 10, outcome.served() + " of " + outcome.requests());
         }
     }
