--- a/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
+++ b/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
@@ -19,24 +19,24 @@
     /**
      * Time in which discovery answers each agent once; the real service answered 18.7 calls per second for 93 agents.
      */
-    private static final long ROUND = 5 * SECOND;
+    private static final long ROUND_OF_CALLS = 5 * SECOND;
     private static final int SEEDS = 20;
 
     /** A fleet of agents and the discovery service that they call. */
-    private static final class World {
+    private static final class SimulatedFleet {
 
         final VirtualClock clock = new VirtualClock();
         final DiscoveryModel discovery;
         final List<SimulatedAgent> agents;
 
-        World(int agents, long seed) {
-            discovery = new DiscoveryModel(clock, ROUND / agents, LONGEST_WAIT);
+        SimulatedFleet(int agents, long seed) {
+            discovery = new DiscoveryModel(clock, ROUND_OF_CALLS / agents, LONGEST_WAIT);
             Listing listing = new Listing(true, false, ASK_WITHIN, 0);
             this.agents = IntStream.range(0, agents)
                     .mapToObj(i -> new SimulatedAgent(clock, discovery, listing, seed * agents + i)).toList();
         }
 
-        long current() {
+        long countCurrent() {
             return agents.stream().filter(SimulatedAgent::isCurrent).count();
         }
 
@@ -44,25 +44,25 @@
          * Runs until the given fraction of the fleet is current, at most a minute; returns the time in tenths of a
          * millisecond.
          */
-        long until(double part) {
-            long from = clock.now();
-            while (current() < part * agents.size() && clock.now() < from + 60 * SECOND) {
+        long runUntilCurrent(double fraction) {
+            long startedAt = clock.now();
+            while (countCurrent() < fraction * agents.size() && clock.now() < startedAt + 60 * SECOND) {
                 clock.runTo(clock.now() + SECOND / 10);
             }
-            return clock.now() - from;
+            return clock.now() - startedAt;
         }
 
-        void changesEvery(long period, long upTo) {
-            for (long at = clock.now(); at < upTo; at += period) {
+        void scheduleChanges(long period, long endTime) {
+            for (long at = clock.now(); at < endTime; at += period) {
                 clock.schedule(at, discovery::publishChange);
             }
         }
     }
 
-    private static void report(String what, int agents, long seed, World world, long... times) {
-        System.out.printf("%s: %d agents, seed %d: %s; calls %d, failed %d%n", what, agents, seed,
+    private static void report(String scenario, int agents, long seed, SimulatedFleet fleet, long... times) {
+        System.out.printf("%s: %d agents, seed %d: %s; calls %d, failed %d%n", scenario, agents, seed,
                 java.util.Arrays.stream(times).mapToObj(time -> time / (double) SECOND + " s").toList(),
-                world.discovery.calls(), world.discovery.failures());
+                fleet.discovery.calls(), fleet.discovery.failures());
     }
 
     /**
@@ -70,8 +70,8 @@
      * costs discovery almost half a second, are too few to spread evenly; they get more time, since an agent whose call
      * fails waits for up to a quarter of the time for asking, then half of it, then all of it.
      */
-    private static double capacity(int agents) {
-        return 1.5 * ROUND + (agents < 100 ? ASK_WITHIN : 0);
+    private static double maxRecoveryTime(int agents) {
+        return 1.5 * ROUND_OF_CALLS + (agents < 100 ? ASK_WITHIN : 0);
     }
 
     /** All agents start at once. Guards against retries that keep the queue of discovery full for ever. */
@@ -79,12 +79,12 @@
     @ValueSource(ints = {12, 120, 930})
     void allStartAtOnce(int agents) {
         for (long seed = 0; seed < SEEDS; seed++) {
-            World world = new World(agents, seed);
-            world.agents.forEach(SimulatedAgent::start);
-            long most = world.until(0.9);
-            long all = world.until(1);
-            report("start", agents, seed, world, most, most + all);
-            assertTrue(most <= capacity(agents), "90% after " + most);
+            SimulatedFleet fleet = new SimulatedFleet(agents, seed);
+            fleet.agents.forEach(SimulatedAgent::start);
+            long ninetyPercentAfter = fleet.runUntilCurrent(0.9);
+            long remainingTime = fleet.runUntilCurrent(1);
+            report("start", agents, seed, fleet, ninetyPercentAfter, ninetyPercentAfter + remainingTime);
+            assertTrue(ninetyPercentAfter <= maxRecoveryTime(agents), "90% after " + ninetyPercentAfter);
         }
     }
 
@@ -93,21 +93,21 @@
     @ValueSource(ints = {12, 120, 930})
     void outageAndMassRestart(int agents) {
         for (long seed = 0; seed < SEEDS; seed++) {
-            World world = new World(agents, seed);
-            world.agents.forEach(SimulatedAgent::start);
-            world.clock.runTo(20 * SECOND);
-            world.discovery.setDown(true);
-            world.clock.runTo(28 * SECOND);
-            world.discovery.setDown(false);
-            world.clock.runTo(29 * SECOND + SECOND / 2);
-            List<SimulatedAgent> killed = world.agents.subList(0, agents * 7 / 10);
+            SimulatedFleet fleet = new SimulatedFleet(agents, seed);
+            fleet.agents.forEach(SimulatedAgent::start);
+            fleet.clock.runTo(20 * SECOND);
+            fleet.discovery.setDown(true);
+            fleet.clock.runTo(28 * SECOND);
+            fleet.discovery.setDown(false);
+            fleet.clock.runTo(29 * SECOND + SECOND / 2);
+            List<SimulatedAgent> killed = fleet.agents.subList(0, agents * 7 / 10);
             killed.forEach(SimulatedAgent::kill);
-            world.clock.runTo(32 * SECOND);
+            fleet.clock.runTo(32 * SECOND);
             killed.forEach(SimulatedAgent::start);
-            long most = world.until(0.9);
-            long all = world.until(1);
-            report("outage", agents, seed, world, most, most + all);
-            assertTrue(most <= capacity(agents), "90% after " + most);
+            long ninetyPercentAfter = fleet.runUntilCurrent(0.9);
+            long remainingTime = fleet.runUntilCurrent(1);
+            report("outage", agents, seed, fleet, ninetyPercentAfter, ninetyPercentAfter + remainingTime);
+            assertTrue(ninetyPercentAfter <= maxRecoveryTime(agents), "90% after " + ninetyPercentAfter);
         }
     }
 
@@ -116,16 +116,16 @@
     @ValueSource(ints = {12, 120, 930})
     void massRestartWhileListsChange(int agents) {
         for (long seed = 0; seed < SEEDS; seed++) {
-            World world = new World(agents, seed);
-            world.agents.forEach(SimulatedAgent::start);
-            world.clock.runTo(20 * SECOND);
-            world.agents.subList(0, agents * 7 / 10).forEach(SimulatedAgent::start);
-            world.changesEvery(SECOND, 30 * SECOND);
-            long most = world.until(0.9);
-            long all = world.until(1);
-            report("changes", agents, seed, world, most, most + all);
+            SimulatedFleet fleet = new SimulatedFleet(agents, seed);
+            fleet.agents.forEach(SimulatedAgent::start);
+            fleet.clock.runTo(20 * SECOND);
+            fleet.agents.subList(0, agents * 7 / 10).forEach(SimulatedAgent::start);
+            fleet.scheduleChanges(SECOND, 30 * SECOND);
+            long ninetyPercentAfter = fleet.runUntilCurrent(0.9);
+            long remainingTime = fleet.runUntilCurrent(1);
+            report("changes", agents, seed, fleet, ninetyPercentAfter, ninetyPercentAfter + remainingTime);
             // 10 s of changes, which use the whole capacity of discovery, and four rounds of calls.
-            assertTrue(most <= 10 * SECOND + 4 * ROUND + (agents < 100 ? ASK_WITHIN / 2 : 0), "90% after " + most);
+            assertTrue(ninetyPercentAfter <= 10 * SECOND + 4 * ROUND_OF_CALLS + (agents < 100 ? ASK_WITHIN / 2 : 0), "90% after " + ninetyPercentAfter);
         }
     }
 }
--- a/src/test/java/honeygap/lab/soak/SoakTest.java
+++ b/src/test/java/honeygap/lab/soak/SoakTest.java
@@ -25,7 +25,7 @@
 
     @ParameterizedTest
     @CsvSource({"4, 15000", "2, 40000"})
-    void keepsAllRules(long seed, long loadMs) throws Exception {
+    void hasNoViolations(long seed, long loadMs) throws Exception {
         try (SoakRun run = new SoakRun(SoakPlan.generate(seed, AGENTS, loadMs), folder)) {
             SoakRun.Outcome outcome = run.run();
             assertEquals(List.of(), outcome.violations());
