--- a/src/main/java/honeygap/lab/Gate.java
+++ b/src/main/java/honeygap/lab/Gate.java
@@ -67,6 +67,7 @@
         thread.start();
     }
 
+    /** Address at which the proxy listens. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
--- a/src/main/java/honeygap/lab/Member.java
+++ b/src/main/java/honeygap/lab/Member.java
@@ -115,18 +115,20 @@
         return folder.resolve("log");
     }
 
+    /** Address of the admin endpoint; null before the first start. */
     public InetSocketAddress door() {
         return adminEndpoint;
     }
 
+    /** Lines of the log that contain the given text. */
     public String log(String part) throws IOException {
         return Files.readAllLines(logFile()).stream().filter(line -> line.contains(part))
                 .reduce("", (a, b) -> a + b + "\n");
     }
 
     /** Sends STOP, CONT or KILL to this process alone. */
-    public void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor();
+    public void signal(String signal) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + signal, Long.toString(pid)).start().waitFor();
     }
 
     /** Kills the process with SIGKILL and waits for its end. */
--- a/src/main/java/honeygap/lab/soak/FaultKind.java
+++ b/src/main/java/honeygap/lab/soak/FaultKind.java
@@ -9,7 +9,7 @@
     AGENT_KILLED(false),
     /** SIGTERM under load, maybe more signals, then SIGKILL at the earliest time allowed; restarted after its end. */
     AGENT_TERMINATED(false),
-    /** SIGHUP: the configuration files are reloaded. */
+    /** SIGHUP: the configuration files are reloaded, twice in a row. */
     AGENT_HUNG_UP(false),
     /** Paused by SIGSTOP, resumed by SIGCONT. */
     AGENT_STOPPED(true),
--- a/src/main/java/honeygap/lab/soak/SignalSequence.java
+++ b/src/main/java/honeygap/lab/soak/SignalSequence.java
@@ -16,6 +16,7 @@
 
     private static final long MAX_GAP_MS = 1000;
     private static final int MAX_STEPS = 3;
+    /** One process in this many gets no signal between SIGTERM and SIGKILL. */
     private static final int PLAIN_ONE_IN = 2;
 
     /**
--- a/src/main/java/honeygap/lab/soak/SoakChecker.java
+++ b/src/main/java/honeygap/lab/soak/SoakChecker.java
@@ -13,8 +13,10 @@
  */
 final class SoakChecker {
 
+    /** Time within which an agent stops sending to an appliance after its drain was delivered. */
     static final long DRAIN_GRACE_MS = 500;
     static final long EXPOSURE_WINDOW_MS = 2000;
+    /** Slack of every time limit, for delays between the processes of a run. */
     private static final long SLACK_MS = 150;
     /** A list change counts as delivered this long after discovery was reachable, even if it was not written. */
     private static final long LIST_DELIVERY_MS = 6000;
--- a/src/main/java/honeygap/lab/soak/SoakCommand.java
+++ b/src/main/java/honeygap/lab/soak/SoakCommand.java
@@ -106,13 +106,13 @@
         SoakPlan smallest = failing.plan();
         int runs = 0;
         for (int chunkSize = (smallest.faults().size() + 1) / 2; chunkSize > 0 && runs < MAX_SHRINKING_RUNS; chunkSize /= 2) {
-            for (int from = 0; from < smallest.faults().size() && runs < MAX_SHRINKING_RUNS; from += chunkSize) {
+            for (int first = 0; first < smallest.faults().size() && runs < MAX_SHRINKING_RUNS; first += chunkSize) {
                 List<PlannedFault> remaining = new ArrayList<>(smallest.faults());
-                remaining.subList(from, Math.min(remaining.size(), from + chunkSize)).clear();
+                remaining.subList(first, Math.min(remaining.size(), first + chunkSize)).clear();
                 runs++;
                 if (run(smallest.withFaults(remaining)).hasViolations()) {
                     smallest = smallest.withFaults(remaining);
-                    from -= chunkSize;
+                    first -= chunkSize;
                 }
             }
         }
--- a/src/main/java/honeygap/lab/soak/SoakPlan.java
+++ b/src/main/java/honeygap/lab/soak/SoakPlan.java
@@ -15,7 +15,9 @@
     private static final int FAULTS_PER_MINUTE = 60;
     private static final int MIN_APPLIANCES = 12;
     private static final long FAULT_DURATION_RANGE_MS = 4000;
+    /** One appliance in this many has the trial build. */
     private static final int TRIAL_ONE_IN = 5;
+    /** Duration of the outage of discovery that is part of each run. */
     private static final long OUTAGE_MS = 8000;
     private static final long MIN_PAUSE_MS = 150;
     private static final int RESTART_STEPS = 10;
--- a/src/main/java/honeygap/lab/soak/SoakRun.java
+++ b/src/main/java/honeygap/lab/soak/SoakRun.java
@@ -34,6 +34,7 @@
     private static final long QUIET_MS = 4000;
     private static final int CONCURRENT_STARTS = 8;
     private static final long TICK_MS = 10;
+    /** One system call in this many fails in an agent. */
     private static final int CALLS_PER_FAULT = 400;
     private static final long MAX_AGENTS = 1 << 20;
 
@@ -81,7 +82,7 @@
         recordResourceUsage("start");
         long loadStart = record.now();
         for (PlannedFault fault : plan.faults()) {
-            timers.schedule(() -> workers.submit(() -> injectRecordingFailure(fault)),
+            timers.schedule(() -> workers.submit(() -> injectSafely(fault)),
                     fault.atMs(), TimeUnit.MILLISECONDS);
         }
         runClients(loadStart + plan.loadMs());
@@ -174,7 +175,8 @@
         }
     }
 
-    private void injectRecordingFailure(PlannedFault fault) {
+    /** Injects a fault; an exception counts as a failure of the run. */
+    private void injectSafely(PlannedFault fault) {
         try {
             inject(fault);
         } catch (IOException | UncheckedIOException e) {
@@ -198,9 +200,9 @@
             }
             case DISCOVERY_SILENT -> discovery.silenceWatches();
             case DISCOVERY_SPOILT -> {
-                discovery.setMalformed(true);
+                discovery.setTruncating(true);
                 TimeUnit.MILLISECONDS.sleep(fault.durationMs());
-                discovery.setMalformed(false);
+                discovery.setTruncating(false);
             }
             case DESK_DOWN -> {
                 desk.setDown(true);
@@ -232,6 +234,7 @@
                 SoakClient.sendIncompleteRequest(agent.address), record.now()));
     }
 
+    /** Makes an agent reload its configuration twice in a row. */
     private static void reloadTwice(SoakAgent agent) throws IOException, InterruptedException {
         agent.reloadConfiguration();
         agent.reloadConfiguration();
--- a/src/main/java/honeygap/lab/soak/StandInDiscovery.java
+++ b/src/main/java/honeygap/lab/soak/StandInDiscovery.java
@@ -51,7 +51,7 @@
     private final long[] versionsWritten;
     private long version;
     private boolean isDown;
-    private boolean isMalformed;
+    private boolean isTruncating;
     private long downSince;
 
     StandInDiscovery(int agents, SoakRecord record) throws IOException {
@@ -182,7 +182,7 @@
             }
             String first = listDocument(version, false, afterVersion) + "\n";
             respond(socket, RESPONSE_HEAD, false);
-            if (isMalformed) {
+            if (isTruncating) {
                 respond(socket, chunk(first.substring(0, first.length() / 2)), true);
                 return;
             }
@@ -249,8 +249,8 @@
         watches.forEach(watch -> watch.isSilent = true);
     }
 
-    synchronized void setMalformed(boolean malformed) {
-        isMalformed = malformed;
+    synchronized void setTruncating(boolean truncating) {
+        isTruncating = truncating;
     }
 
     @Override
--- a/src/main/java/honeygap/lab/soak/SystemCallFaults.java
+++ b/src/main/java/honeygap/lab/soak/SystemCallFaults.java
@@ -43,9 +43,9 @@
     }
 
     /** Environment variables that load the library into a process. */
-    Map<String, String> environment(long seed) {
+    Map<String, String> environment(long faultSeed) {
         return Map.of("LD_PRELOAD", library.toString(), "HONEYGAP_FAULT_RATE", Integer.toString(callsPerFault),
-                "HONEYGAP_FAULT_SEED", Long.toString(seed), "HONEYGAP_CLOCK_FILE", clockFile.toString());
+                "HONEYGAP_FAULT_SEED", Long.toString(faultSeed), "HONEYGAP_CLOCK_FILE", clockFile.toString());
     }
 
     /** Steps the wall clock of all processes by the given seconds, on top of earlier steps. */
--- a/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
+++ b/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
@@ -125,7 +125,8 @@
             long remainingTime = fleet.runUntilCurrent(1);
             report("changes", agents, seed, fleet, ninetyPercentAfter, ninetyPercentAfter + remainingTime);
             // 10 s of changes, which use the whole capacity of discovery, and four rounds of calls.
-            assertTrue(ninetyPercentAfter <= 10 * SECOND + 4 * ROUND_OF_CALLS + (agents < 100 ? ASK_WITHIN / 2 : 0), "90% after " + ninetyPercentAfter);
+            assertTrue(ninetyPercentAfter <= 10 * SECOND + 4 * ROUND_OF_CALLS + (agents < 100 ? ASK_WITHIN / 2 : 0),
+                    "90% after " + ninetyPercentAfter);
         }
     }
 }
--- a/src/test/java/honeygap/lab/soak/SoakCheckerTest.java
+++ b/src/test/java/honeygap/lab/soak/SoakCheckerTest.java
@@ -60,7 +60,7 @@
     }
 
     /**
-     * A process that was killed without a word before owes nothing; one that was told to end does, however it ended.
+     * Requests may be lost when a process is killed without prior SIGTERM, but not when it got SIGTERM or crashed.
      */
     @ParameterizedTest
     @CsvSource({"KILLED, ''", "ENDED, lost", "KILLED_AFTER_SIGNAL, lost", "CRASHED, lost crash"})
