--- a/src/main/java/honeygap/lab/soak/PlannedFault.java
+++ b/src/main/java/honeygap/lab/soak/PlannedFault.java
@@ -4,7 +4,7 @@
  * A fault of a plan.
  *
  * @param atMs start in milliseconds after the start of the load
- * @param forMs duration in milliseconds; 0 for a fault without duration
+ * @param durationMs duration in milliseconds; 0 for a fault without duration
  * @param target number of the affected agent or appliance; its parity decides the direction of a clock step;
  *     unused for faults of discovery and the desk
  */
--- a/src/main/java/honeygap/lab/soak/SignalSequence.java
+++ b/src/main/java/honeygap/lab/soak/SignalSequence.java
@@ -10,7 +10,7 @@
     /**
      * A signal of the sequence.
      *
-     * @param afterMs delay in milliseconds after the previous signal
+     * @param delayMs delay in milliseconds after the previous signal
      */
     record Step(String signal, long delayMs) { }
 
--- a/src/main/java/honeygap/lab/soak/SoakLoad.java
+++ b/src/main/java/honeygap/lab/soak/SoakLoad.java
@@ -9,8 +9,8 @@
  *
  * @param deadlineMs deadline of each method in milliseconds
  * @param clientsPerAgent number of concurrent clients per agent
- * @param sockets limit of open sockets of an agent
- * @param connectsAlways whether clients open connections to an agent that shuts down as long as it listens
+ * @param maxSockets limit of open sockets of an agent
+ * @param connectsDuringShutdown whether clients open connections to an agent that shuts down as long as it listens
  */
 record SoakLoad(Map<SoakMethod, Long> deadlineMs, int clientsPerAgent, int maxSockets, boolean connectsDuringShutdown) {
 
--- a/src/main/java/honeygap/lab/soak/Violation.java
+++ b/src/main/java/honeygap/lab/soak/Violation.java
@@ -4,8 +4,9 @@
  * A violation of a rule that the checker found in the record of a run.
  *
  * @param rule short name of the rule
- * @param at time of the violation in milliseconds of the run's clock; Long.MAX_VALUE for the end of the run
- * @param id id of the request, or empty
+ * @param atMs time of the violation in milliseconds of the run's clock; Long.MAX_VALUE for the end of the run
+ * @param requestId id of the request, or empty
+ * @param description what was observed
  */
 record Violation(String rule, long atMs, String requestId, String description) {
 
