--- a/src/main/java/honeygap/capture/message/Conversation.java
+++ b/src/main/java/honeygap/capture/message/Conversation.java
@@ -6,7 +6,7 @@
 public interface Conversation {
 
     /** Bytes of the client or the server; a chunk behind a hole begins where a segment did. */
-    void data(boolean isClient, byte[] bytes, long at);
+    void data(boolean isClient, byte[] bytes, long timestampNs);
 
     /** So many bytes of one side are missing. */
     void hole(boolean isClient, long length);
--- a/src/main/java/honeygap/capture/message/Conversations.java
+++ b/src/main/java/honeygap/capture/message/Conversations.java
@@ -7,95 +7,95 @@
 /** Gives each connection the conversation that its first bytes tell of, and hears what is said on all of them. */
 public final class Conversations implements Reassembly.Out {
 
-    private final Conversation.Hearer hearer;
-    private final Map<String, Long> counts = new TreeMap<>();
-    private long heard;
-    private long connections;
+    private final Conversation.Hearer listener;
+    private final Map<String, Long> problemCounts = new TreeMap<>();
+    private long rpcCount;
+    private long connectionCount;
 
-    public Conversations(Conversation.Hearer hearer) {
-        this.hearer = hearer;
+    public Conversations(Conversation.Hearer listener) {
+        this.listener = listener;
     }
 
     /** What could not be read, by kind. */
     public Map<String, Long> counts() {
-        return counts;
+        return problemCounts;
     }
 
     public long heard() {
-        return heard;
+        return rpcCount;
     }
 
     public long connections() {
-        return connections;
+        return connectionCount;
     }
 
     @Override
-    public void opened(Reassembly.Flow flow, long at) {
-        connections++;
+    public void opened(Reassembly.Flow flow, long timestampNs) {
+        connectionCount++;
     }
 
-    private Conversation of(Reassembly.Flow flow, boolean isClient, byte[] bytes) {
+    private Conversation decoderFor(Reassembly.Flow flow, boolean isClient, byte[] bytes) {
         if (flow.subject == null && isClient) {
             boolean isHttp = HttpConversation.isRequest(bytes);
             if (!isHttp && !flow.isWhole && !PgConversation.isStatement(bytes)) {
-                counts.merge("chunks of nothing known", 1L, Long::sum);
+                problemCounts.merge("chunks of nothing known", 1L, Long::sum);
                 return null;
             }
-            flow.subject = isHttp ? new HttpConversation(flow.isWhole, () -> made(flow), this::said, counts)
-                    : new PgConversation(flow.isWhole, () -> made(flow), this::said, counts);
+            flow.subject = isHttp ? new HttpConversation(flow.isWhole, () -> newRpc(flow), this::rpcDecoded, problemCounts)
+                    : new PgConversation(flow.isWhole, () -> newRpc(flow), this::rpcDecoded, problemCounts);
         }
         return (Conversation) flow.subject;
     }
 
-    private Spoken made(Reassembly.Flow flow) {
-        Spoken spoken = new Spoken();
-        spoken.connection = flow.number;
-        spoken.client = flow.client;
-        spoken.server = flow.server;
-        return spoken;
+    private Spoken newRpc(Reassembly.Flow flow) {
+        Spoken rpc = new Spoken();
+        rpc.connection = flow.number;
+        rpc.client = flow.client;
+        rpc.server = flow.server;
+        return rpc;
     }
 
-    private void said(Spoken spoken) {
-        heard++;
-        hearer.accept(spoken);
+    private void rpcDecoded(Spoken rpc) {
+        rpcCount++;
+        listener.accept(rpc);
     }
 
     @Override
-    public void data(Reassembly.Flow flow, boolean isClient, byte[] bytes, long at) {
-        Conversation conversation = of(flow, isClient, bytes);
-        if (conversation != null) {
-            conversation.data(isClient, bytes, at);
+    public void data(Reassembly.Flow flow, boolean isClient, byte[] bytes, long timestampNs) {
+        Conversation decoder = decoderFor(flow, isClient, bytes);
+        if (decoder != null) {
+            decoder.data(isClient, bytes, timestampNs);
         }
     }
 
     @Override
-    public void hole(Reassembly.Flow flow, boolean isClient, long length, long at) {
+    public void hole(Reassembly.Flow flow, boolean isClient, long length, long timestampNs) {
         if (flow.subject != null) {
             ((Conversation) flow.subject).hole(isClient, length);
         } else {
             // The first bytes are missing: what follows is of an unknown place in whatever it is.
-            counts.merge("beginnings missing", 1L, Long::sum);
-            flow.subject = new LostBeginning(flow);
+            problemCounts.merge("beginnings missing", 1L, Long::sum);
+            flow.subject = new UnidentifiedProtocolDecoder(flow);
         }
     }
 
     /** Until a sure edge tells what it is. */
-    private final class LostBeginning implements Conversation {
+    private final class UnidentifiedProtocolDecoder implements Conversation {
 
         private final Reassembly.Flow flow;
 
-        LostBeginning(Reassembly.Flow flow) {
+        UnidentifiedProtocolDecoder(Reassembly.Flow flow) {
             this.flow = flow;
         }
 
         @Override
-        public void data(boolean isClient, byte[] bytes, long at) {
+        public void data(boolean isClient, byte[] bytes, long timestampNs) {
             if (isClient && (HttpConversation.isRequest(bytes) || PgConversation.isStatement(bytes))) {
-                Conversation found = HttpConversation.isRequest(bytes)
-                        ? new HttpConversation(false, () -> made(flow), Conversations.this::said, counts)
-                        : new PgConversation(false, () -> made(flow), Conversations.this::said, counts);
-                flow.subject = found;
-                found.data(true, bytes, at);
+                Conversation decoder = HttpConversation.isRequest(bytes)
+                        ? new HttpConversation(false, () -> newRpc(flow), Conversations.this::rpcDecoded, problemCounts)
+                        : new PgConversation(false, () -> newRpc(flow), Conversations.this::rpcDecoded, problemCounts);
+                flow.subject = decoder;
+                decoder.data(true, bytes, timestampNs);
             }
         }
 
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void closed(Reassembly.Flow flow, Reassembly.End how, long at) {
+    public void closed(Reassembly.Flow flow, Reassembly.End end, long timestampNs) {
         if (flow.subject != null) {
             ((Conversation) flow.subject).over();
         }
--- a/src/main/java/honeygap/capture/message/HttpConversation.java
+++ b/src/main/java/honeygap/capture/message/HttpConversation.java
@@ -18,30 +18,30 @@
  */
 public final class HttpConversation implements Conversation, Answers.Reader {
 
-    private static final int LONGEST_BODY = 1 << 20;
-    private static final int MOST_OPEN = 256;
-    private static final String FLAGS = "/ofrep/v1/evaluate/flags";
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int MAX_PENDING_RPCS = 256;
+    private static final String FLAGS_PATH = "/ofrep/v1/evaluate/flags";
 
-    private final Supplier<Spoken> made;
-    private final Hearer hearer;
+    private final Supplier<Spoken> rpcFactory;
+    private final Hearer listener;
     private final Map<String, Long> counts;
-    private Requests requests = new Requests(LONGEST_BODY);
-    private Answers answers = new Answers(this);
-    private boolean clientLost;
+    private Requests requestParser = new Requests(MAX_BODY_BYTES);
+    private Answers responseParser = new Answers(this);
+    private boolean clientOutOfSync;
     /** The chunk right behind a hole was held back, for who knows how long. */
-    private boolean clientHeld;
-    private boolean serverHeld;
-    private boolean serverLost;
-    private final ArrayDeque<Spoken> open = new ArrayDeque<>();
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private boolean clientDelayed;
+    private boolean serverDelayed;
+    private boolean serverOutOfSync;
+    private final ArrayDeque<Spoken> pendingRpcs = new ArrayDeque<>();
+    private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
     private int status;
-    private long now;
+    private long lastChunkNs;
 
-    public HttpConversation(boolean isWhole, Supplier<Spoken> made, Hearer hearer, Map<String, Long> counts) {
-        this.made = made;
-        this.hearer = hearer;
+    public HttpConversation(boolean isFromStart, Supplier<Spoken> rpcFactory, Hearer listener, Map<String, Long> counts) {
+        this.rpcFactory = rpcFactory;
+        this.listener = listener;
         this.counts = counts;
-        clientLost = serverLost = !isWhole;
+        clientOutOfSync = serverOutOfSync = !isFromStart;
     }
 
     private void count(String kind) {
@@ -50,13 +50,13 @@
 
     /** Whether a chunk begins with a request line of HTTP/1.1. */
     public static boolean isRequest(byte[] bytes) {
-        return starts(bytes, "POST /") || starts(bytes, "GET /") || starts(bytes, "PUT /")
-                || starts(bytes, "HEAD /") || starts(bytes, "OPTIONS ") || starts(bytes, "DELETE /");
+        return startsWith(bytes, "POST /") || startsWith(bytes, "GET /") || startsWith(bytes, "PUT /")
+                || startsWith(bytes, "HEAD /") || startsWith(bytes, "OPTIONS ") || startsWith(bytes, "DELETE /");
     }
 
-    private static boolean starts(byte[] bytes, String words) {
-        for (int i = 0; i < words.length(); i++) {
-            if (i >= bytes.length || bytes[i] != words.charAt(i)) {
+    private static boolean startsWith(byte[] bytes, String prefix) {
+        for (int i = 0; i < prefix.length(); i++) {
+            if (i >= bytes.length || bytes[i] != prefix.charAt(i)) {
                 return false;
             }
         }
@@ -64,95 +64,95 @@
     }
 
     @Override
-    public void data(boolean isClient, byte[] bytes, long at) {
-        now = at;
+    public void data(boolean isClient, byte[] bytes, long timestampNs) {
+        lastChunkNs = timestampNs;
         try {
             if (isClient) {
-                client(bytes, at);
+                readClient(bytes, timestampNs);
             } else {
-                server(bytes);
+                readServer(bytes);
             }
         } catch (Malformed e) {
             count(isClient ? "spoilt requests" : "spoilt answers");
-            lose(isClient);
+            loseSync(isClient);
         }
     }
 
-    private void client(byte[] bytes, long at) throws Refusal {
-        if (clientLost) {
-            boolean wasHeld = clientHeld;
-            clientHeld = false;
-            if (wasHeld || !isRequest(bytes)) {
+    private void readClient(byte[] bytes, long timestampNs) throws Refusal {
+        if (clientOutOfSync) {
+            boolean wasDelayed = clientDelayed;
+            clientDelayed = false;
+            if (wasDelayed || !isRequest(bytes)) {
                 count("chunks passed over");
                 return;
             }
-            clientLost = false;
-            requests = new Requests(LONGEST_BODY);
-            tear();
+            clientOutOfSync = false;
+            requestParser = new Requests(MAX_BODY_BYTES);
+            abortPendingRpcs();
         }
-        requests.feed(ByteBuffer.wrap(bytes));
-        while (requests.next()) {
-            if (serverLost) {
-                tear();
+        requestParser.feed(ByteBuffer.wrap(bytes));
+        while (requestParser.next()) {
+            if (serverOutOfSync) {
+                abortPendingRpcs();
             }
-            if (open.size() >= MOST_OPEN) {
+            if (pendingRpcs.size() >= MAX_PENDING_RPCS) {
                 count("too many open");
-                tear();
+                abortPendingRpcs();
             }
-            open.add(spoken(at));
+            pendingRpcs.add(newRpc(timestampNs));
         }
     }
 
-    private Spoken spoken(long at) {
-        Spoken spoken = made.get();
-        spoken.protocol = "http";
-        spoken.at = at;
-        String target = requests.target();
+    private Spoken newRpc(long timestampNs) {
+        Spoken rpc = rpcFactory.get();
+        rpc.protocol = "http";
+        rpc.at = timestampNs;
+        String target = requestParser.target();
         boolean isTracking = target.startsWith("/ofrep/v1/track");
-        spoken.method = target.equals(FLAGS) ? "all" : target.startsWith(FLAGS + "/") ? "one"
-                : isTracking ? requests.field("idempotency-key") != null ? "tracked" : "track"
-                : requests.method() + " " + target;
-        spoken.isRead = target.startsWith(FLAGS);
-        spoken.tenant = target.startsWith(FLAGS + "/") ? target.substring(FLAGS.length() + 1) : "";
-        spoken.request = whole();
+        rpc.method = target.equals(FLAGS_PATH) ? "all" : target.startsWith(FLAGS_PATH + "/") ? "one"
+                : isTracking ? requestParser.field("idempotency-key") != null ? "tracked" : "track"
+                : requestParser.method() + " " + target;
+        rpc.isReadOnly = target.startsWith(FLAGS_PATH);
+        rpc.tenant = target.startsWith(FLAGS_PATH + "/") ? target.substring(FLAGS_PATH.length() + 1) : "";
+        rpc.request = serializeRequest();
         try {
-            long subject = Bodies.subject(requests.body());
-            spoken.key = subject == 0 ? "" : Long.toHexString(subject);
+            long subject = Bodies.subject(requestParser.body());
+            rpc.key = subject == 0 ? "" : Long.toHexString(subject);
         } catch (Refusal e) {
             count("bodies without a context");
         }
-        return spoken;
+        return rpc;
     }
 
     /** The request as it is sent again: its line, the fields that matter, and its body by length. */
-    private byte[] whole() {
-        StringBuilder head = new StringBuilder(requests.method() + " " + requests.target() + " HTTP/1.1\r\n");
+    private byte[] serializeRequest() {
+        StringBuilder head = new StringBuilder(requestParser.method() + " " + requestParser.target() + " HTTP/1.1\r\n");
         for (String name : new String[] {"host", "content-type", "authorization", "x-api-key", "idempotency-key",
             "if-none-match", "x-deadline-ms"}) {
-            if (requests.field(name) != null) {
-                head.append(name).append(": ").append(requests.field(name)).append("\r\n");
+            if (requestParser.field(name) != null) {
+                head.append(name).append(": ").append(requestParser.field(name)).append("\r\n");
             }
         }
-        head.append("content-length: ").append(requests.body().length).append("\r\n\r\n");
+        head.append("content-length: ").append(requestParser.body().length).append("\r\n\r\n");
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(head.toString().getBytes(StandardCharsets.ISO_8859_1));
-        bytes.writeBytes(requests.body());
+        bytes.writeBytes(requestParser.body());
         return bytes.toByteArray();
     }
 
-    private void server(byte[] bytes) throws Malformed {
-        if (serverLost) {
-            boolean wasHeld = serverHeld;
-            serverHeld = false;
-            if (wasHeld || clientLost || open.size() != 1 || !starts(bytes, "HTTP/1.")) {
+    private void readServer(byte[] bytes) throws Malformed {
+        if (serverOutOfSync) {
+            boolean wasDelayed = serverDelayed;
+            serverDelayed = false;
+            if (wasDelayed || clientOutOfSync || pendingRpcs.size() != 1 || !startsWith(bytes, "HTTP/1.")) {
                 count("chunks passed over");
                 return;
             }
-            serverLost = false;
-            answers = new Answers(this);
-            body.reset();
+            serverOutOfSync = false;
+            responseParser = new Answers(this);
+            responseBody.reset();
         }
-        answers.feed(ByteBuffer.wrap(bytes));
+        responseParser.feed(ByteBuffer.wrap(bytes));
     }
 
     @Override
@@ -162,56 +162,56 @@
 
     @Override
     public void data(ByteBuffer bytes) throws Malformed {
-        if (body.size() + bytes.remaining() > LONGEST_BODY) {
+        if (responseBody.size() + bytes.remaining() > MAX_BODY_BYTES) {
             throw new Malformed("an answer too long");
         }
         while (bytes.hasRemaining()) {
-            body.write(bytes.get());
+            responseBody.write(bytes.get());
         }
     }
 
     @Override
     public void end() {
-        Spoken spoken = open.poll();
-        if (spoken != null) {
-            spoken.took = Math.max(0, now - spoken.at);
-            spoken.code = Integer.toString(status);
-            spoken.outcome = Spoken.Outcome.ofStatus(status);
-            spoken.answer = body.toByteArray();
-            hearer.accept(spoken);
+        Spoken rpc = pendingRpcs.poll();
+        if (rpc != null) {
+            rpc.took = Math.max(0, lastChunkNs - rpc.at);
+            rpc.code = Integer.toString(status);
+            rpc.outcome = Spoken.Outcome.ofHttpStatus(status);
+            rpc.answer = responseBody.toByteArray();
+            listener.accept(rpc);
         }
-        body.reset();
+        responseBody.reset();
     }
 
     @Override
     public void hole(boolean isClient, long length) {
         count("holes in conversations");
-        clientHeld |= isClient;
-        serverHeld |= !isClient;
-        lose(isClient);
+        clientDelayed |= isClient;
+        serverDelayed |= !isClient;
+        loseSync(isClient);
     }
 
-    private void lose(boolean isClient) {
-        clientLost |= isClient;
-        serverLost = true;
-        tear();
+    private void loseSync(boolean isClient) {
+        clientOutOfSync |= isClient;
+        serverOutOfSync = true;
+        abortPendingRpcs();
     }
 
-    private void tear() {
-        for (Spoken spoken : open) {
-            spoken.outcome = Spoken.Outcome.torn;
-            hearer.accept(spoken);
+    private void abortPendingRpcs() {
+        for (Spoken rpc : pendingRpcs) {
+            rpc.outcome = Spoken.Outcome.torn;
+            listener.accept(rpc);
         }
-        open.clear();
-        body.reset();
+        pendingRpcs.clear();
+        responseBody.reset();
     }
 
     @Override
     public void over() {
-        for (Spoken spoken : open) {
-            spoken.outcome = Spoken.Outcome.open;
-            hearer.accept(spoken);
+        for (Spoken rpc : pendingRpcs) {
+            rpc.outcome = Spoken.Outcome.open;
+            listener.accept(rpc);
         }
-        open.clear();
+        pendingRpcs.clear();
     }
 }
--- a/src/main/java/honeygap/capture/message/PgConversation.java
+++ b/src/main/java/honeygap/capture/message/PgConversation.java
@@ -18,44 +18,44 @@
  */
 public final class PgConversation implements Conversation {
 
-    private static final int LONGEST = 4 * 65536;
-    private static final int LONGEST_STARTUP = 10_000;
-    private static final int MOST_OPEN = 1024;
-    private static final String SERVER_TYPES = "RSKTDCEIZN";
+    private static final int MAX_MESSAGE_BYTES = 4 * 65536;
+    private static final int MAX_STARTUP_BYTES = 10_000;
+    private static final int MAX_PENDING_RPCS = 1024;
+    private static final String SERVER_MESSAGE_TYPES = "RSKTDCEIZN";
     /** What an answer begins with: the description of a row, an error, or the word that nothing was asked. */
-    private static final String FIRST_TYPES = "TEI";
+    private static final String FIRST_RESPONSE_TYPES = "TEI";
 
-    private enum Stage { START, MESSAGES, LOST, DARK }
+    private enum Stage { START, MESSAGES, OUT_OF_SYNC, OPAQUE }
 
-    private final Supplier<Spoken> made;
-    private final Hearer hearer;
+    private final Supplier<Spoken> rpcFactory;
+    private final Hearer listener;
     private final Map<String, Long> counts;
     private final Statement statement = new Statement();
-    private Frames up = new Frames(LONGEST);
-    private Frames down = new Frames(LONGEST);
-    private Stage client;
-    private Stage server = Stage.MESSAGES;
+    private Frames clientFrames = new Frames(MAX_MESSAGE_BYTES);
+    private Frames serverFrames = new Frames(MAX_MESSAGE_BYTES);
+    private Stage clientStage;
+    private Stage serverStage = Stage.MESSAGES;
     /** What was asked and is not answered, in order; null for what is no RPC, as an empty query. */
-    private final ArrayDeque<Spoken> open = new ArrayDeque<>();
-    private static final Spoken NOTHING = new Spoken();
-    private final ByteArrayOutputStream answer = new ByteArrayOutputStream();
+    private final ArrayDeque<Spoken> pendingRpcs = new ArrayDeque<>();
+    private static final Spoken NOT_AN_RPC = new Spoken();
+    private final ByteArrayOutputStream response = new ByteArrayOutputStream();
     private Spoken.Outcome outcome;
-    private String code = "";
-    private boolean tlsAsked;
+    private String errorCode = "";
+    private boolean isEncryptionRequested;
     /** The chunk right behind a hole was held back: when it was said, and what came between, is not known. */
-    private boolean clientHeld;
-    private boolean serverHeld;
+    private boolean clientDelayed;
+    private boolean serverDelayed;
     /** The server's first ready answers the startup, not a statement. */
-    private boolean greeted;
+    private boolean isStartupComplete;
 
     /** Made gives an RPC with all that the connection knows; counts are of faults, by kind. */
-    public PgConversation(boolean isWhole, Supplier<Spoken> made, Hearer hearer, Map<String, Long> counts) {
-        this.made = made;
-        this.hearer = hearer;
+    public PgConversation(boolean isFromStart, Supplier<Spoken> rpcFactory, Hearer listener, Map<String, Long> counts) {
+        this.rpcFactory = rpcFactory;
+        this.listener = listener;
         this.counts = counts;
-        client = isWhole ? Stage.START : Stage.LOST;
-        server = isWhole ? Stage.MESSAGES : Stage.LOST;
-        greeted = !isWhole;
+        clientStage = isFromStart ? Stage.START : Stage.OUT_OF_SYNC;
+        serverStage = isFromStart ? Stage.MESSAGES : Stage.OUT_OF_SYNC;
+        isStartupComplete = !isFromStart;
     }
 
     private void count(String kind) {
@@ -64,249 +64,249 @@
 
     /** Whether a chunk is of whole statements to the last byte. */
     public static boolean isStatement(byte[] bytes) {
-        ByteBuffer all = ByteBuffer.wrap(bytes);
-        if (all.remaining() < 6 || all.get(0) != 'Q' || all.getInt(1) != all.remaining() - 1
-                || all.get(all.limit() - 1) != 0) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        if (buffer.remaining() < 6 || buffer.get(0) != 'Q' || buffer.getInt(1) != buffer.remaining() - 1
+                || buffer.get(buffer.limit() - 1) != 0) {
             return false;
         }
-        return new Statement().read(all.slice(5, all.remaining() - 5));
+        return new Statement().read(buffer.slice(5, buffer.remaining() - 5));
     }
 
     /**
      * Whether a chunk is one whole answer, from its first message to the last, which says ready. Guards against the
      * rest of an answer behind a hole, which would be taken for the answer to a later statement.
      */
-    private static boolean isAnswer(byte[] bytes) {
-        ByteBuffer all = ByteBuffer.wrap(bytes);
-        if (bytes.length == 0 || FIRST_TYPES.indexOf(bytes[0]) < 0) {
+    private static boolean isCompleteResponse(byte[] bytes) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        if (bytes.length == 0 || FIRST_RESPONSE_TYPES.indexOf(bytes[0]) < 0) {
             return false;
         }
-        int at = 0;
-        while (at + 5 <= bytes.length) {
-            int length = all.getInt(at + 1);
-            if (SERVER_TYPES.indexOf(bytes[at]) < 0 || length < 4 || length > bytes.length - at - 1) {
+        int offset = 0;
+        while (offset + 5 <= bytes.length) {
+            int length = buffer.getInt(offset + 1);
+            if (SERVER_MESSAGE_TYPES.indexOf(bytes[offset]) < 0 || length < 4 || length > bytes.length - offset - 1) {
                 return false;
             }
-            if (bytes[at] == 'Z') {
-                return at + 1 + length == bytes.length && length == 5;
+            if (bytes[offset] == 'Z') {
+                return offset + 1 + length == bytes.length && length == 5;
             }
-            at += 1 + length;
+            offset += 1 + length;
         }
         return false;
     }
 
     @Override
-    public void data(boolean isClient, byte[] bytes, long at) {
+    public void data(boolean isClient, byte[] bytes, long timestampNs) {
         try {
             if (isClient) {
-                client(bytes, at);
+                readClient(bytes, timestampNs);
             } else {
-                server(bytes, at);
+                readServer(bytes, timestampNs);
             }
         } catch (Malformed e) {
             count(isClient ? "spoilt statements" : "spoilt answers");
-            lose(isClient);
+            loseSync(isClient);
         }
     }
 
-    private void client(byte[] bytes, long at) throws Malformed {
-        if (client == Stage.DARK) {
+    private void readClient(byte[] bytes, long timestampNs) throws Malformed {
+        if (clientStage == Stage.OPAQUE) {
             return;
         }
-        if (client == Stage.LOST) {
-            boolean wasHeld = clientHeld;
-            clientHeld = false;
-            if (wasHeld || !isStatement(bytes)) {
+        if (clientStage == Stage.OUT_OF_SYNC) {
+            boolean wasDelayed = clientDelayed;
+            clientDelayed = false;
+            if (wasDelayed || !isStatement(bytes)) {
                 count("chunks passed over");
                 return;
             }
-            client = Stage.MESSAGES;
-            up = new Frames(LONGEST);
+            clientStage = Stage.MESSAGES;
+            clientFrames = new Frames(MAX_MESSAGE_BYTES);
             // Whatever was open before the hole can't be told from what follows.
-            tear();
+            abortPendingRpcs();
         }
-        up.feed(ByteBuffer.wrap(bytes));
+        clientFrames.feed(ByteBuffer.wrap(bytes));
         while (true) {
-            if (client == Stage.START) {
-                if (!up.nextUntyped(LONGEST_STARTUP)) {
+            if (clientStage == Stage.START) {
+                if (!clientFrames.nextUntyped(MAX_STARTUP_BYTES)) {
                     return;
                 }
-                int version = up.body().remaining() < 4 ? 0 : up.body().getInt(0);
+                int version = clientFrames.body().remaining() < 4 ? 0 : clientFrames.body().getInt(0);
                 if (version == Words.VERSION) {
-                    client = Stage.MESSAGES;
+                    clientStage = Stage.MESSAGES;
                 } else if (version == Words.TLS || version == Words.GSS) {
-                    tlsAsked = true;
+                    isEncryptionRequested = true;
                 } else {
-                    client = Stage.DARK;
+                    clientStage = Stage.OPAQUE;
                     return;
                 }
-            } else if (!up.next()) {
+            } else if (!clientFrames.next()) {
                 return;
-            } else if (up.type() == 'Q') {
-                asked(at);
+            } else if (clientFrames.type() == 'Q') {
+                queryReceived(timestampNs);
             }
         }
     }
 
-    private void asked(long at) {
-        if (open.size() >= MOST_OPEN) {
+    private void queryReceived(long timestampNs) {
+        if (pendingRpcs.size() >= MAX_PENDING_RPCS) {
             count("too many open");
-            tear();
+            abortPendingRpcs();
         }
-        if (server == Stage.LOST) {
+        if (serverStage == Stage.OUT_OF_SYNC) {
             // Clients ask one by one: what is open was answered where the server can't be read.
-            tear();
+            abortPendingRpcs();
         }
-        if (!statement.read(up.body())) {
-            open.add(NOTHING);
+        if (!statement.read(clientFrames.body())) {
+            pendingRpcs.add(NOT_AN_RPC);
             return;
         }
-        Spoken spoken = made.get();
-        spoken.protocol = "pg";
-        spoken.method = statement.method();
-        spoken.id = statement.id();
-        spoken.tenant = statement.tenant() == null ? "" : statement.tenant();
-        spoken.key = statement.key();
-        spoken.deadlineMs = statement.timeMs();
-        spoken.at = at;
-        ByteBuffer whole = up.whole();
-        spoken.request = new byte[whole.remaining()];
-        whole.duplicate().get(spoken.request);
-        spoken.isRead = spoken.request[5] == 'S';
-        open.add(spoken);
+        Spoken rpc = rpcFactory.get();
+        rpc.protocol = "pg";
+        rpc.method = statement.method();
+        rpc.id = statement.id();
+        rpc.tenant = statement.tenant() == null ? "" : statement.tenant();
+        rpc.key = statement.key();
+        rpc.deadlineMs = statement.timeMs();
+        rpc.at = timestampNs;
+        ByteBuffer whole = clientFrames.whole();
+        rpc.request = new byte[whole.remaining()];
+        whole.duplicate().get(rpc.request);
+        rpc.isReadOnly = rpc.request[5] == 'S';
+        pendingRpcs.add(rpc);
     }
 
-    private void server(byte[] bytes, long at) throws Malformed {
-        if (server == Stage.DARK || client == Stage.DARK) {
+    private void readServer(byte[] bytes, long timestampNs) throws Malformed {
+        if (serverStage == Stage.OPAQUE || clientStage == Stage.OPAQUE) {
             return;
         }
-        byte[] rest = bytes;
-        if (tlsAsked && bytes.length > 0) {
-            tlsAsked = false;
+        byte[] remaining = bytes;
+        if (isEncryptionRequested && bytes.length > 0) {
+            isEncryptionRequested = false;
             if (bytes[0] != 'N') {
                 // From here on all is encrypted.
-                client = server = Stage.DARK;
+                clientStage = serverStage = Stage.OPAQUE;
                 count("encrypted connections");
                 return;
             }
-            rest = java.util.Arrays.copyOfRange(bytes, 1, bytes.length);
+            remaining = java.util.Arrays.copyOfRange(bytes, 1, bytes.length);
         }
-        if (server == Stage.LOST) {
-            boolean wasHeld = serverHeld;
-            serverHeld = false;
-            if (wasHeld || client == Stage.LOST || !isAnswer(rest) || open.size() != 1) {
+        if (serverStage == Stage.OUT_OF_SYNC) {
+            boolean wasDelayed = serverDelayed;
+            serverDelayed = false;
+            if (wasDelayed || clientStage == Stage.OUT_OF_SYNC || !isCompleteResponse(remaining) || pendingRpcs.size() != 1) {
                 count("chunks passed over");
                 // It may have been the answer to what is open, which the next one is not.
-                tear();
+                abortPendingRpcs();
                 return;
             }
-            server = Stage.MESSAGES;
-            down = new Frames(LONGEST);
-            greeted = true;
+            serverStage = Stage.MESSAGES;
+            serverFrames = new Frames(MAX_MESSAGE_BYTES);
+            isStartupComplete = true;
         }
-        down.feed(ByteBuffer.wrap(rest));
-        while (down.next()) {
-            message(at);
+        serverFrames.feed(ByteBuffer.wrap(remaining));
+        while (serverFrames.next()) {
+            serverMessageReceived(timestampNs);
         }
     }
 
-    private void message(long at) throws Malformed {
-        if (SERVER_TYPES.indexOf(down.type()) < 0) {
+    private void serverMessageReceived(long timestampNs) throws Malformed {
+        if (SERVER_MESSAGE_TYPES.indexOf(serverFrames.type()) < 0) {
             throw new Malformed("a message that no server sends");
         }
-        Shapes.check(down.type(), down.body());
-        switch (down.type()) {
+        Shapes.check(serverFrames.type(), serverFrames.body());
+        switch (serverFrames.type()) {
             case 'T', 'D':
-                keep();
+                appendToResponse();
                 break;
             case 'C':
-                keep();
+                appendToResponse();
                 outcome = outcome == null ? Spoken.Outcome.served : outcome;
                 break;
             case 'I':
                 outcome = outcome == null ? Spoken.Outcome.served : outcome;
                 break;
             case 'E':
-                keep();
-                code = Words.field(down.body(), 'C');
-                outcome = Spoken.Outcome.ofCode(code);
-                if (Words.field(down.body(), 'S').equals("FATAL")) {
-                    answered(at);
+                appendToResponse();
+                errorCode = Words.field(serverFrames.body(), 'C');
+                outcome = Spoken.Outcome.ofSqlState(errorCode);
+                if (Words.field(serverFrames.body(), 'S').equals("FATAL")) {
+                    completeRpc(timestampNs);
                 }
                 break;
             case 'Z':
-                if (greeted) {
-                    answered(at);
+                if (isStartupComplete) {
+                    completeRpc(timestampNs);
                 }
-                greeted = true;
+                isStartupComplete = true;
                 break;
             default:
                 break;
         }
     }
 
-    private void keep() {
-        ByteBuffer whole = down.whole();
-        if (answer.size() + whole.remaining() <= LONGEST) {
+    private void appendToResponse() {
+        ByteBuffer whole = serverFrames.whole();
+        if (response.size() + whole.remaining() <= MAX_MESSAGE_BYTES) {
             while (whole.hasRemaining()) {
-                answer.write(whole.get());
+                response.write(whole.get());
             }
         }
     }
 
-    private void answered(long at) {
-        Spoken spoken = open.poll();
-        if (spoken != null && spoken != NOTHING) {
-            spoken.took = Math.max(0, at - spoken.at);
-            spoken.outcome = outcome == null ? Spoken.Outcome.failed : outcome;
-            spoken.code = code;
-            spoken.answer = answer.toByteArray();
-            hearer.accept(spoken);
+    private void completeRpc(long timestampNs) {
+        Spoken rpc = pendingRpcs.poll();
+        if (rpc != null && rpc != NOT_AN_RPC) {
+            rpc.took = Math.max(0, timestampNs - rpc.at);
+            rpc.outcome = outcome == null ? Spoken.Outcome.failed : outcome;
+            rpc.code = errorCode;
+            rpc.answer = response.toByteArray();
+            listener.accept(rpc);
         }
         outcome = null;
-        code = "";
-        answer.reset();
+        errorCode = "";
+        response.reset();
     }
 
     @Override
     public void hole(boolean isClient, long length) {
         count("holes in conversations");
-        clientHeld |= isClient;
-        serverHeld |= !isClient;
-        lose(isClient);
+        clientDelayed |= isClient;
+        serverDelayed |= !isClient;
+        loseSync(isClient);
     }
 
-    private void lose(boolean isClient) {
-        if (client == Stage.DARK) {
+    private void loseSync(boolean isClient) {
+        if (clientStage == Stage.OPAQUE) {
             return;
         }
         // With one side lost, answers can't be told from each other: both wait for a sure edge.
-        client = isClient ? Stage.LOST : client == Stage.START ? Stage.LOST : client;
-        server = Stage.LOST;
-        tear();
+        clientStage = isClient ? Stage.OUT_OF_SYNC : clientStage == Stage.START ? Stage.OUT_OF_SYNC : clientStage;
+        serverStage = Stage.OUT_OF_SYNC;
+        abortPendingRpcs();
     }
 
-    private void tear() {
-        for (Spoken spoken : open) {
-            if (spoken != NOTHING) {
-                spoken.outcome = Spoken.Outcome.torn;
-                hearer.accept(spoken);
+    private void abortPendingRpcs() {
+        for (Spoken rpc : pendingRpcs) {
+            if (rpc != NOT_AN_RPC) {
+                rpc.outcome = Spoken.Outcome.torn;
+                listener.accept(rpc);
             }
         }
-        open.clear();
+        pendingRpcs.clear();
         outcome = null;
-        code = "";
-        answer.reset();
+        errorCode = "";
+        response.reset();
     }
 
     @Override
     public void over() {
-        for (Spoken spoken : open) {
-            if (spoken != NOTHING) {
-                spoken.outcome = Spoken.Outcome.open;
-                hearer.accept(spoken);
+        for (Spoken rpc : pendingRpcs) {
+            if (rpc != NOT_AN_RPC) {
+                rpc.outcome = Spoken.Outcome.open;
+                listener.accept(rpc);
             }
         }
-        open.clear();
+        pendingRpcs.clear();
     }
 }
--- a/src/main/java/honeygap/capture/message/Spoken.java
+++ b/src/main/java/honeygap/capture/message/Spoken.java
@@ -11,12 +11,12 @@
         served, refused, failed, open, torn;
 
         /** What an error of PostgreSQL's protocol comes to, by its code. */
-        public static Outcome ofCode(String code) {
-            return code.equals(Words.TOO_MANY) || code.equals("57P03") ? refused : failed;
+        public static Outcome ofSqlState(String sqlState) {
+            return sqlState.equals(Words.TOO_MANY) || sqlState.equals("57P03") ? refused : failed;
         }
 
         /** What an answer of the flag API comes to, by its status. */
-        public static Outcome ofStatus(int status) {
+        public static Outcome ofHttpStatus(int status) {
             return status == 429 || status == 503 ? refused : status >= 500 || status == 408 ? failed : served;
         }
     }
@@ -32,7 +32,7 @@
     /** Its key in the clear; empty where it has none. */
     public String key = "";
     /** Whether repeating it is surely harmless, as far as the message itself tells. */
-    public boolean isRead;
+    public boolean isReadOnly;
     /** Nanoseconds since 1970 of the request's last byte, and from then to the answer's; under 0 where unknown. */
     public long at;
     public long took = -1;
@@ -45,6 +45,6 @@
     public byte[] request = {};
     public byte[] answer = {};
     /** Where the key and the value stand in them: begin and end. */
-    public int keyFrom;
-    public int keyTo;
+    public int keyStart;
+    public int keyEnd;
 }
--- a/src/main/java/honeygap/capture/query/Filter.java
+++ b/src/main/java/honeygap/capture/query/Filter.java
@@ -27,36 +27,36 @@
 
         public final int column;
 
-        Unread(int column, String words) {
-            super("column " + column + ": " + words);
+        Unread(int column, String message) {
+            super("column " + column + ": " + message);
             this.column = column;
         }
     }
 
-    private static final Map<String, Function<Spoken, String>> TEXTS = new TreeMap<>(Map.of(
-            "method", spoken -> spoken.method, "key", spoken -> spoken.key, "tenant", spoken -> spoken.tenant,
-            "id", spoken -> spoken.id, "code", spoken -> spoken.code, "protocol", spoken -> spoken.protocol,
-            "client", spoken -> spoken.client.toString(), "server", spoken -> spoken.server.toString(),
-            "outcome", spoken -> spoken.outcome.name()));
+    private static final Map<String, Function<Spoken, String>> TEXT_FIELDS = new TreeMap<>(Map.of(
+            "method", rpc -> rpc.method, "key", rpc -> rpc.key, "tenant", rpc -> rpc.tenant,
+            "id", rpc -> rpc.id, "code", rpc -> rpc.code, "protocol", rpc -> rpc.protocol,
+            "client", rpc -> rpc.client.toString(), "server", rpc -> rpc.server.toString(),
+            "outcome", rpc -> rpc.outcome.name()));
 
     /** Numbers without a unit. */
-    private static final Map<String, ToDoubleFunction<Spoken>> NUMBERS = new TreeMap<>(Map.of(
-            "connection", spoken -> spoken.connection, "requestBytes", spoken -> spoken.request.length,
-            "answerBytes", spoken -> spoken.answer.length));
+    private static final Map<String, ToDoubleFunction<Spoken>> NUMBER_FIELDS = new TreeMap<>(Map.of(
+            "connection", rpc -> rpc.connection, "requestBytes", rpc -> rpc.request.length,
+            "answerBytes", rpc -> rpc.answer.length));
 
     /** Times, in nanoseconds. */
-    private static final Map<String, ToDoubleFunction<Spoken>> TIMES = new TreeMap<>(Map.of(
-            "took", spoken -> spoken.took, "deadline", spoken -> spoken.deadlineMs * 1e6));
+    private static final Map<String, ToDoubleFunction<Spoken>> TIME_FIELDS = new TreeMap<>(Map.of(
+            "took", rpc -> rpc.took, "deadline", rpc -> rpc.deadlineMs * 1e6));
 
-    private static final Map<String, Double> UNITS = Map.of("ns", 1.0, "us", 1e3, "ms", 1e6, "s", 1e9, "m", 6e10);
+    private static final Map<String, Double> NANOS_PER_UNIT = Map.of("ns", 1.0, "us", 1e3, "ms", 1e6, "s", 1e9, "m", 6e10);
 
     private Filter() {
     }
 
     /** Names of all fields, for help. */
-    public static String fields() {
-        return String.join(", ", TEXTS.keySet()) + " (text); " + String.join(", ", NUMBERS.keySet())
-                + " (numbers); " + String.join(", ", TIMES.keySet()) + " (times, as 20ms); served, refused, failed,"
+    public static String describeFields() {
+        return String.join(", ", TEXT_FIELDS.keySet()) + " (text); " + String.join(", ", NUMBER_FIELDS.keySet())
+                + " (numbers); " + String.join(", ", TIME_FIELDS.keySet()) + " (times, as 20ms); served, refused, failed,"
                 + " open, torn, read (true or not)";
     }
 
@@ -65,30 +65,30 @@
      *
      * @throws Unread where it can't be read
      */
-    public static Predicate<Spoken> of(String words) {
-        if (words == null || words.isBlank()) {
-            return spoken -> true;
+    public static Predicate<Spoken> of(String expression) {
+        if (expression == null || expression.isBlank()) {
+            return rpc -> true;
         }
         BaseErrorListener errors = new BaseErrorListener() {
             @Override
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
                                     RecognitionException cause) {
-                String there = symbol instanceof Token token && token.getType() != Token.EOF
+                String problem = symbol instanceof Token token && token.getType() != Token.EOF
                         ? "\"" + token.getText() + "\" does not belong here" : "the filter ends too soon";
-                throw new Unread(column + 1, there);
+                throw new Unread(column + 1, problem);
             }
         };
         // On one line, so that a column tells the place.
-        QueryLexer lexer = new QueryLexer(CharStreams.fromString(words.replace('\n', ' ').replace('\r', ' ')));
+        QueryLexer lexer = new QueryLexer(CharStreams.fromString(expression.replace('\n', ' ').replace('\r', ' ')));
         lexer.removeErrorListeners();
         lexer.addErrorListener(errors);
         QueryParser parser = new QueryParser(new CommonTokenStream(lexer));
         parser.removeErrorListeners();
         parser.addErrorListener(errors);
-        return new Maker().visitWhole(parser.whole());
+        return new PredicateBuilder().visitWhole(parser.whole());
     }
 
-    private static final class Maker extends QueryBaseVisitor<Predicate<Spoken>> {
+    private static final class PredicateBuilder extends QueryBaseVisitor<Predicate<Spoken>> {
 
         @Override
         public Predicate<Spoken> visitWhole(QueryParser.WholeContext context) {
@@ -120,30 +120,30 @@
             String word = context.WORD().getText();
             for (Spoken.Outcome outcome : Spoken.Outcome.values()) {
                 if (outcome.name().equals(word)) {
-                    return spoken -> spoken.outcome == outcome;
+                    return rpc -> rpc.outcome == outcome;
                 }
             }
             if (word.equals("read")) {
-                return spoken -> spoken.isRead;
+                return rpc -> rpc.isReadOnly;
             }
-            throw unknown(context.WORD().getSymbol(), "nothing that holds or not");
+            throw unknownWord(context.WORD().getSymbol(), "nothing that holds or not");
         }
 
-        private static Unread unknown(Token token, String what) {
-            return new Unread(token.getCharPositionInLine() + 1, "\"" + token.getText() + "\" is " + what + "; known: "
-                    + fields());
+        private static Unread unknownWord(Token token, String problem) {
+            return new Unread(token.getCharPositionInLine() + 1, "\"" + token.getText() + "\" is " + problem + "; known: "
+                    + describeFields());
         }
 
         @Override
         public Predicate<Spoken> visitMatch(QueryParser.MatchContext context) {
             Token field = context.WORD().getSymbol();
-            Function<Spoken, String> text = TEXTS.get(field.getText());
+            Function<Spoken, String> text = TEXT_FIELDS.get(field.getText());
             if (text == null) {
-                throw unknown(field, "no text");
+                throw unknownWord(field, "no text");
             }
             try {
-                Pattern pattern = Pattern.compile(plain(context.TEXT().getSymbol()));
-                return spoken -> pattern.matcher(text.apply(spoken)).find();
+                Pattern pattern = Pattern.compile(unquote(context.TEXT().getSymbol()));
+                return rpc -> pattern.matcher(text.apply(rpc)).find();
             } catch (PatternSyntaxException e) {
                 throw new Unread(context.TEXT().getSymbol().getCharPositionInLine() + 1, "not a pattern: "
                         + e.getDescription().toLowerCase(Locale.ROOT));
@@ -161,50 +161,50 @@
             return compare(context.WORD().getSymbol(), context.compare.getText(), context.value());
         }
 
-        private static Predicate<Spoken> compare(Token field, String sign, QueryParser.ValueContext value) {
-            Token there = value.getStart();
+        private static Predicate<Spoken> compare(Token field, String operator, QueryParser.ValueContext value) {
+            Token token = value.getStart();
             String name = field.getText();
-            boolean isText = there.getType() == QueryLexer.TEXT;
-            if (TEXTS.containsKey(name)) {
+            boolean isText = token.getType() == QueryLexer.TEXT;
+            if (TEXT_FIELDS.containsKey(name)) {
                 if (!isText) {
-                    throw new Unread(there.getCharPositionInLine() + 1, name + " is text; put the value in quotes");
+                    throw new Unread(token.getCharPositionInLine() + 1, name + " is text; put the value in quotes");
                 }
-                String wanted = plain(there);
-                Function<Spoken, String> text = TEXTS.get(name);
-                return spoken -> Signs.holds(sign, text.apply(spoken).compareTo(wanted));
+                String expected = unquote(token);
+                Function<Spoken, String> text = TEXT_FIELDS.get(name);
+                return rpc -> Signs.holds(operator, text.apply(rpc).compareTo(expected));
             }
-            boolean isTime = TIMES.containsKey(name);
-            ToDoubleFunction<Spoken> number = isTime ? TIMES.get(name) : NUMBERS.get(name);
+            boolean isTime = TIME_FIELDS.containsKey(name);
+            ToDoubleFunction<Spoken> number = isTime ? TIME_FIELDS.get(name) : NUMBER_FIELDS.get(name);
             if (number == null) {
-                throw unknown(field, "no field");
+                throw unknownWord(field, "no field");
             }
-            double wanted = number(there, isText, name, isTime);
+            double expected = parseNumber(token, isText, name, isTime);
             // What was never answered took no time that could be compared.
-            return spoken -> !(isTime && number.applyAsDouble(spoken) < 0)
-                    && Signs.holds(sign, Double.compare(number.applyAsDouble(spoken), wanted));
+            return rpc -> !(isTime && number.applyAsDouble(rpc) < 0)
+                    && Signs.holds(operator, Double.compare(number.applyAsDouble(rpc), expected));
         }
 
-        private static double number(Token there, boolean isText, String name, boolean isTime) {
-            int column = there.getCharPositionInLine() + 1;
-            String words = there.getText();
-            int end = words.length();
-            while (end > 0 && Character.isLetter(words.charAt(end - 1))) {
-                end--;
+        private static double parseNumber(Token token, boolean isText, String name, boolean isTime) {
+            int column = token.getCharPositionInLine() + 1;
+            String text = token.getText();
+            int unitStart = text.length();
+            while (unitStart > 0 && Character.isLetter(text.charAt(unitStart - 1))) {
+                unitStart--;
             }
-            String unit = words.substring(end);
-            if (isText || end == 0) {
+            String unit = text.substring(unitStart);
+            if (isText || unitStart == 0) {
                 throw new Unread(column, name + " is a number; put the value without quotes");
             }
-            if (isTime != UNITS.containsKey(unit) || !isTime && !unit.isEmpty()) {
+            if (isTime != NANOS_PER_UNIT.containsKey(unit) || !isTime && !unit.isEmpty()) {
                 throw new Unread(column, isTime ? name + " is a time; give it a unit, as 20ms (ns, us, ms, s, m)"
                         : name + " is a number without a unit");
             }
-            return Double.parseDouble(words.substring(0, end)) * (isTime ? UNITS.get(unit) : 1);
+            return Double.parseDouble(text.substring(0, unitStart)) * (isTime ? NANOS_PER_UNIT.get(unit) : 1);
         }
 
-        private static String plain(Token text) {
-            String words = text.getText();
-            return words.substring(1, words.length() - 1).replaceAll("\\\\(.)", "$1");
+        private static String unquote(Token text) {
+            String quoted = text.getText();
+            return quoted.substring(1, quoted.length() - 1).replaceAll("\\\\(.)", "$1");
         }
     }
 }
--- a/src/main/java/honeygap/capture/record/Row.java
+++ b/src/main/java/honeygap/capture/record/Row.java
@@ -12,27 +12,27 @@
     public record Column(String name, boolean isText, Function<Spoken, Object> value) { }
 
     public static final List<Column> COLUMNS = List.of(
-            new Column("protocol", true, spoken -> spoken.protocol),
-            new Column("connection", false, spoken -> spoken.connection),
-            new Column("client", true, spoken -> spoken.client.toString()),
-            new Column("server", true, spoken -> spoken.server.toString()),
-            new Column("at_ns", false, spoken -> spoken.at),
-            new Column("took_ns", false, spoken -> spoken.took),
-            new Column("method", true, spoken -> spoken.method),
-            new Column("id", true, spoken -> spoken.id),
-            new Column("tenant", true, spoken -> spoken.tenant),
-            new Column("key_hash", true, spoken -> hash(spoken.key)),
-            new Column("outcome", true, spoken -> spoken.outcome.name()),
-            new Column("code", true, spoken -> spoken.code),
-            new Column("deadline_ms", false, spoken -> spoken.deadlineMs),
-            new Column("request_bytes", false, spoken -> (long) spoken.request.length),
-            new Column("answer_bytes", false, spoken -> (long) spoken.answer.length));
+            new Column("protocol", true, rpc -> rpc.protocol),
+            new Column("connection", false, rpc -> rpc.connection),
+            new Column("client", true, rpc -> rpc.client.toString()),
+            new Column("server", true, rpc -> rpc.server.toString()),
+            new Column("at_ns", false, rpc -> rpc.at),
+            new Column("took_ns", false, rpc -> rpc.took),
+            new Column("method", true, rpc -> rpc.method),
+            new Column("id", true, rpc -> rpc.id),
+            new Column("tenant", true, rpc -> rpc.tenant),
+            new Column("key_hash", true, rpc -> hashKey(rpc.key)),
+            new Column("outcome", true, rpc -> rpc.outcome.name()),
+            new Column("code", true, rpc -> rpc.code),
+            new Column("deadline_ms", false, rpc -> rpc.deadlineMs),
+            new Column("request_bytes", false, rpc -> (long) rpc.request.length),
+            new Column("answer_bytes", false, rpc -> (long) rpc.answer.length));
 
     private Row() {
     }
 
     /** Keys themselves stay in the capture; a hash tells which are the same. */
-    private static String hash(String key) {
+    private static String hashKey(String key) {
         if (key.isEmpty()) {
             return "";
         }
--- a/src/main/java/honeygap/capture/record/Rows.java
+++ b/src/main/java/honeygap/capture/record/Rows.java
@@ -21,7 +21,7 @@
 /** Writes a row an RPC, in one of several forms. */
 public interface Rows extends Closeable {
 
-    void write(Spoken spoken) throws IOException;
+    void write(Spoken rpc) throws IOException;
 
     /** Comma-separated (RFC 4180), with a head. */
     final class Csv implements Rows {
@@ -35,14 +35,14 @@
         }
 
         @Override
-        public void write(Spoken spoken) throws IOException {
-            String comma = "";
+        public void write(Spoken rpc) throws IOException {
+            String separator = "";
             for (Row.Column column : Row.COLUMNS) {
-                out.write(comma);
-                comma = ",";
-                String words = column.value().apply(spoken).toString();
-                boolean isPlain = words.chars().noneMatch(c -> c == ',' || c == '"' || c == '\r' || c == '\n');
-                out.write(isPlain ? words : '"' + words.replace("\"", "\"\"") + '"');
+                out.write(separator);
+                separator = ",";
+                String text = column.value().apply(rpc).toString();
+                boolean needsNoQuotes = text.chars().noneMatch(c -> c == ',' || c == '"' || c == '\r' || c == '\n');
+                out.write(needsNoQuotes ? text : '"' + text.replace("\"", "\"\"") + '"');
             }
             out.write("\r\n");
         }
@@ -64,10 +64,10 @@
         }
 
         @Override
-        public void write(Spoken spoken) throws IOException {
+        public void write(Spoken rpc) throws IOException {
             out.writeStartObject();
             for (Row.Column column : Row.COLUMNS) {
-                Object value = column.value().apply(spoken);
+                Object value = column.value().apply(rpc);
                 if (column.isText()) {
                     out.writeStringField(column.name(), value.toString());
                 } else {
@@ -102,10 +102,10 @@
         }
 
         @Override
-        public void write(Spoken spoken) throws IOException {
+        public void write(Spoken rpc) throws IOException {
             GenericRecord row = new GenericData.Record(schema);
             for (Row.Column column : Row.COLUMNS) {
-                row.put(column.name(), column.value().apply(spoken));
+                row.put(column.name(), column.value().apply(rpc));
             }
             out.append(row);
         }
--- a/src/main/java/honeygap/capture/redact/Anonymous.java
+++ b/src/main/java/honeygap/capture/redact/Anonymous.java
@@ -8,60 +8,60 @@
 /** Makes the packets of a capture anew, with keys and values hidden. */
 public final class Anonymous implements Reassembly.Out {
 
-    private final Mask mask;
-    private final Synthesis synthesis;
+    private final Mask masker;
+    private final Synthesis synthesizer;
 
     /** The two sides of a connection. */
-    private record Sides(Redactor client, Redactor server) { }
+    private record ConnectionRedactors(Redactor client, Redactor server) { }
 
-    public Anonymous(Mask mask, Synthesis.Sink sink) {
-        this.mask = mask;
-        synthesis = new Synthesis(sink);
+    public Anonymous(Mask masker, Synthesis.Sink sink) {
+        this.masker = masker;
+        synthesizer = new Synthesis(sink);
     }
 
-    private interface Step {
+    private interface IoAction {
 
-        void go() throws IOException;
+        void run() throws IOException;
     }
 
-    private static void go(Step step) {
+    private static void runUnchecked(IoAction action) {
         try {
-            step.go();
+            action.run();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     @Override
-    public void opened(Reassembly.Flow flow, long at) {
-        flow.subject = new Sides(new Redactor(mask, true, flow.isWhole), new Redactor(mask, false, flow.isWhole));
-        go(() -> synthesis.opened(flow.number, flow.client, flow.server, flow.isWhole, at));
+    public void opened(Reassembly.Flow flow, long timestampNs) {
+        flow.subject = new ConnectionRedactors(new Redactor(masker, true, flow.isWhole), new Redactor(masker, false, flow.isWhole));
+        runUnchecked(() -> synthesizer.opened(flow.number, flow.client, flow.server, flow.isWhole, timestampNs));
     }
 
-    private static Redactor side(Reassembly.Flow flow, boolean isClient) {
-        Sides sides = (Sides) flow.subject;
-        return isClient ? sides.client : sides.server;
+    private static Redactor redactorFor(Reassembly.Flow flow, boolean isClient) {
+        ConnectionRedactors redactors = (ConnectionRedactors) flow.subject;
+        return isClient ? redactors.client : redactors.server;
     }
 
-    private void write(Reassembly.Flow flow, boolean isClient, byte[] bytes, long at) {
-        go(() -> synthesis.data(flow.number, isClient, bytes, 0, bytes.length, at));
+    private void write(Reassembly.Flow flow, boolean isClient, byte[] bytes, long timestampNs) {
+        runUnchecked(() -> synthesizer.data(flow.number, isClient, bytes, 0, bytes.length, timestampNs));
     }
 
     @Override
-    public void data(Reassembly.Flow flow, boolean isClient, byte[] bytes, long at) {
-        write(flow, isClient, side(flow, isClient).take(bytes), at);
+    public void data(Reassembly.Flow flow, boolean isClient, byte[] bytes, long timestampNs) {
+        write(flow, isClient, redactorFor(flow, isClient).take(bytes), timestampNs);
     }
 
     @Override
-    public void hole(Reassembly.Flow flow, boolean isClient, long length, long at) {
-        write(flow, isClient, side(flow, isClient).lose(), at);
-        synthesis.hole(flow.number, isClient, length);
+    public void hole(Reassembly.Flow flow, boolean isClient, long length, long timestampNs) {
+        write(flow, isClient, redactorFor(flow, isClient).lose(), timestampNs);
+        synthesizer.hole(flow.number, isClient, length);
     }
 
     @Override
-    public void closed(Reassembly.Flow flow, Reassembly.End how, long at) {
-        write(flow, true, side(flow, true).lose(), at);
-        write(flow, false, side(flow, false).lose(), at);
-        go(() -> synthesis.closed(flow.number, true, how == Reassembly.End.RESET, at));
+    public void closed(Reassembly.Flow flow, Reassembly.End end, long timestampNs) {
+        write(flow, true, redactorFor(flow, true).lose(), timestampNs);
+        write(flow, false, redactorFor(flow, false).lose(), timestampNs);
+        runUnchecked(() -> synthesizer.closed(flow.number, true, end == Reassembly.End.RESET, timestampNs));
     }
 }
--- a/src/main/java/honeygap/capture/redact/Mask.java
+++ b/src/main/java/honeygap/capture/redact/Mask.java
@@ -25,105 +25,105 @@
     }
 
     /** Masks bytes in place; the hash is of all of them together. */
-    public void hide(byte[] bytes, int from, int to) {
-        byte[] word = Arrays.copyOfRange(bytes, from, to);
-        byte[] stream = {};
+    public void mask(byte[] bytes, int from, int to) {
+        byte[] plaintext = Arrays.copyOfRange(bytes, from, to);
+        byte[] keystream = {};
         int used = 0;
-        int round = 0;
+        int block = 0;
         for (int i = from; i < to; i++) {
-            if (used == stream.length) {
-                mac.update(word);
-                mac.update((byte) round);
-                mac.update((byte) (round++ >> 8));
-                stream = mac.doFinal();
+            if (used == keystream.length) {
+                mac.update(plaintext);
+                mac.update((byte) block);
+                mac.update((byte) (block++ >> 8));
+                keystream = mac.doFinal();
                 used = 0;
             }
-            bytes[i] = hidden(bytes[i], stream[used++] & 0xff);
+            bytes[i] = maskByte(bytes[i], keystream[used++] & 0xff);
         }
     }
 
-    private static byte hidden(byte one, int chance) {
-        if (one >= '0' && one <= '9') {
-            return (byte) ('0' + chance % 10);
+    private static byte maskByte(byte original, int hashByte) {
+        if (original >= '0' && original <= '9') {
+            return (byte) ('0' + hashByte % 10);
         }
-        if (one >= 'a' && one <= 'f') {
-            return (byte) ('a' + chance % 6);
+        if (original >= 'a' && original <= 'f') {
+            return (byte) ('a' + hashByte % 6);
         }
-        if (one >= 'g' && one <= 'z') {
-            return (byte) ('g' + chance % 20);
+        if (original >= 'g' && original <= 'z') {
+            return (byte) ('g' + hashByte % 20);
         }
-        if (one >= 'A' && one <= 'F') {
-            return (byte) ('A' + chance % 6);
+        if (original >= 'A' && original <= 'F') {
+            return (byte) ('A' + hashByte % 6);
         }
-        if (one >= 'G' && one <= 'Z') {
-            return (byte) ('G' + chance % 20);
+        if (original >= 'G' && original <= 'Z') {
+            return (byte) ('G' + hashByte % 20);
         }
         // Parts of letters beyond ASCII, and bytes of values that are no text.
-        return one < 0 ? (byte) 'x' : one;
+        return original < 0 ? (byte) 'x' : original;
     }
 
     /** Hides the values in JSON, in place: names, and what the protocol itself says, stay. */
     public void hideJson(byte[] json, int from, int to) {
-        new Json(json, from, to).walk();
+        new JsonMasker(json, from, to).maskAll();
     }
 
     /** A walk over JSON that need not be sound: what it can't tell is hidden. */
-    private final class Json {
+    private final class JsonMasker {
 
-        private static final String KEPT = " key reason errorCode version flagSetId ";
+        private static final String UNMASKED_FIELDS = " key reason errorCode version flagSetId ";
 
         private final byte[] json;
         private final int to;
-        private int at;
-        private String name = "";
+        private int position;
+        private String fieldName = "";
 
-        Json(byte[] json, int from, int to) {
+        JsonMasker(byte[] json, int from, int to) {
             this.json = json;
-            this.at = from;
+            this.position = from;
             this.to = to;
         }
 
-        void walk() {
-            while (at < to) {
-                byte one = json[at];
-                if (one == '"') {
-                    string();
-                } else if (one == '-' || one >= '0' && one <= '9') {
-                    number();
+        void maskAll() {
+            while (position < to) {
+                byte current = json[position];
+                if (current == '"') {
+                    readString();
+                } else if (current == '-' || current >= '0' && current <= '9') {
+                    maskNumber();
                 } else {
-                    at++;
+                    position++;
                 }
             }
         }
 
-        private void string() {
-            int begin = at + 1;
+        private void readString() {
+            int begin = position + 1;
             int end = begin;
             while (end < to && json[end] != '"') {
                 end += json[end] == '\\' ? 2 : 1;
             }
             end = Math.min(end, to);
-            int behind = end + 1;
-            while (behind < to && (json[behind] == ' ' || json[behind] == '\n' || json[behind] == '\r'
-                    || json[behind] == '\t')) {
-                behind++;
+            int next = end + 1;
+            while (next < to && (json[next] == ' ' || json[next] == '\n' || json[next] == '\r'
+                    || json[next] == '\t')) {
+                next++;
             }
-            at = end + 1;
-            if (behind < to && json[behind] == ':') {
-                name = new String(json, begin, end - begin, StandardCharsets.UTF_8);
-            } else if (!KEPT.contains(" " + name + " ")) {
-                hideString(begin, end);
+            position = end + 1;
+            if (next < to && json[next] == ':') {
+                fieldName = new String(json, begin, end - begin, StandardCharsets.UTF_8);
+            } else if (!UNMASKED_FIELDS.contains(" " + fieldName + " ")) {
+                maskString(begin, end);
             }
         }
 
         /** Between escapes, which stay what they are; those of other letters come to an x. */
-        private void hideString(int begin, int end) {
+        private void maskString(int begin, int end) {
             int from = begin;
             for (int i = begin; i < end; i++) {
                 if (json[i] != '\\') {
                     continue;
                 }
-                hide(json, from, i);
+                mask(json, from, i);
                 if (i + 5 < end && json[i + 1] == 'u') {
                     System.arraycopy("0078".getBytes(StandardCharsets.US_ASCII), 0, json, i + 2, 4);
                     i += 5;
@@ -132,29 +132,29 @@
                 }
                 from = Math.min(end, i + 1);
             }
-            hide(json, from, end);
+            mask(json, from, end);
         }
 
-        private void number() {
-            int begin = at;
-            while (at < to && "+-.eE0123456789".indexOf(json[at]) >= 0) {
-                at++;
+        private void maskNumber() {
+            int begin = position;
+            while (position < to && "+-.eE0123456789".indexOf(json[position]) >= 0) {
+                position++;
             }
-            if (KEPT.contains(" " + name + " ")) {
+            if (UNMASKED_FIELDS.contains(" " + fieldName + " ")) {
                 return;
             }
-            int first = json[begin] == '-' ? begin + 1 : begin;
-            byte before = first < at ? json[first] : 0;
+            int firstDigit = json[begin] == '-' ? begin + 1 : begin;
+            byte originalFirstDigit = firstDigit < position ? json[firstDigit] : 0;
             // Digits only, and no exponent: what stands behind an e is its size.
-            int last = first;
-            while (last < at && json[last] != 'e' && json[last] != 'E') {
-                last++;
+            int digitsEnd = firstDigit;
+            while (digitsEnd < position && json[digitsEnd] != 'e' && json[digitsEnd] != 'E') {
+                digitsEnd++;
             }
-            hide(json, first, last);
-            if (before != '0' && first < last && json[first] == '0') {
-                json[first] = '1';
-            } else if (before == '0') {
-                json[first] = '0';
+            mask(json, firstDigit, digitsEnd);
+            if (originalFirstDigit != '0' && firstDigit < digitsEnd && json[firstDigit] == '0') {
+                json[firstDigit] = '1';
+            } else if (originalFirstDigit == '0') {
+                json[firstDigit] = '0';
             }
         }
     }
--- a/src/main/java/honeygap/capture/redact/Redactor.java
+++ b/src/main/java/honeygap/capture/redact/Redactor.java
@@ -12,145 +12,145 @@
  */
 public final class Redactor {
 
-    private static final int LONGEST = 1 << 21;
-    private static final int LONGEST_HEAD = 1 << 15;
-    private static final byte BLACK = 'x';
-    private static final String[] SECRETS = {"authorization", "x-api-key", "idempotency-key", "cookie"};
+    private static final int MAX_MESSAGE_BYTES = 1 << 21;
+    private static final int MAX_HTTP_HEAD_BYTES = 1 << 15;
+    private static final byte FILL_BYTE = 'x';
+    private static final String[] SECRET_HEADERS = {"authorization", "x-api-key", "idempotency-key", "cookie"};
 
-    private enum Kind { UNKNOWN, STARTUP, PG, HTTP, DARK }
+    private enum Protocol { UNKNOWN, STARTUP, PG, HTTP, UNREADABLE_STREAM }
 
-    private final Mask mask;
+    private final Mask masker;
     private final boolean isClient;
-    private Kind kind;
-    private byte[] held = {};
+    private Protocol protocol;
+    private byte[] buffer = {};
 
     /** What a connection begins with is known only where its beginning was seen. */
-    public Redactor(Mask mask, boolean isClient, boolean isWhole) {
-        this.mask = mask;
+    public Redactor(Mask masker, boolean isClient, boolean isFromStart) {
+        this.masker = masker;
         this.isClient = isClient;
-        kind = isWhole ? Kind.UNKNOWN : Kind.DARK;
+        protocol = isFromStart ? Protocol.UNKNOWN : Protocol.UNREADABLE_STREAM;
     }
 
     /** Takes bytes in and hands on those that may be seen now, in the order of their coming. */
     public byte[] take(byte[] bytes) {
-        if (kind == Kind.DARK) {
-            byte[] black = new byte[bytes.length];
-            Arrays.fill(black, BLACK);
-            return black;
+        if (protocol == Protocol.UNREADABLE_STREAM) {
+            byte[] blanked = new byte[bytes.length];
+            Arrays.fill(blanked, FILL_BYTE);
+            return blanked;
         }
-        int old = held.length;
-        held = Arrays.copyOf(held, old + bytes.length);
-        System.arraycopy(bytes, 0, held, old, bytes.length);
-        if (kind == Kind.UNKNOWN && held.length > 0) {
-            tell();
+        int oldLength = buffer.length;
+        buffer = Arrays.copyOf(buffer, oldLength + bytes.length);
+        System.arraycopy(bytes, 0, buffer, oldLength, bytes.length);
+        if (protocol == Protocol.UNKNOWN && buffer.length > 0) {
+            detectProtocol();
         }
         int done = 0;
-        while (done < held.length && kind != Kind.DARK && kind != Kind.UNKNOWN) {
-            int length = kind == Kind.HTTP ? http(done) : pg(done);
+        while (done < buffer.length && protocol != Protocol.UNREADABLE_STREAM && protocol != Protocol.UNKNOWN) {
+            int length = protocol == Protocol.HTTP ? redactHttpMessage(done) : redactPgMessage(done);
             if (length == 0) {
                 break;
             }
             done += length;
         }
-        if (held.length - done > LONGEST) {
-            kind = Kind.DARK;
+        if (buffer.length - done > MAX_MESSAGE_BYTES) {
+            protocol = Protocol.UNREADABLE_STREAM;
         }
-        if (kind == Kind.DARK) {
-            Arrays.fill(held, done, held.length, BLACK);
-            done = held.length;
+        if (protocol == Protocol.UNREADABLE_STREAM) {
+            Arrays.fill(buffer, done, buffer.length, FILL_BYTE);
+            done = buffer.length;
         }
-        byte[] out = Arrays.copyOf(held, done);
-        held = Arrays.copyOfRange(held, done, held.length);
-        return out;
+        byte[] redacted = Arrays.copyOf(buffer, done);
+        buffer = Arrays.copyOfRange(buffer, done, buffer.length);
+        return redacted;
     }
 
     /** Bytes are missing, or the connection ends: what is held, blacked out. Nothing can be read behind a hole. */
     public byte[] lose() {
-        byte[] black = new byte[held.length];
-        Arrays.fill(black, BLACK);
-        held = new byte[0];
-        kind = Kind.DARK;
-        return black;
+        byte[] blanked = new byte[buffer.length];
+        Arrays.fill(blanked, FILL_BYTE);
+        buffer = new byte[0];
+        protocol = Protocol.UNREADABLE_STREAM;
+        return blanked;
     }
 
-    private void tell() {
-        byte first = held[0];
+    private void detectProtocol() {
+        byte first = buffer[0];
         if (isClient) {
             boolean isHttp = first >= 'A' && first <= 'Z';
-            kind = isHttp ? Kind.HTTP : first == 0 ? Kind.STARTUP : Kind.DARK;
+            protocol = isHttp ? Protocol.HTTP : first == 0 ? Protocol.STARTUP : Protocol.UNREADABLE_STREAM;
         } else {
-            kind = first == 'H' ? Kind.HTTP : Kind.PG;
+            protocol = first == 'H' ? Protocol.HTTP : Protocol.PG;
         }
     }
 
     /** The length of the message there, hidden; 0 where it is not whole. */
-    private int pg(int at) {
-        ByteBuffer all = ByteBuffer.wrap(held);
-        int left = held.length - at;
-        if (kind == Kind.STARTUP) {
-            if (left < 8) {
+    private int redactPgMessage(int start) {
+        ByteBuffer bytes = ByteBuffer.wrap(buffer);
+        int available = buffer.length - start;
+        if (protocol == Protocol.STARTUP) {
+            if (available < 8) {
                 return 0;
             }
-            int length = all.getInt(at);
+            int length = bytes.getInt(start);
             if (length < 8 || length > 10_000) {
-                return dark();
+                return markUnreadable();
             }
-            if (left < length) {
+            if (available < length) {
                 return 0;
             }
-            int version = all.getInt(at + 4);
+            int version = bytes.getInt(start + 4);
             // A request for encryption is followed by the startup, in the clear as far as we can tell.
-            kind = version == 80877103 || version == 80877104 ? Kind.STARTUP : Kind.PG;
+            protocol = version == 80877103 || version == 80877104 ? Protocol.STARTUP : Protocol.PG;
             return length;
         }
-        if (!isClient && left >= 1 && held[at] == 'S' && left == 1) {
+        if (!isClient && available >= 1 && buffer[start] == 'S' && available == 1) {
             return 0;
         }
-        if (left < 5) {
+        if (available < 5) {
             // One N is the answer to a request for encryption.
-            if (!isClient && left == 1 && held[at] == 'N') {
+            if (!isClient && available == 1 && buffer[start] == 'N') {
                 return 1;
             }
             return 0;
         }
-        int length = all.getInt(at + 1);
-        if (length < 4 || length > LONGEST) {
-            return !isClient && held[at] == 'N' ? 1 : dark();
+        int length = bytes.getInt(start + 1);
+        if (length < 4 || length > MAX_MESSAGE_BYTES) {
+            return !isClient && buffer[start] == 'N' ? 1 : markUnreadable();
         }
-        if (left < 1 + length) {
+        if (available < 1 + length) {
             return 0;
         }
-        hidePg(at, at + 1 + length);
+        maskPgMessage(start, start + 1 + length);
         return 1 + length;
     }
 
-    private int dark() {
-        kind = Kind.DARK;
+    private int markUnreadable() {
+        protocol = Protocol.UNREADABLE_STREAM;
         return 0;
     }
 
-    private void hidePg(int at, int end) {
-        switch (held[at]) {
+    private void maskPgMessage(int start, int end) {
+        switch (buffer[start]) {
             case 'Q':
-                statement(at + 5, end - 1);
+                maskStatement(start + 5, end - 1);
                 break;
             case 'D':
                 // Columns: a count, then a length and a value each.
-                ByteBuffer row = ByteBuffer.wrap(held, at + 5, end - at - 5).slice();
+                ByteBuffer row = ByteBuffer.wrap(buffer, start + 5, end - start - 5).slice();
                 int columns = row.remaining() < 2 ? 0 : row.getShort();
-                int place = at + 7;
-                for (int i = 0; i < columns && place + 4 <= end; i++) {
-                    int size = ByteBuffer.wrap(held).getInt(place);
-                    int to = size < 0 ? place + 4 : (int) Math.min(end, (long) place + 4 + size);
-                    mask.hide(held, place + 4, to);
-                    place = to;
+                int lengthOffset = start + 7;
+                for (int i = 0; i < columns && lengthOffset + 4 <= end; i++) {
+                    int size = ByteBuffer.wrap(buffer).getInt(lengthOffset);
+                    int to = size < 0 ? lengthOffset + 4 : (int) Math.min(end, (long) lengthOffset + 4 + size);
+                    masker.mask(buffer, lengthOffset + 4, to);
+                    lengthOffset = to;
                 }
                 break;
             case 'E', 'N':
-                error(at + 5, end);
+                maskErrorFields(start + 5, end);
                 break;
             case 'P', 'B', 'p', 'd':
-                Arrays.fill(held, at + 5, end, BLACK);
+                Arrays.fill(buffer, start + 5, end, FILL_BYTE);
                 break;
             default:
                 break;
@@ -158,25 +158,25 @@
     }
 
     /** Words in quotes, and in the comment behind them those that name a key. */
-    private void statement(int from, int to) {
+    private void maskStatement(int from, int to) {
         int i = from;
         while (i < to) {
-            if (held[i] == '\'') {
+            if (buffer[i] == '\'') {
                 int end = i + 1;
-                while (end < to && held[end] != '\'') {
+                while (end < to && buffer[end] != '\'') {
                     end++;
                 }
                 // A value in hexadecimal has a mark before its digits.
-                int begin = end - i > 2 && held[i + 1] == '\\' && held[i + 2] == 'x' ? i + 3 : i + 1;
-                mask.hide(held, begin, end);
+                int begin = end - i > 2 && buffer[i + 1] == '\\' && buffer[i + 2] == 'x' ? i + 3 : i + 1;
+                masker.mask(buffer, begin, end);
                 i = end + 1;
-            } else if (held[i] == 'k' && i + 1 < to && held[i + 1] == '=' && i > from
-                    && (held[i - 1] == ',' || held[i - 1] == ' ')) {
+            } else if (buffer[i] == 'k' && i + 1 < to && buffer[i + 1] == '=' && i > from
+                    && (buffer[i - 1] == ',' || buffer[i - 1] == ' ')) {
                 int end = i + 2;
-                while (end < to && held[end] != ',' && held[end] != ' ' && held[end] != '*') {
+                while (end < to && buffer[end] != ',' && buffer[end] != ' ' && buffer[end] != '*') {
                     end++;
                 }
-                mask.hide(held, i + 2, end);
+                masker.mask(buffer, i + 2, end);
                 i = end;
             } else {
                 i++;
@@ -185,123 +185,123 @@
     }
 
     /** Codes and times stay, words are hidden. */
-    private void error(int from, int end) {
-        int at = from;
-        while (at < end && held[at] != 0) {
-            int stop = at + 1;
-            while (stop < end && held[stop] != 0) {
-                stop++;
+    private void maskErrorFields(int from, int end) {
+        int fieldStart = from;
+        while (fieldStart < end && buffer[fieldStart] != 0) {
+            int fieldEnd = fieldStart + 1;
+            while (fieldEnd < end && buffer[fieldEnd] != 0) {
+                fieldEnd++;
             }
-            if (held[at] != 'S' && held[at] != 'V' && held[at] != 'C' && held[at] != 'D') {
-                mask.hide(held, at + 1, stop);
+            if (buffer[fieldStart] != 'S' && buffer[fieldStart] != 'V' && buffer[fieldStart] != 'C' && buffer[fieldStart] != 'D') {
+                masker.mask(buffer, fieldStart + 1, fieldEnd);
             }
-            at = stop + 1;
+            fieldStart = fieldEnd + 1;
         }
     }
 
-    private int http(int at) {
-        int body = -1;
-        for (int i = at; i + 3 < held.length && i < at + LONGEST_HEAD; i++) {
-            if (held[i] == '\r' && held[i + 1] == '\n' && held[i + 2] == '\r' && held[i + 3] == '\n') {
-                body = i + 4;
+    private int redactHttpMessage(int start) {
+        int bodyStart = -1;
+        for (int i = start; i + 3 < buffer.length && i < start + MAX_HTTP_HEAD_BYTES; i++) {
+            if (buffer[i] == '\r' && buffer[i + 1] == '\n' && buffer[i + 2] == '\r' && buffer[i + 3] == '\n') {
+                bodyStart = i + 4;
                 break;
             }
         }
-        if (body < 0) {
-            return held.length - at > LONGEST_HEAD ? dark() : 0;
+        if (bodyStart < 0) {
+            return buffer.length - start > MAX_HTTP_HEAD_BYTES ? markUnreadable() : 0;
         }
-        String head = new String(held, at, body - at, StandardCharsets.ISO_8859_1);
-        String lower = head.toLowerCase(Locale.ROOT);
+        String head = new String(buffer, start, bodyStart - start, StandardCharsets.ISO_8859_1);
+        String lowerCaseHead = head.toLowerCase(Locale.ROOT);
         int end;
-        if (lower.contains("\r\ntransfer-encoding: chunked\r\n")) {
-            end = chunks(body);
+        if (lowerCaseHead.contains("\r\ntransfer-encoding: chunked\r\n")) {
+            end = maskChunkedBody(bodyStart);
         } else {
-            String length = field(lower, "content-length");
-            boolean hasBody = !lower.startsWith("http/1.1 304") && !lower.startsWith("http/1.1 204")
-                    && !lower.startsWith("http/1.1 1");
+            String length = headerValue(lowerCaseHead, "content-length");
+            boolean hasBody = !lowerCaseHead.startsWith("http/1.1 304") && !lowerCaseHead.startsWith("http/1.1 204")
+                    && !lowerCaseHead.startsWith("http/1.1 1");
             if (length == null && !isClient && hasBody || length != null && !length.matches("[0-9]{1,7}")) {
-                return dark();
+                return markUnreadable();
             }
-            end = body + (length == null || !hasBody ? 0 : Integer.parseInt(length));
-            if (end > held.length) {
+            end = bodyStart + (length == null || !hasBody ? 0 : Integer.parseInt(length));
+            if (end > buffer.length) {
                 return 0;
             }
-            mask.hideJson(held, body, end);
+            masker.hideJson(buffer, bodyStart, end);
         }
         if (end <= 0) {
-            return end < 0 ? dark() : 0;
+            return end < 0 ? markUnreadable() : 0;
         }
-        secrets(at, head, lower);
-        return end - at;
+        maskSecretHeaders(start, head, lowerCaseHead);
+        return end - start;
     }
 
-    private static String field(String head, String name) {
-        int from = head.indexOf("\r\n" + name + ":");
-        return from < 0 ? null : head.substring(from + name.length() + 3, head.indexOf("\r\n", from + 2)).strip();
+    private static String headerValue(String lowerCaseHead, String name) {
+        int from = lowerCaseHead.indexOf("\r\n" + name + ":");
+        return from < 0 ? null : lowerCaseHead.substring(from + name.length() + 3, lowerCaseHead.indexOf("\r\n", from + 2)).strip();
     }
 
-    private void secrets(int at, String head, String lower) {
-        for (String name : SECRETS) {
-            int from = lower.indexOf("\r\n" + name + ":");
+    private void maskSecretHeaders(int start, String head, String lowerCaseHead) {
+        for (String name : SECRET_HEADERS) {
+            int from = lowerCaseHead.indexOf("\r\n" + name + ":");
             if (from >= 0) {
                 int begin = from + name.length() + 3;
-                mask.hide(held, at + begin, at + head.indexOf("\r\n", begin));
+                masker.mask(buffer, start + begin, start + head.indexOf("\r\n", begin));
             }
         }
     }
 
     /** Where the last chunk ends, the data hidden on the way; 0 where it is not there, below 0 for no chunks. */
-    private int chunks(int body) {
-        int at = body;
-        int[] places = new int[64];
+    private int maskChunkedBody(int bodyStart) {
+        int chunkStart = bodyStart;
+        int[] chunkBounds = new int[64];
         int count = 0;
         while (true) {
-            int line = at;
-            while (line + 1 < held.length && !(held[line] == '\r' && held[line + 1] == '\n')) {
-                line++;
+            int sizeLineEnd = chunkStart;
+            while (sizeLineEnd + 1 < buffer.length && !(buffer[sizeLineEnd] == '\r' && buffer[sizeLineEnd + 1] == '\n')) {
+                sizeLineEnd++;
             }
-            if (line + 1 >= held.length) {
+            if (sizeLineEnd + 1 >= buffer.length) {
                 return 0;
             }
-            String size = new String(held, at, line - at, StandardCharsets.ISO_8859_1).split(";", 2)[0].strip();
+            String size = new String(buffer, chunkStart, sizeLineEnd - chunkStart, StandardCharsets.ISO_8859_1).split(";", 2)[0].strip();
             if (!size.matches("[0-9a-fA-F]{1,6}")) {
                 return -1;
             }
             int length = Integer.parseInt(size, 16);
-            int end = line + 2 + length + 2;
-            if (end > held.length) {
+            int end = sizeLineEnd + 2 + length + 2;
+            if (end > buffer.length) {
                 return 0;
             }
             if (length == 0) {
-                hideParts(places, count);
+                maskChunks(chunkBounds, count);
                 return end;
             }
-            if (2 * count == places.length) {
-                places = Arrays.copyOf(places, 2 * places.length);
+            if (2 * count == chunkBounds.length) {
+                chunkBounds = Arrays.copyOf(chunkBounds, 2 * chunkBounds.length);
             }
-            places[2 * count] = line + 2;
-            places[2 * count++ + 1] = line + 2 + length;
-            at = end;
+            chunkBounds[2 * count] = sizeLineEnd + 2;
+            chunkBounds[2 * count++ + 1] = sizeLineEnd + 2 + length;
+            chunkStart = end;
         }
     }
 
     /** JSON in pieces: hidden as one, and put back where the pieces were. */
-    private void hideParts(int[] places, int count) {
+    private void maskChunks(int[] chunkBounds, int count) {
         int length = 0;
         for (int i = 0; i < count; i++) {
-            length += places[2 * i + 1] - places[2 * i];
+            length += chunkBounds[2 * i + 1] - chunkBounds[2 * i];
         }
-        byte[] whole = new byte[length];
-        int at = 0;
+        byte[] body = new byte[length];
+        int offset = 0;
         for (int i = 0; i < count; i++) {
-            System.arraycopy(held, places[2 * i], whole, at, places[2 * i + 1] - places[2 * i]);
-            at += places[2 * i + 1] - places[2 * i];
+            System.arraycopy(buffer, chunkBounds[2 * i], body, offset, chunkBounds[2 * i + 1] - chunkBounds[2 * i]);
+            offset += chunkBounds[2 * i + 1] - chunkBounds[2 * i];
         }
-        mask.hideJson(whole, 0, length);
-        at = 0;
+        masker.hideJson(body, 0, length);
+        offset = 0;
         for (int i = 0; i < count; i++) {
-            System.arraycopy(whole, at, held, places[2 * i], places[2 * i + 1] - places[2 * i]);
-            at += places[2 * i + 1] - places[2 * i];
+            System.arraycopy(body, offset, buffer, chunkBounds[2 * i], chunkBounds[2 * i + 1] - chunkBounds[2 * i]);
+            offset += chunkBounds[2 * i + 1] - chunkBounds[2 * i];
         }
     }
 }
--- a/src/main/java/honeygap/capture/replay/Plan.java
+++ b/src/main/java/honeygap/capture/replay/Plan.java
@@ -18,175 +18,175 @@
 public final class Plan {
 
     /** The way decisions go out; each call of {@link #next} makes at most one. */
-    public interface Out {
+    public interface Sender {
 
         /** Sends an RPC on a line; it was due at that time of the replay. */
-        void send(Line line, Spoken spoken, long due);
+        void send(RecordedConnection connection, Spoken rpc, long dueNs);
 
         /** A line has rested for long: its connection may go. */
-        void close(Line line);
+        void close(RecordedConnection connection);
     }
 
     /** A connection of the record, in one round of it. */
-    public final class Line {
+    public final class RecordedConnection {
 
         /** For whoever carries it out. */
-        public Object subject;
-        private final ArrayDeque<Due> waiting = new ArrayDeque<>();
+        public Object attachment;
+        private final ArrayDeque<ScheduledRpc> waiting = new ArrayDeque<>();
         private boolean isBusy;
-        private long restsSince;
+        private long idleSinceNs;
         private final String name;
 
-        private Line(String name) {
+        private RecordedConnection(String name) {
             this.name = name;
         }
     }
 
-    private static final class Due implements Comparable<Due> {
-        final Spoken spoken;
-        final long at;
-        final long number;
-        final Line line;
-
-        Due(Spoken spoken, long at, long number, Line line) {
-            this.spoken = spoken;
-            this.at = at;
-            this.number = number;
-            this.line = line;
+    private static final class ScheduledRpc implements Comparable<ScheduledRpc> {
+        final Spoken rpc;
+        final long dueNs;
+        final long sequence;
+        final RecordedConnection connection;
+
+        ScheduledRpc(Spoken rpc, long dueNs, long sequence, RecordedConnection connection) {
+            this.rpc = rpc;
+            this.dueNs = dueNs;
+            this.sequence = sequence;
+            this.connection = connection;
         }
 
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+        public int compareTo(ScheduledRpc other) {
+            return dueNs != other.dueNs ? Long.compare(dueNs, other.dueNs) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final double speed;
-    private final boolean effects;
-    private final Predicate<Spoken> wanted;
-    private final long rest;
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final boolean includeEffects;
+    private final Predicate<Spoken> filter;
+    private final long idleTimeoutNs;
+    private final PriorityQueue<ScheduledRpc> scheduled = new PriorityQueue<>();
     /** Lines whose next RPC is due and that are free. */
-    private final ArrayDeque<Line> ready = new ArrayDeque<>();
-    private final Map<String, Line> lines = new HashMap<>();
+    private final ArrayDeque<RecordedConnection> ready = new ArrayDeque<>();
+    private final Map<String, RecordedConnection> connections = new HashMap<>();
     /** Those with nothing to do, the one that has rested longest first. */
-    private final Set<Line> resting = new LinkedHashSet<>();
-    private long now;
-    private long firstAt = Long.MIN_VALUE;
+    private final Set<RecordedConnection> idle = new LinkedHashSet<>();
+    private long nowNs;
+    private long firstRequestNs = Long.MIN_VALUE;
     private int round;
-    private long roundFrom;
-    private long lastDue;
-    private long numbers;
-    private int open;
-    private long leftOut;
-    private long unwanted;
-    private long held;
+    private long roundStartNs;
+    private long lastDueNs;
+    private long nextSequence;
+    private int incomplete;
+    private long skippedForEffects;
+    private long notSelected;
+    private long delayedByPrevious;
 
     /** How many times as fast; whether what may have an effect is sent; which are; how long a free line is kept. */
-    public Plan(double speed, boolean effects, Predicate<Spoken> wanted, long rest) {
+    public Plan(double speed, boolean includeEffects, Predicate<Spoken> filter, long idleTimeoutNs) {
         this.speed = speed;
-        this.effects = effects;
-        this.wanted = wanted;
-        this.rest = rest;
+        this.includeEffects = includeEffects;
+        this.filter = filter;
+        this.idleTimeoutNs = idleTimeoutNs;
     }
 
     /** The time of the replay, from 0. */
-    public void now(long now) {
-        this.now = now;
+    public void setNow(long nowNs) {
+        this.nowNs = nowNs;
     }
 
     /** The record begins anew: what comes now is due behind all that was. */
-    public void again() {
+    public void startRound() {
         round++;
-        roundFrom = lastDue;
-        firstAt = Long.MIN_VALUE;
+        roundStartNs = lastDueNs;
+        firstRequestNs = Long.MIN_VALUE;
     }
 
     /** The next recorded RPC; of one connection they come in their order. */
-    public void recorded(Spoken spoken) {
-        if (!wanted.test(spoken)) {
-            unwanted++;
+    public void schedule(Spoken rpc) {
+        if (!filter.test(rpc)) {
+            notSelected++;
             return;
         }
-        if (!effects && !spoken.isRead) {
-            leftOut++;
+        if (!includeEffects && !rpc.isReadOnly) {
+            skippedForEffects++;
             return;
         }
-        if (firstAt == Long.MIN_VALUE) {
-            firstAt = spoken.at;
+        if (firstRequestNs == Long.MIN_VALUE) {
+            firstRequestNs = rpc.at;
         }
-        long at = Math.max(0, roundFrom + (long) ((spoken.at - firstAt) / speed));
-        lastDue = Math.max(lastDue, at);
-        Line line = lines.computeIfAbsent(round + "/" + spoken.connection + "/" + spoken.client, Line::new);
-        resting.remove(line);
-        due.add(new Due(spoken, at, numbers++, line));
-        open++;
+        long dueNs = Math.max(0, roundStartNs + (long) ((rpc.at - firstRequestNs) / speed));
+        lastDueNs = Math.max(lastDueNs, dueNs);
+        RecordedConnection connection = connections.computeIfAbsent(round + "/" + rpc.connection + "/" + rpc.client, RecordedConnection::new);
+        idle.remove(connection);
+        scheduled.add(new ScheduledRpc(rpc, dueNs, nextSequence++, connection));
+        incomplete++;
     }
 
     /** What was sent on a line has its answer, or will have none. */
-    public void ended(Line line) {
-        line.isBusy = false;
-        open--;
-        if (line.waiting.isEmpty()) {
-            line.restsSince = now;
-            resting.add(line);
+    public void rpcCompleted(RecordedConnection connection) {
+        connection.isBusy = false;
+        incomplete--;
+        if (connection.waiting.isEmpty()) {
+            connection.idleSinceNs = nowNs;
+            idle.add(connection);
         } else {
-            ready.add(line);
+            ready.add(connection);
         }
     }
 
     /** RPCs known and not ended. */
-    public int open() {
-        return open;
+    public int incomplete() {
+        return incomplete;
     }
 
     /** When the next one is due; the greatest number where none is. */
-    public long wakeAt() {
-        return due.isEmpty() ? Long.MAX_VALUE : due.peek().at;
+    public long nextDueNs() {
+        return scheduled.isEmpty() ? Long.MAX_VALUE : scheduled.peek().dueNs;
     }
 
     /** Recorded ones that were not sent since they may have an effect. */
-    public long leftOut() {
-        return leftOut;
+    public long skippedForEffects() {
+        return skippedForEffects;
     }
 
-    public long unwanted() {
-        return unwanted;
+    public long notSelected() {
+        return notSelected;
     }
 
     /** Those that waited for the one before them on their connection. */
-    public long held() {
-        return held;
+    public long delayedByPrevious() {
+        return delayedByPrevious;
     }
 
-    public boolean next(Out out) {
-        while (!due.isEmpty() && due.peek().at <= now) {
-            Due one = due.poll();
-            if (one.line.isBusy || !one.line.waiting.isEmpty()) {
-                held++;
+    public boolean next(Sender sender) {
+        while (!scheduled.isEmpty() && scheduled.peek().dueNs <= nowNs) {
+            ScheduledRpc rpc = scheduled.poll();
+            if (rpc.connection.isBusy || !rpc.connection.waiting.isEmpty()) {
+                delayedByPrevious++;
             } else {
-                ready.add(one.line);
+                ready.add(rpc.connection);
             }
-            one.line.waiting.add(one);
+            rpc.connection.waiting.add(rpc);
         }
         while (!ready.isEmpty()) {
-            Line line = ready.poll();
-            if (!line.isBusy && !line.waiting.isEmpty()) {
-                Due one = line.waiting.poll();
-                line.isBusy = true;
-                out.send(line, one.spoken, one.at);
+            RecordedConnection connection = ready.poll();
+            if (!connection.isBusy && !connection.waiting.isEmpty()) {
+                ScheduledRpc rpc = connection.waiting.poll();
+                connection.isBusy = true;
+                sender.send(connection, rpc.rpc, rpc.dueNs);
                 return true;
             }
         }
-        if (!resting.isEmpty()) {
-            Line line = resting.iterator().next();
-            if (now - line.restsSince > rest) {
-                resting.remove(line);
+        if (!idle.isEmpty()) {
+            RecordedConnection connection = idle.iterator().next();
+            if (nowNs - connection.idleSinceNs > idleTimeoutNs) {
+                idle.remove(connection);
                 // One that has more to come is opened anew.
-                if (due.stream().noneMatch(one -> one.line == line)) {
-                    lines.remove(line.name);
+                if (scheduled.stream().noneMatch(rpc -> rpc.connection == connection)) {
+                    connections.remove(connection.name);
                 }
-                out.close(line);
+                sender.close(connection);
                 return true;
             }
         }
--- a/src/main/java/honeygap/capture/replay/Replayer.java
+++ b/src/main/java/honeygap/capture/replay/Replayer.java
@@ -18,80 +18,80 @@
 import org.apache.mina.core.session.IoSession;
 
 /** Carries a plan out against one address: reads ahead on a thread of its own, sends and hears on a loop. */
-public final class Replayer implements Loop.Core, Plan.Out {
+public final class Replayer implements Loop.Core, Plan.Sender {
 
     /** Reads a record once, from its beginning, and hands on each RPC in the order of their times. */
     public interface Source {
 
-        void read(java.util.function.Consumer<Spoken> each) throws Exception;
+        void read(java.util.function.Consumer<Spoken> consumer) throws Exception;
     }
 
-    private static final long TENTH = 100_000;
-    private static final int AHEAD = 20_000;
-    private static final long MARGIN_MS = 2_000;
-    private static final int LONGEST = 1 << 20;
+    private static final long NANOS_PER_TICK = 100_000;
+    private static final int READ_AHEAD_RPCS = 20_000;
+    private static final long TIMEOUT_MARGIN_MS = 2_000;
+    private static final int MAX_MESSAGE_BYTES = 1 << 20;
     /** A mark in the queue: the record begins anew, and it has ended. */
-    private static final Spoken AGAIN = new Spoken();
-    private static final Spoken END = new Spoken();
+    private static final Spoken NEXT_ROUND_MARKER = new Spoken();
+    private static final Spoken END_MARKER = new Spoken();
 
     private final Loop loop = new Loop(true);
     private final InetSocketAddress target;
-    private final Plan plan;
-    private final Rewriting rewriting;
-    private final Tally tally;
-    private final boolean byValue;
-    private final BlockingQueue<Spoken> read = new ArrayBlockingQueue<>(AHEAD);
-    private final CountDownLatch done = new CountDownLatch(1);
-    private volatile Exception failed;
-    private long zero = -1;
+    private final Plan schedule;
+    private final Rewriting rewriter;
+    private final Tally report;
+    private final boolean compareValues;
+    private final BlockingQueue<Spoken> readAhead = new ArrayBlockingQueue<>(READ_AHEAD_RPCS);
+    private final CountDownLatch finished = new CountDownLatch(1);
+    private volatile Exception readFailure;
+    private long startTick = -1;
     private int round;
-    private boolean isAllRead;
-    private boolean isOver;
-    private long wakeAt = Long.MAX_VALUE;
+    private boolean isSourceExhausted;
+    private boolean isFinished;
+    private long wakeupTick = Long.MAX_VALUE;
 
-    public Replayer(InetSocketAddress target, Plan plan, Rewriting rewriting, Tally tally, boolean byValue) {
+    public Replayer(InetSocketAddress target, Plan schedule, Rewriting rewriter, Tally report, boolean compareValues) {
         this.target = target;
-        this.plan = plan;
-        this.rewriting = rewriting;
-        this.tally = tally;
-        this.byValue = byValue;
+        this.schedule = schedule;
+        this.rewriter = rewriter;
+        this.report = report;
+        this.compareValues = compareValues;
     }
 
     /** Plays the record so many times; comes back when all has ended. Progress is told every so often. */
-    public void play(Source source, int times, Runnable progress) throws Exception {
+    public void play(Source source, int rounds, Runnable progress) throws Exception {
         Thread reader = new Thread(() -> {
             try {
-                for (int i = 0; i < times; i++) {
+                for (int i = 0; i < rounds; i++) {
                     if (i > 0) {
-                        put(AGAIN);
+                        enqueue(NEXT_ROUND_MARKER);
                     }
-                    source.read(this::put);
+                    source.read(this::enqueue);
                 }
             } catch (Exception e) {
-                failed = e;
+                readFailure = e;
             }
-            put(END);
+            enqueue(END_MARKER);
         }, "read ahead");
         reader.setDaemon(true);
         reader.start();
         // What is due first is there before the clock begins.
-        while (read.isEmpty()) {
+        while (readAhead.isEmpty()) {
             Thread.sleep(1);
         }
         loop.start(this);
         loop.post(() -> { });
-        while (!done.await(1, java.util.concurrent.TimeUnit.SECONDS)) {
+        while (!finished.await(1, java.util.concurrent.TimeUnit.SECONDS)) {
             progress.run();
         }
         loop.end();
-        if (failed != null) {
-            throw failed;
+        if (readFailure != null) {
+            throw readFailure;
         }
     }
 
-    private void put(Spoken spoken) {
+    private void enqueue(Spoken rpc) {
         try {
-            read.put(spoken);
+            readAhead.put(rpc);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -99,122 +99,122 @@
 
     @Override
     public void now(long now) {
-        zero = zero < 0 ? now : zero;
-        plan.now((now - zero) * TENTH);
+        startTick = startTick < 0 ? now : startTick;
+        schedule.setNow((now - startTick) * NANOS_PER_TICK);
         // As much as will be due soon; the rest waits in the queue, whose length is bounded.
-        while (plan.open() < AHEAD) {
-            Spoken spoken = read.poll();
-            if (spoken == null) {
+        while (schedule.incomplete() < READ_AHEAD_RPCS) {
+            Spoken rpc = readAhead.poll();
+            if (rpc == null) {
                 break;
-            } else if (spoken == AGAIN) {
-                plan.again();
+            } else if (rpc == NEXT_ROUND_MARKER) {
+                schedule.startRound();
                 round++;
-            } else if (spoken == END) {
-                isAllRead = true;
+            } else if (rpc == END_MARKER) {
+                isSourceExhausted = true;
             } else {
-                plan.recorded(spoken);
+                schedule.schedule(rpc);
             }
         }
     }
 
     @Override
     public boolean next() {
-        if (plan.next(this)) {
+        if (schedule.next(this)) {
             return true;
         }
-        if (isAllRead && plan.open() == 0) {
-            if (!isOver) {
-                isOver = true;
-                done.countDown();
+        if (isSourceExhausted && schedule.incomplete() == 0) {
+            if (!isFinished) {
+                isFinished = true;
+                finished.countDown();
             }
             return false;
         }
         // Awake for the next one that is due, or soon, to read on.
-        long next = Math.min(zero + plan.wakeAt() / TENTH, loop.now() + 100);
-        if (next < wakeAt || wakeAt <= loop.now()) {
-            wakeAt = Math.max(loop.now() + 1, next);
-            loop.at(wakeAt, () -> wakeAt = Long.MAX_VALUE);
+        long nextTick = Math.min(startTick + schedule.nextDueNs() / NANOS_PER_TICK, loop.now() + 100);
+        if (nextTick < wakeupTick || wakeupTick <= loop.now()) {
+            wakeupTick = Math.max(loop.now() + 1, nextTick);
+            loop.at(wakeupTick, () -> wakeupTick = Long.MAX_VALUE);
         }
         return false;
     }
 
-    private long nanos() {
-        return (loop.clock() - zero) * TENTH;
+    private long replayTimeNs() {
+        return (loop.clock() - startTick) * NANOS_PER_TICK;
     }
 
     @Override
-    public void send(Plan.Line line, Spoken spoken, long due) {
-        Wire wire = (Wire) line.subject;
-        if (wire == null || wire.isOver) {
-            wire = spoken.protocol.equals("pg") ? new Pg(line) : new Http(line);
-            line.subject = wire;
-            loop.connect(target, wire);
+    public void send(Plan.RecordedConnection recordedConnection, Spoken rpc, long dueNs) {
+        ReplayConnection connection = (ReplayConnection) recordedConnection.attachment;
+        if (connection == null || connection.isClosed) {
+            connection = rpc.protocol.equals("pg") ? new PgConnection(recordedConnection) : new HttpConnection(recordedConnection);
+            recordedConnection.attachment = connection;
+            loop.connect(target, connection);
         }
-        wire.carry(spoken, due);
+        connection.sendRpc(rpc, dueNs);
     }
 
     @Override
-    public void close(Plan.Line line) {
-        if (line.subject instanceof Wire wire) {
-            wire.drop();
+    public void close(Plan.RecordedConnection recordedConnection) {
+        if (recordedConnection.attachment instanceof ReplayConnection connection) {
+            connection.abort();
         }
     }
 
     /** A connection that carries one RPC at a time. */
-    private abstract class Wire implements Peer {
+    private abstract class ReplayConnection implements Peer {
 
-        final Plan.Line line;
+        final Plan.RecordedConnection recordedConnection;
         IoSession session;
         boolean isReady;
-        boolean isOver;
-        Spoken spoken;
-        private long due;
-        private Loop.Timer timer;
+        boolean isClosed;
+        Spoken rpc;
+        private long dueNs;
+        private Loop.Timer timeout;
 
-        Wire(Plan.Line line) {
-            this.line = line;
+        ReplayConnection(Plan.RecordedConnection recordedConnection) {
+            this.recordedConnection = recordedConnection;
         }
 
-        void carry(Spoken spoken, long due) {
-            this.spoken = spoken;
-            this.due = due;
-            tally.sent(nanos() - due);
-            long patience = Math.max(spoken.deadlineMs, 1_000) + MARGIN_MS;
-            timer = loop.at(loop.now() + patience * 10, this::drop);
+        void sendRpc(Spoken rpc, long dueNs) {
+            this.rpc = rpc;
+            this.dueNs = dueNs;
+            report.rpcSent(replayTimeNs() - dueNs);
+            long timeoutMs = Math.max(rpc.deadlineMs, 1_000) + TIMEOUT_MARGIN_MS;
+            timeout = loop.at(loop.now() + timeoutMs * 10, this::abort);
             if (isReady) {
-                write();
+                writeRequest();
             }
         }
 
-        void write() {
-            session.write(new Gathered(rewriting.request(spoken, round)));
+        void writeRequest() {
+            session.write(new Gathered(rewriter.rewrite(rpc, round)));
         }
 
-        void ended(Spoken.Outcome outcome, byte[] answer) {
-            if (spoken != null) {
-                timer.callOff();
-                Spoken was = spoken;
-                spoken = null;
-                boolean isComparable = byValue && answer != null && was.outcome == Spoken.Outcome.served
+        void completeRpc(Spoken.Outcome outcome, byte[] response) {
+            if (rpc != null) {
+                timeout.callOff();
+                Spoken completed = rpc;
+                rpc = null;
+                boolean isComparable = compareValues && response != null && completed.outcome == Spoken.Outcome.served
                         && outcome == Spoken.Outcome.served;
-                tally.ended(was, outcome, nanos() - due, isComparable ? Arrays.equals(was.answer, answer) : null);
-                loop.gather(() -> plan.ended(line));
+                report.rpcCompleted(completed, outcome, replayTimeNs() - dueNs, isComparable ? Arrays.equals(completed.answer, response) : null);
+                loop.gather(() -> schedule.rpcCompleted(recordedConnection));
             }
         }
 
-        void drop() {
-            if (!isOver) {
-                isOver = true;
+        void abort() {
+            if (!isClosed) {
+                isClosed = true;
                 if (session != null) {
                     session.closeNow();
                 }
-                ended(Spoken.Outcome.open, null);
+                completeRpc(Spoken.Outcome.open, null);
             }
         }
 
         @Override
         public void unreachable() {
-            drop();
+            abort();
         }
 
         @Override
@@ -223,36 +223,36 @@
 
         @Override
         public void closed() {
-            drop();
+            abort();
         }
 
         @Override
         public void received(ByteBuffer bytes) {
             try {
-                read(bytes);
+                parse(bytes);
             } catch (Malformed e) {
-                ended(Spoken.Outcome.torn, null);
-                drop();
+                completeRpc(Spoken.Outcome.torn, null);
+                abort();
             }
         }
 
-        abstract void read(ByteBuffer bytes) throws Malformed;
+        abstract void parse(ByteBuffer bytes) throws Malformed;
     }
 
-    private final class Pg extends Wire {
+    private final class PgConnection extends ReplayConnection {
 
-        private final Frames frames = new Frames(LONGEST);
-        private final ByteArrayOutputStream answer = new ByteArrayOutputStream();
+        private final Frames frames = new Frames(MAX_MESSAGE_BYTES);
+        private final ByteArrayOutputStream response = new ByteArrayOutputStream();
         private Spoken.Outcome outcome;
 
-        Pg(Plan.Line line) {
-            super(line);
+        PgConnection(Plan.RecordedConnection recordedConnection) {
+            super(recordedConnection);
         }
 
         @Override
         public void opened(IoSession session) {
             this.session = session;
-            if (isOver) {
+            if (isClosed) {
                 session.closeNow();
             } else {
                 session.write(new Gathered(Words.startup()));
@@ -260,73 +260,73 @@
         }
 
         @Override
-        void read(ByteBuffer bytes) throws Malformed {
+        void parse(ByteBuffer bytes) throws Malformed {
             frames.feed(bytes);
-            while (!isOver && frames.next()) {
+            while (!isClosed && frames.next()) {
                 byte type = frames.type();
                 if (type == 'T' || type == 'D' || type == 'C' || type == 'E') {
-                    byte[] whole = new byte[frames.whole().remaining()];
-                    frames.whole().duplicate().get(whole);
-                    answer.writeBytes(whole);
+                    byte[] message = new byte[frames.whole().remaining()];
+                    frames.whole().duplicate().get(message);
+                    response.writeBytes(message);
                 }
                 if (type == 'C') {
                     outcome = Spoken.Outcome.served;
                 } else if (type == 'E') {
-                    outcome = Spoken.Outcome.ofCode(Words.field(frames.body(), 'C'));
+                    outcome = Spoken.Outcome.ofSqlState(Words.field(frames.body(), 'C'));
                     if (Words.field(frames.body(), 'S').equals("FATAL")) {
-                        ended(outcome, null);
-                        drop();
+                        completeRpc(outcome, null);
+                        abort();
                     }
                 } else if (type == 'Z') {
-                    ready();
+                    readyForQuery();
                 }
             }
         }
 
-        private void ready() {
+        private void readyForQuery() {
             boolean wasReady = isReady;
             isReady = true;
-            byte[] bytes = answer.toByteArray();
-            answer.reset();
+            byte[] bytes = response.toByteArray();
+            response.reset();
             if (wasReady) {
-                ended(outcome == null ? Spoken.Outcome.failed : outcome, bytes);
-            } else if (spoken != null) {
-                write();
+                completeRpc(outcome == null ? Spoken.Outcome.failed : outcome, bytes);
+            } else if (rpc != null) {
+                writeRequest();
             }
             outcome = null;
         }
     }
 
-    private final class Http extends Wire implements Answers.Reader {
+    private final class HttpConnection extends ReplayConnection implements Answers.Reader {
 
-        private final Answers answers = new Answers(this);
+        private final Answers responseParser = new Answers(this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
-        private boolean isLast;
+        private boolean isCloseRequested;
 
-        Http(Plan.Line line) {
-            super(line);
+        HttpConnection(Plan.RecordedConnection recordedConnection) {
+            super(recordedConnection);
         }
 
         @Override
         public void opened(IoSession session) {
             this.session = session;
             isReady = true;
-            if (isOver) {
+            if (isClosed) {
                 session.closeNow();
-            } else if (spoken != null) {
-                write();
+            } else if (rpc != null) {
+                writeRequest();
             }
         }
 
         @Override
-        void read(ByteBuffer bytes) throws Malformed {
-            answers.feed(bytes);
+        void parse(ByteBuffer bytes) throws Malformed {
+            responseParser.feed(bytes);
         }
 
         @Override
         public void field(String name, String value) {
-            isLast |= name.equals("connection") && value.equalsIgnoreCase("close");
+            isCloseRequested |= name.equals("connection") && value.equalsIgnoreCase("close");
         }
 
         @Override
@@ -336,7 +336,7 @@
 
         @Override
         public void data(ByteBuffer bytes) throws Malformed {
-            if (body.size() + bytes.remaining() > LONGEST) {
+            if (body.size() + bytes.remaining() > MAX_MESSAGE_BYTES) {
                 throw new Malformed("an answer too long");
             }
             while (bytes.hasRemaining()) {
@@ -349,9 +349,9 @@
         public void end() {
             byte[] bytes = body.toByteArray();
             body.reset();
-            ended(Spoken.Outcome.ofStatus(status), bytes);
-            if (isLast) {
-                drop();
+            completeRpc(Spoken.Outcome.ofHttpStatus(status), bytes);
+            if (isCloseRequested) {
+                abort();
             }
         }
     }
--- a/src/main/java/honeygap/capture/replay/Rewriting.java
+++ b/src/main/java/honeygap/capture/replay/Rewriting.java
@@ -15,26 +15,26 @@
 
     private final long seed;
     private final long deadlineMs;
-    private final Mask mask;
-    private long ids;
+    private final Mask keyMasker;
+    private long idCount;
 
     /** A deadline of 0 is the recorded one; without a mask keys stay as they are. */
-    public Rewriting(long seed, long deadlineMs, Mask mask) {
+    public Rewriting(long seed, long deadlineMs, Mask keyMasker) {
         this.seed = seed;
         this.deadlineMs = deadlineMs;
-        this.mask = mask;
+        this.keyMasker = keyMasker;
     }
 
     /** The whole message, with its length. */
-    public ByteBuffer request(Spoken spoken, int round) {
-        if (!spoken.protocol.equals("pg")) {
-            return ByteBuffer.wrap(spoken.request);
+    public ByteBuffer rewrite(Spoken rpc, int round) {
+        if (!rpc.protocol.equals("pg")) {
+            return ByteBuffer.wrap(rpc.request);
         }
-        String text = new String(spoken.request, 5, spoken.request.length - 6, StandardCharsets.ISO_8859_1);
+        String text = new String(rpc.request, 5, rpc.request.length - 6, StandardCharsets.ISO_8859_1);
         int comment = text.lastIndexOf("/*");
         int quote = text.indexOf('\'');
         int end = text.indexOf('\'', quote + 1);
-        String statement = text.substring(0, quote + 1) + mapped(text.substring(quote + 1, end))
+        String statement = text.substring(0, quote + 1) + mapKey(text.substring(quote + 1, end))
                 + text.substring(end, comment);
         StringBuilder fields = new StringBuilder();
         for (String field : text.substring(comment + 2, text.lastIndexOf("*/")).split(",")) {
@@ -42,34 +42,34 @@
             String name = field.substring(0, Math.max(0, equals)).strip();
             String value = field.substring(equals + 1).strip();
             if (name.equals("id")) {
-                value = id();
+                value = nextId();
             } else if (name.equals("d") && deadlineMs > 0) {
                 value = Long.toString(deadlineMs);
             } else if (name.equals("k")) {
                 // A token names one effect: in another round of the record it is another one.
-                value = token(value, round);
+                value = mapToken(value, round);
             }
             fields.append(fields.length() > 0 ? "," : "").append(name).append('=').append(value);
         }
         return Words.query(statement + "/* " + fields + " */");
     }
 
-    private String id() {
-        byte[] bytes = ByteBuffer.allocate(16).putLong(seed).putLong(ids++).array();
+    private String nextId() {
+        byte[] bytes = ByteBuffer.allocate(16).putLong(seed).putLong(idCount++).array();
         return String.format("%016x", MurmurHash3.hash128x64(bytes, 0, 16, 0)[0]);
     }
 
-    private String token(String value, int round) {
+    private String mapToken(String value, int round) {
         byte[] bytes = (seed + "/" + round + "/" + value).getBytes(StandardCharsets.UTF_8);
         return String.format("%016x", MurmurHash3.hash128x64(bytes, 0, bytes.length, 0)[0]);
     }
 
-    private String mapped(String key) {
-        if (mask == null) {
+    private String mapKey(String key) {
+        if (keyMasker == null) {
             return key;
         }
         byte[] bytes = key.getBytes(StandardCharsets.ISO_8859_1);
-        mask.hide(bytes, 0, bytes.length);
+        keyMasker.mask(bytes, 0, bytes.length);
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/test/java/honeygap/bench/CaptureSpeed.java
+++ b/src/test/java/honeygap/bench/CaptureSpeed.java
@@ -103,7 +103,7 @@
         time("RPCs", size, () -> {
             long[] rpcs = {0};
             try (Reading reading = new Reading(List.of(file))) {
-                reading.conversations(spoken -> rpcs[0]++, packet -> { });
+                reading.conversations(rpc -> rpcs[0]++, packet -> { });
             }
             return rpcs[0];
         });
--- a/src/test/java/honeygap/capture/RoundTripTest.java
+++ b/src/test/java/honeygap/capture/RoundTripTest.java
@@ -152,9 +152,9 @@
         start(secret == null ? null : new Mask(secret.getBytes(StandardCharsets.UTF_8)), 8 << 20, 1 << 30, 10);
         Path file = morning(11, 200, 3);
         List<Spoken> made = read(List.of(file));
-        long wanted = made.stream().filter(one -> effects || one.isRead).count();
+        long wanted = made.stream().filter(one -> effects || one.isReadOnly).count();
         Tally tally = replay(file, effects, "served", 2, 1);
-        long served = made.stream().filter(one -> (effects || one.isRead) && one.outcome == Spoken.Outcome.served)
+        long served = made.stream().filter(one -> (effects || one.isReadOnly) && one.outcome == Spoken.Outcome.served)
                 .count();
         assertEquals(served + " " + served, tally.sent() + " " + tally.ended());
         assertTrue(wanted > 100 && served < wanted);
@@ -301,7 +301,7 @@
         start(null, 8 << 20, 1 << 30, 3);
         Path file = morning(16, 100, 2);
         List<Spoken> made = read(List.of(file));
-        long wanted = made.stream().filter(honeygap.capture.query.Filter.of(where)).filter(one -> one.isRead).count();
+        long wanted = made.stream().filter(honeygap.capture.query.Filter.of(where)).filter(one -> one.isReadOnly).count();
         long since = System.nanoTime();
         Tally tally = replay(file, false, where, speed, repeat);
         double seconds = (System.nanoTime() - since) / 1e9;
@@ -316,55 +316,55 @@
     /** The plan alone, on a clock of its own: due times, the order of a connection, a busy one, rest. */
     @Test
     void plan() {
-        Plan plan = new Plan(2, false, spoken -> true, 1000);
+        Plan plan = new Plan(2, false, rpc -> true, 1000);
         List<String> said = new ArrayList<>();
-        Map<String, Plan.Line> lines = new HashMap<>();
-        Plan.Out out = new Plan.Out() {
+        Map<String, Plan.RecordedConnection> lines = new HashMap<>();
+        Plan.Sender out = new Plan.Sender() {
             @Override
-            public void send(Plan.Line line, Spoken spoken, long due) {
-                said.add(spoken.id + "@" + due);
-                lines.put(spoken.id, line);
+            public void send(Plan.RecordedConnection line, Spoken rpc, long due) {
+                said.add(rpc.id + "@" + due);
+                lines.put(rpc.id, line);
             }
 
             @Override
-            public void close(Plan.Line line) {
+            public void close(Plan.RecordedConnection line) {
                 said.add("close");
             }
         };
-        plan.recorded(spoken("a", 1, 1000, true));
-        plan.recorded(spoken("b", 1, 1200, true));
-        plan.recorded(spoken("c", 2, 1200, true));
-        plan.recorded(spoken("d", 2, 1300, false));
+        plan.schedule(rpc("a", 1, 1000, true));
+        plan.schedule(rpc("b", 1, 1200, true));
+        plan.schedule(rpc("c", 2, 1200, true));
+        plan.schedule(rpc("d", 2, 1300, false));
         assertEquals("[a@0]", pull(plan, out, said, 0));
         assertEquals("[c@100]", pull(plan, out, said, 100), "b waits for a");
-        plan.ended(lines.get("a"));
+        plan.rpcCompleted(lines.get("a"));
         assertEquals("[b@100]", pull(plan, out, said, 150));
-        plan.ended(lines.get("b"));
-        plan.ended(lines.get("c"));
-        plan.again();
-        plan.recorded(spoken("e", 1, 1000, true));
+        plan.rpcCompleted(lines.get("b"));
+        plan.rpcCompleted(lines.get("c"));
+        plan.startRound();
+        plan.schedule(rpc("e", 1, 1000, true));
         assertEquals("[e@100]", pull(plan, out, said, 160));
-        plan.ended(lines.get("e"));
+        plan.rpcCompleted(lines.get("e"));
         assertEquals("[close, close, close]", pull(plan, out, said, 5000));
-        assertEquals("0 1 1", plan.open() + " " + plan.leftOut() + " " + plan.held());
+        assertEquals("0 1 1", plan.incomplete() + " " + plan.skippedForEffects() + " " + plan.delayedByPrevious());
     }
 
-    private static String pull(Plan plan, Plan.Out out, List<String> said, long now) {
+    private static String pull(Plan plan, Plan.Sender out, List<String> said, long now) {
         said.clear();
-        plan.now(now);
+        plan.setNow(now);
         while (plan.next(out)) {
             continue;
         }
         return said.toString();
     }
 
-    private static Spoken spoken(String id, long connection, long at, boolean isRead) {
-        Spoken spoken = new Spoken();
-        spoken.id = id;
-        spoken.connection = connection;
-        spoken.at = at;
-        spoken.isRead = isRead;
-        return spoken;
+    private static Spoken rpc(String id, long connection, long at, boolean isRead) {
+        Spoken rpc = new Spoken();
+        rpc.id = id;
+        rpc.connection = connection;
+        rpc.at = at;
+        rpc.isReadOnly = isRead;
+        return rpc;
     }
 
     /** The ring between two threads: what is put comes out once, whole and in order, or is refused. */
