--- a/src/main/antlr4/honeygap/capture/query/Query.g4
+++ b/src/main/antlr4/honeygap/capture/query/Query.g4
@@ -1,4 +1,4 @@
-// The filter language of captures: method == "book" and took > 20ms and not served
+// Filter expressions that select RPCs of a capture: method == "book" and took > 20ms and not served
 grammar Query;
 
 whole: either EOF;
--- a/src/main/java/honeygap/capture/make/Morning.java
+++ b/src/main/java/honeygap/capture/make/Morning.java
@@ -21,22 +21,24 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Makes a morning of PostgreSQL traffic from a seed: RPCs come at a rate that swells to its peak in the middle and
- * ebbs again, keys by Zipf, methods by shares, times of answers log-normal, sizes of values by Pareto.
+ * Generates a sample capture of PostgreSQL traffic from a seed. The RPC rate rises to its peak in the middle of the
+ * capture and falls again. Keys follow a Zipf distribution, methods fixed shares, response times a log-normal and
+ * value sizes a Pareto distribution.
  */
 public final class Morning {
 
-    /** One method: its name, its share of the RPCs, whether it only reads, its deadline and its mean time in ms. */
+    /** A method: its name, share of the RPCs, whether it only reads, its deadline and its mean response time in ms. */
     public record MethodProfile(String name, double share, boolean isReadOnly, long deadlineMs, double meanMs) { }
 
-    public static final List<MethodProfile> METHODS = List.of(new MethodProfile("look", 0.7, true, 500, 4), new MethodProfile("basket", 0.2, true,
-            500, 8), new MethodProfile("book", 0.08, false, 1000, 15), new MethodProfile("assign", 0.02, false, 1000, 20));
+    public static final List<MethodProfile> METHODS = List.of(
+            new MethodProfile("look", 0.7, true, 500, 4), new MethodProfile("basket", 0.2, true, 500, 8),
+            new MethodProfile("book", 0.08, false, 1000, 15), new MethodProfile("assign", 0.02, false, 1000, 20));
 
     private static final long NANOS_PER_MS = 1_000_000;
     private static final double RESPONSE_TIME_SIGMA = 0.6;
     private static final double PUSHED_BACK_SHARE = 0.01;
     private static final double FAILED_SHARE = 0.004;
-    /** Part of the peak's rate at the two ends of the morning. */
+    /** Rate at the start and the end of the capture, as a share of the peak rate. */
     private static final double MIN_RATE_SHARE = 0.2;
     private static final int MAX_VALUE_HEX_DIGITS = 4000;
     private static final String[] TENANTS = {"acme", "valley", "ridge"};
@@ -76,8 +78,17 @@
         }
     }
 
-    /** Mean RPCs a second at the peak, nanoseconds that it lasts, when it begins, how many keys, where servers are. */
-    public Morning(Synthesis.Sink sink, long seed, double peakRate, long durationNs, long startNs, int keyCount, Address server) {
+    /**
+     * Creates a generator that writes its packets to a sink.
+     *
+     * @param peakRate mean RPCs per second at the peak
+     * @param durationNs length of the generated traffic
+     * @param startNs time of its start, since the Unix epoch
+     * @param keyCount number of different keys
+     * @param server address of the server
+     */
+    public Morning(Synthesis.Sink sink, long seed, double peakRate, long durationNs, long startNs, int keyCount,
+                   Address server) {
         synthesizer = new Synthesis(sink);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.peakRate = peakRate;
@@ -93,7 +104,7 @@
         }
     }
 
-    /** The value that goes with a key, in hexadecimal: the same wherever it is made. */
+    /** Returns the value of a key in hexadecimal; it depends only on the key and the length. */
     public static String value(String key, int length) {
         StringBuilder digits = new StringBuilder(length);
         byte[] bytes = key.getBytes(StandardCharsets.UTF_8);
@@ -104,18 +115,19 @@
         return digits.toString();
     }
 
-    /** How long a key's value is, by the key alone. */
+    /** Returns the length of a key's value in bytes, which depends only on the key. */
     public static int valueLength(String key) {
         return 16 + (int) (Long.parseUnsignedLong(key, 16) >>> 56 & 31);
     }
 
-    /** Makes all of it; how many RPCs. */
+    /** Generates the whole capture and returns the number of RPCs. */
     public long make() throws IOException {
         long offsetNs = 0;
         while (offsetNs < durationNs) {
-            // From the rate at the peak, thinned to what the curve has at that time.
+            // Thinning: draws arrivals at the peak rate and keeps them with the probability given by the rate curve.
             offsetNs += (long) (arrivalGaps.sample() * 1e9 / peakRate);
-            double rateShare = MIN_RATE_SHARE + (1 - MIN_RATE_SHARE) * Math.pow(Math.sin(Math.PI * offsetNs / durationNs), 2);
+            double rateShare = MIN_RATE_SHARE
+                    + (1 - MIN_RATE_SHARE) * Math.pow(Math.sin(Math.PI * offsetNs / durationNs), 2);
             if (offsetNs < durationNs && random.nextDouble() < rateShare) {
                 writeResponsesUntil(offsetNs);
                 writeRequest(offsetNs);
@@ -164,22 +176,26 @@
                 + (profile.name.equals("book") ? ",k=" + String.format("%016x", random.nextLong()) : "") + " */";
         String value = value(key, 2 * valueLength(key));
         String stored = value(key, Math.min(MAX_VALUE_HEX_DIGITS, 2 * (int) valueSizes.sample()));
-        writeData(connection, true, Words.query(profile.isReadOnly ? "SELECT content FROM kv WHERE name = '" + key + "'" + comment
+        writeData(connection, true, Words.query(profile.isReadOnly
+                ? "SELECT content FROM kv WHERE name = '" + key + "'" + comment
                 : "INSERT INTO kv (name, content) VALUES ('" + key + "', '\\x" + stored + "') RETURNING content"
                 + comment), offsetNs);
         double outcomeDraw = random.nextDouble();
         ByteBuffer response = outcomeDraw < PUSHED_BACK_SHARE ? Words.error(Words.TOO_MANY, "full", 100)
                 : outcomeDraw < PUSHED_BACK_SHARE + FAILED_SHARE ? Words.error("XX000", "fault", 0) : row(value);
-        pendingResponses.add(new PendingResponse(offsetNs + (long) (responseTimes.get(methodIndex).sample() * NANOS_PER_MS), nextSequence++, connection, response));
+        pendingResponses.add(new PendingResponse(
+                offsetNs + (long) (responseTimes.get(methodIndex).sample() * NANOS_PER_MS), nextSequence++, connection,
+                response));
         rpcCount++;
     }
 
-    /** A row of one column as appliances give it, and ready. */
+    /** An appliance's response with one row of one column, followed by ReadyForQuery. */
     public static ByteBuffer row(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.US_ASCII);
         byte[] column = "content\0".getBytes(StandardCharsets.US_ASCII);
         byte[] commandTag = "SELECT 1\0".getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer message = ByteBuffer.allocate(5 + 2 + column.length + 18 + 5 + 6 + bytes.length + 5 + commandTag.length + 6);
+        ByteBuffer message = ByteBuffer.allocate(5 + 2 + column.length + 18 + 5 + 6 + bytes.length + 5
+                + commandTag.length + 6);
         message.put((byte) 'T').putInt(4 + 2 + column.length + 18).putShort((short) 1).put(column).put(new byte[18]);
         message.put((byte) 'D').putInt(4 + 6 + bytes.length).putShort((short) 1).putInt(bytes.length).put(bytes);
         message.put((byte) 'C').putInt(4 + commandTag.length).put(commandTag);
--- a/src/main/java/honeygap/capture/message/Conversation.java
+++ b/src/main/java/honeygap/capture/message/Conversation.java
@@ -2,19 +2,19 @@
 
 import java.util.function.Consumer;
 
-/** What is said on one connection, byte for byte in order, made into RPCs. */
+/** Decodes the in-order byte streams of one recorded connection into RPCs. */
 public interface Conversation {
 
-    /** Bytes of the client or the server; a chunk behind a hole begins where a segment did. */
+    /** Handles bytes from the client or the server. After a gap, the next chunk starts at a TCP segment boundary. */
     void data(boolean isClient, byte[] bytes, long timestampNs);
 
-    /** So many bytes of one side are missing. */
+    /** Handles a gap: {@code length} bytes from one side are missing from the capture. */
     void hole(boolean isClient, long length);
 
-    /** Nothing more is said: what is open stays without an answer. */
+    /** Handles the end of the connection; RPCs without a response are reported as unanswered. */
     void over();
 
-    /** Hears each RPC once, when its answer is whole or will not come. */
+    /** Receives each RPC exactly once, when its response is complete or can no longer arrive. */
     interface Hearer extends Consumer<Spoken> {
     }
 }
--- a/src/main/java/honeygap/capture/message/Conversations.java
+++ b/src/main/java/honeygap/capture/message/Conversations.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Gives each connection the conversation that its first bytes tell of, and hears what is said on all of them. */
+/** Chooses a protocol decoder for each connection by its first bytes, and forwards the RPCs that all of them decode. */
 public final class Conversations implements Reassembly.Out {
 
     private final Conversation.Hearer listener;
@@ -16,7 +16,7 @@
         this.listener = listener;
     }
 
-    /** What could not be read, by kind. */
+    /** Numbers of decoding problems, by kind. */
     public Map<String, Long> counts() {
         return problemCounts;
     }
@@ -41,7 +41,8 @@
                 problemCounts.merge("chunks of nothing known", 1L, Long::sum);
                 return null;
             }
-            flow.subject = isHttp ? new HttpConversation(flow.isWhole, () -> newRpc(flow), this::rpcDecoded, problemCounts)
+            flow.subject = isHttp
+                    ? new HttpConversation(flow.isWhole, () -> newRpc(flow), this::rpcDecoded, problemCounts)
                     : new PgConversation(flow.isWhole, () -> newRpc(flow), this::rpcDecoded, problemCounts);
         }
         return (Conversation) flow.subject;
@@ -73,13 +74,13 @@
         if (flow.subject != null) {
             ((Conversation) flow.subject).hole(isClient, length);
         } else {
-            // The first bytes are missing: what follows is of an unknown place in whatever it is.
+            // The connection's first bytes are missing: neither the protocol nor the position in it is known.
             problemCounts.merge("beginnings missing", 1L, Long::sum);
             flow.subject = new UnidentifiedProtocolDecoder(flow);
         }
     }
 
-    /** Until a sure edge tells what it is. */
+    /** Skips data until a chunk identifies the protocol by starting a request or a statement. */
     private final class UnidentifiedProtocolDecoder implements Conversation {
 
         private final Reassembly.Flow flow;
--- a/src/main/java/honeygap/capture/message/HttpConversation.java
+++ b/src/main/java/honeygap/capture/message/HttpConversation.java
@@ -13,8 +13,9 @@
 import java.util.function.Supplier;
 
 /**
- * The flag API over HTTP/1.1, read with the agent's own parsers. After a hole the client is read on from a chunk that
- * begins with a request line, the server from one that begins with a status line while one request is open.
+ * Decodes the flag API over HTTP/1.1 with the agent's own parsers. After a gap, the client stream resynchronizes at a
+ * chunk that starts with a request line, the server stream at a chunk that starts with a status line while exactly
+ * one request is pending.
  */
 public final class HttpConversation implements Conversation, Answers.Reader {
 
@@ -28,7 +29,10 @@
     private Requests requestParser = new Requests(MAX_BODY_BYTES);
     private Answers responseParser = new Answers(this);
     private boolean clientOutOfSync;
-    /** The chunk right behind a hole was held back, for who knows how long. */
+    /**
+     * The next chunk directly follows a gap. Reassembly delayed it by an unknown time, so it can't be used to
+     * resynchronize.
+     */
     private boolean clientDelayed;
     private boolean serverDelayed;
     private boolean serverOutOfSync;
@@ -37,7 +41,8 @@
     private int status;
     private long lastChunkNs;
 
-    public HttpConversation(boolean isFromStart, Supplier<Spoken> rpcFactory, Hearer listener, Map<String, Long> counts) {
+    public HttpConversation(boolean isFromStart, Supplier<Spoken> rpcFactory, Hearer listener,
+                            Map<String, Long> counts) {
         this.rpcFactory = rpcFactory;
         this.listener = listener;
         this.counts = counts;
@@ -48,7 +53,7 @@
         counts.merge(kind, 1L, Long::sum);
     }
 
-    /** Whether a chunk begins with a request line of HTTP/1.1. */
+    /** Whether a chunk starts with an HTTP/1.1 request line. */
     public static boolean isRequest(byte[] bytes) {
         return startsWith(bytes, "POST /") || startsWith(bytes, "GET /") || startsWith(bytes, "PUT /")
                 || startsWith(bytes, "HEAD /") || startsWith(bytes, "OPTIONS ") || startsWith(bytes, "DELETE /");
@@ -124,7 +129,7 @@
         return rpc;
     }
 
-    /** The request as it is sent again: its line, the fields that matter, and its body by length. */
+    /** Serializes the request for replay: request line, relevant header fields, and the body with a content length. */
     private byte[] serializeRequest() {
         StringBuilder head = new StringBuilder(requestParser.method() + " " + requestParser.target() + " HTTP/1.1\r\n");
         for (String name : new String[] {"host", "content-type", "authorization", "x-api-key", "idempotency-key",
@@ -163,7 +168,7 @@
     @Override
     public void data(ByteBuffer bytes) throws Malformed {
         if (responseBody.size() + bytes.remaining() > MAX_BODY_BYTES) {
-            throw new Malformed("an answer too long");
+            throw new Malformed("response body exceeds the maximum size");
         }
         while (bytes.hasRemaining()) {
             responseBody.write(bytes.get());
--- a/src/main/java/honeygap/capture/message/PgConversation.java
+++ b/src/main/java/honeygap/capture/message/PgConversation.java
@@ -12,9 +12,10 @@
 import java.util.function.Supplier;
 
 /**
- * PostgreSQL's wire protocol, read with the agent's own frames and statements. After a hole a side is read on from a
- * sure edge only: the client from a chunk that is a whole statement to its last byte, the server from one that is
- * whole messages up to ready, and only after the client has been read on.
+ * Decodes PostgreSQL's wire protocol with the agent's own frame and statement parsers. After a gap, a stream
+ * resynchronizes only at an unambiguous message boundary: the client at a chunk that is exactly one complete
+ * statement, the server at a chunk of complete messages that ends in ReadyForQuery, and only after the client has
+ * resynchronized.
  */
 public final class PgConversation implements Conversation {
 
@@ -22,7 +23,7 @@
     private static final int MAX_STARTUP_BYTES = 10_000;
     private static final int MAX_PENDING_RPCS = 1024;
     private static final String SERVER_MESSAGE_TYPES = "RSKTDCEIZN";
-    /** What an answer begins with: the description of a row, an error, or the word that nothing was asked. */
+    /** Types that start a response: RowDescription, ErrorResponse or EmptyQueryResponse. */
     private static final String FIRST_RESPONSE_TYPES = "TEI";
 
     private enum Stage { START, MESSAGES, OUT_OF_SYNC, OPAQUE }
@@ -35,20 +36,29 @@
     private Frames serverFrames = new Frames(MAX_MESSAGE_BYTES);
     private Stage clientStage;
     private Stage serverStage = Stage.MESSAGES;
-    /** What was asked and is not answered, in order; null for what is no RPC, as an empty query. */
+    /** Unanswered queries in order; {@link #NOT_AN_RPC} stands in for queries that are no RPC, such as an empty one. */
     private final ArrayDeque<Spoken> pendingRpcs = new ArrayDeque<>();
     private static final Spoken NOT_AN_RPC = new Spoken();
     private final ByteArrayOutputStream response = new ByteArrayOutputStream();
     private Spoken.Outcome outcome;
     private String errorCode = "";
     private boolean isEncryptionRequested;
-    /** The chunk right behind a hole was held back: when it was said, and what came between, is not known. */
+    /**
+     * The next chunk directly follows a gap. Reassembly delayed it, so its send time and the bytes before it are
+     * unknown, and it can't be used to resynchronize.
+     */
     private boolean clientDelayed;
     private boolean serverDelayed;
-    /** The server's first ready answers the startup, not a statement. */
+    /** Whether the first ReadyForQuery was seen, which answers the startup message rather than a statement. */
     private boolean isStartupComplete;
 
-    /** Made gives an RPC with all that the connection knows; counts are of faults, by kind. */
+    /**
+     * Creates a decoder.
+     *
+     * @param isFromStart whether the connection was captured from its start
+     * @param rpcFactory creates RPCs with the connection's fields set
+     * @param counts numbers of decoding problems, by kind
+     */
     public PgConversation(boolean isFromStart, Supplier<Spoken> rpcFactory, Hearer listener, Map<String, Long> counts) {
         this.rpcFactory = rpcFactory;
         this.listener = listener;
@@ -62,7 +72,7 @@
         counts.merge(kind, 1L, Long::sum);
     }
 
-    /** Whether a chunk is of whole statements to the last byte. */
+    /** Whether a chunk is exactly one complete statement. */
     public static boolean isStatement(byte[] bytes) {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         if (buffer.remaining() < 6 || buffer.get(0) != 'Q' || buffer.getInt(1) != buffer.remaining() - 1
@@ -73,8 +83,8 @@
     }
 
     /**
-     * Whether a chunk is one whole answer, from its first message to the last, which says ready. Guards against the
-     * rest of an answer behind a hole, which would be taken for the answer to a later statement.
+     * Whether a chunk is one complete response, from its first message to the final ReadyForQuery. Otherwise the tail
+     * of a response after a gap would be taken for the response to a later statement.
      */
     private static boolean isCompleteResponse(byte[] bytes) {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
@@ -122,7 +132,7 @@
             }
             clientStage = Stage.MESSAGES;
             clientFrames = new Frames(MAX_MESSAGE_BYTES);
-            // Whatever was open before the hole can't be told from what follows.
+            // RPCs pending before the gap can't be matched with what follows.
             abortPendingRpcs();
         }
         clientFrames.feed(ByteBuffer.wrap(bytes));
@@ -154,7 +164,7 @@
             abortPendingRpcs();
         }
         if (serverStage == Stage.OUT_OF_SYNC) {
-            // Clients ask one by one: what is open was answered where the server can't be read.
+            // Clients don't pipeline: the response to the pending RPC was in the unreadable part of the server stream.
             abortPendingRpcs();
         }
         if (!statement.read(clientFrames.body())) {
@@ -184,7 +194,7 @@
         if (isEncryptionRequested && bytes.length > 0) {
             isEncryptionRequested = false;
             if (bytes[0] != 'N') {
-                // From here on all is encrypted.
+                // Everything after this byte is encrypted.
                 clientStage = serverStage = Stage.OPAQUE;
                 count("encrypted connections");
                 return;
@@ -194,9 +204,10 @@
         if (serverStage == Stage.OUT_OF_SYNC) {
             boolean wasDelayed = serverDelayed;
             serverDelayed = false;
-            if (wasDelayed || clientStage == Stage.OUT_OF_SYNC || !isCompleteResponse(remaining) || pendingRpcs.size() != 1) {
+            if (wasDelayed || clientStage == Stage.OUT_OF_SYNC || !isCompleteResponse(remaining)
+                    || pendingRpcs.size() != 1) {
                 count("chunks passed over");
-                // It may have been the answer to what is open, which the next one is not.
+                // This chunk may have been the pending RPC's response; the next response must not be taken for it.
                 abortPendingRpcs();
                 return;
             }
@@ -212,7 +223,7 @@
 
     private void serverMessageReceived(long timestampNs) throws Malformed {
         if (SERVER_MESSAGE_TYPES.indexOf(serverFrames.type()) < 0) {
-            throw new Malformed("a message that no server sends");
+            throw new Malformed("message type is not one that servers send");
         }
         Shapes.check(serverFrames.type(), serverFrames.body());
         switch (serverFrames.type()) {
@@ -280,7 +291,7 @@
         if (clientStage == Stage.OPAQUE) {
             return;
         }
-        // With one side lost, answers can't be told from each other: both wait for a sure edge.
+        // With one side out of sync, responses can't be matched to requests: both sides have to resynchronize.
         clientStage = isClient ? Stage.OUT_OF_SYNC : clientStage == Stage.START ? Stage.OUT_OF_SYNC : clientStage;
         serverStage = Stage.OUT_OF_SYNC;
         abortPendingRpcs();
--- a/src/main/java/honeygap/capture/message/Spoken.java
+++ b/src/main/java/honeygap/capture/message/Spoken.java
@@ -3,48 +3,52 @@
 import honeygap.capture.packet.Address;
 import honeygap.net.pg.Words;
 
-/** One RPC as a capture has it: what was asked, what was answered, and when. */
+/** One RPC decoded from a capture: request, response, and timing. */
 public final class Spoken {
 
-    /** How it ended: well, pushed back, with an error, not in the capture, or with bytes of it missing. */
+    /**
+     * How the RPC ended: successfully, pushed back, with an error, without a response in the capture, or with bytes
+     * missing from the capture.
+     */
     public enum Outcome {
         served, refused, failed, open, torn;
 
-        /** What an error of PostgreSQL's protocol comes to, by its code. */
+        /** Maps the SQLSTATE of a PostgreSQL error to an outcome. */
         public static Outcome ofSqlState(String sqlState) {
             return sqlState.equals(Words.TOO_MANY) || sqlState.equals("57P03") ? refused : failed;
         }
 
-        /** What an answer of the flag API comes to, by its status. */
+        /** Maps an HTTP status of the flag API to an outcome. */
         public static Outcome ofHttpStatus(int status) {
             return status == 429 || status == 503 ? refused : status >= 500 || status == 408 ? failed : served;
         }
     }
 
     public String protocol;
-    /** Of the capture, counted from 1. */
+    /** The connection's number in the capture, from 1. */
     public long connection;
     public Address client;
     public Address server;
     public String method = "";
     public String id = "";
     public String tenant = "";
-    /** Its key in the clear; empty where it has none. */
+    /** The key in plain text; empty if the RPC has none. */
     public String key = "";
-    /** Whether repeating it is surely harmless, as far as the message itself tells. */
+    /** Whether the message itself shows that the RPC only reads, so that repeating it is safe. */
     public boolean isReadOnly;
-    /** Nanoseconds since 1970 of the request's last byte, and from then to the answer's; under 0 where unknown. */
+    /** When the request's last byte was seen, in nanoseconds since the Unix epoch. */
     public long at;
+    /** Nanoseconds from the request's last byte to the response's; negative if unknown. */
     public long took = -1;
     public Outcome outcome = Outcome.open;
-    /** The protocol's own word for it: an error's code, a status. */
+    /** The protocol's result code: a SQLSTATE or an HTTP status. */
     public String code = "";
-    /** How long the client would wait, in milliseconds; 0 where it does not say. */
+    /** The client's deadline in milliseconds; 0 if it sent none. */
     public long deadlineMs;
-    /** The message asked, and what was answered, whole. */
+    /** The complete request and response messages. */
     public byte[] request = {};
     public byte[] answer = {};
-    /** Where the key and the value stand in them: begin and end. */
+    /** Start and end offsets of the key in the request. */
     public int keyStart;
     public int keyEnd;
 }
--- a/src/main/java/honeygap/capture/query/Filter.java
+++ b/src/main/java/honeygap/capture/query/Filter.java
@@ -17,10 +17,10 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
-/** Which RPCs are meant, in a small language: {@code method == "book" and took > 20ms and not served}. */
+/** Compiles filter expressions that select RPCs, such as {@code method == "book" and took > 20ms and not served}. */
 public final class Filter {
 
-    /** What can't be read of a filter, with the column where that is, counted from 1. */
+    /** A syntax error in a filter, with its column, counted from 1. */
     public static final class Unread extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1;
@@ -39,12 +39,12 @@
             "client", rpc -> rpc.client.toString(), "server", rpc -> rpc.server.toString(),
             "outcome", rpc -> rpc.outcome.name()));
 
-    /** Numbers without a unit. */
+    /** Numeric fields without a unit. */
     private static final Map<String, ToDoubleFunction<Spoken>> NUMBER_FIELDS = new TreeMap<>(Map.of(
             "connection", rpc -> rpc.connection, "requestBytes", rpc -> rpc.request.length,
             "answerBytes", rpc -> rpc.answer.length));
 
-    /** Times, in nanoseconds. */
+    /** Durations, in nanoseconds. */
     private static final Map<String, ToDoubleFunction<Spoken>> TIME_FIELDS = new TreeMap<>(Map.of(
             "took", rpc -> rpc.took, "deadline", rpc -> rpc.deadlineMs * 1e6));
 
@@ -53,7 +53,7 @@
     private Filter() {
     }
 
-    /** Names of all fields, for help. */
+    /** Describes all fields, for help texts and error messages. */
     public static String describeFields() {
         return String.join(", ", TEXT_FIELDS.keySet()) + " (text); " + String.join(", ", NUMBER_FIELDS.keySet())
                 + " (numbers); " + String.join(", ", TIME_FIELDS.keySet()) + " (times, as 20ms); served, refused, failed,"
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Reads a filter; null and blank mean all.
+     * Compiles a filter; null and blank expressions select all RPCs.
      *
-     * @throws Unread where it can't be read
+     * @throws Unread if the expression is not valid
      */
     public static Predicate<Spoken> of(String expression) {
         if (expression == null || expression.isBlank()) {
@@ -74,11 +74,11 @@
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
                                     RecognitionException cause) {
                 String problem = symbol instanceof Token token && token.getType() != Token.EOF
-                        ? "\"" + token.getText() + "\" does not belong here" : "the filter ends too soon";
+                        ? "\"" + token.getText() + "\" is unexpected here" : "the filter ends unexpectedly";
                 throw new Unread(column + 1, problem);
             }
         };
-        // On one line, so that a column tells the place.
+        // Line breaks become spaces, so that the column alone identifies the position.
         QueryLexer lexer = new QueryLexer(CharStreams.fromString(expression.replace('\n', ' ').replace('\r', ' ')));
         lexer.removeErrorListeners();
         lexer.addErrorListener(errors);
@@ -126,12 +126,12 @@
             if (word.equals("read")) {
                 return rpc -> rpc.isReadOnly;
             }
-            throw unknownWord(context.WORD().getSymbol(), "nothing that holds or not");
+            throw unknownWord(context.WORD().getSymbol(), "not a condition");
         }
 
         private static Unread unknownWord(Token token, String problem) {
-            return new Unread(token.getCharPositionInLine() + 1, "\"" + token.getText() + "\" is " + problem + "; known: "
-                    + describeFields());
+            return new Unread(token.getCharPositionInLine() + 1, "\"" + token.getText() + "\" is " + problem
+                    + "; known: " + describeFields());
         }
 
         @Override
@@ -139,13 +139,13 @@
             Token field = context.WORD().getSymbol();
             Function<Spoken, String> text = TEXT_FIELDS.get(field.getText());
             if (text == null) {
-                throw unknownWord(field, "no text");
+                throw unknownWord(field, "not a text field");
             }
             try {
                 Pattern pattern = Pattern.compile(unquote(context.TEXT().getSymbol()));
                 return rpc -> pattern.matcher(text.apply(rpc)).find();
             } catch (PatternSyntaxException e) {
-                throw new Unread(context.TEXT().getSymbol().getCharPositionInLine() + 1, "not a pattern: "
+                throw new Unread(context.TEXT().getSymbol().getCharPositionInLine() + 1, "invalid pattern: "
                         + e.getDescription().toLowerCase(Locale.ROOT));
             }
         }
@@ -176,10 +176,10 @@
             boolean isTime = TIME_FIELDS.containsKey(name);
             ToDoubleFunction<Spoken> number = isTime ? TIME_FIELDS.get(name) : NUMBER_FIELDS.get(name);
             if (number == null) {
-                throw unknownWord(field, "no field");
+                throw unknownWord(field, "not a field");
             }
             double expected = parseNumber(token, isText, name, isTime);
-            // What was never answered took no time that could be compared.
+            // An RPC without a response has no duration and matches no comparison.
             return rpc -> !(isTime && number.applyAsDouble(rpc) < 0)
                     && Signs.holds(operator, Double.compare(number.applyAsDouble(rpc), expected));
         }
--- a/src/main/java/honeygap/capture/record/Row.java
+++ b/src/main/java/honeygap/capture/record/Row.java
@@ -5,10 +5,10 @@
 import java.util.function.Function;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** The columns of a row an RPC, the same in every form: a name, a type, and what stands there. */
+/** The columns of the table of RPCs, the same in every output format. Each row describes one RPC. */
 public final class Row {
 
-    /** One column; its values are text or whole numbers. */
+    /** A column with text or integer values. */
     public record Column(String name, boolean isText, Function<Spoken, Object> value) { }
 
     public static final List<Column> COLUMNS = List.of(
@@ -31,7 +31,7 @@
     private Row() {
     }
 
-    /** Keys themselves stay in the capture; a hash tells which are the same. */
+    /** Exports a hash of the key, which still shows equal keys, so that the keys themselves don't leave the capture. */
     private static String hashKey(String key) {
         if (key.isEmpty()) {
             return "";
--- a/src/main/java/honeygap/capture/record/Rows.java
+++ b/src/main/java/honeygap/capture/record/Rows.java
@@ -18,12 +18,12 @@
 import org.apache.avro.generic.GenericDatumWriter;
 import org.apache.avro.generic.GenericRecord;
 
-/** Writes a row an RPC, in one of several forms. */
+/** Writes one row for each RPC, in one of several formats. */
 public interface Rows extends Closeable {
 
     void write(Spoken rpc) throws IOException;
 
-    /** Comma-separated (RFC 4180), with a head. */
+    /** CSV (RFC 4180) with a header row. */
     final class Csv implements Rows {
 
         private final Writer out;
@@ -53,7 +53,7 @@
         }
     }
 
-    /** An object a line. */
+    /** JSON Lines: one object on each line. */
     final class JsonLines implements Rows {
 
         private final JsonGenerator out;
@@ -84,7 +84,7 @@
         }
     }
 
-    /** An Avro file, in blocks compressed with zstd. */
+    /** An Avro container file with zstd-compressed blocks. */
     final class Avro implements Rows {
 
         private final Schema schema;
--- a/src/main/java/honeygap/capture/redact/Anonymous.java
+++ b/src/main/java/honeygap/capture/redact/Anonymous.java
@@ -5,13 +5,13 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Makes the packets of a capture anew, with keys and values hidden. */
+/** Rewrites a capture: synthesizes its packets anew from the streams, with keys and values masked. */
 public final class Anonymous implements Reassembly.Out {
 
     private final Mask masker;
     private final Synthesis synthesizer;
 
-    /** The two sides of a connection. */
+    /** The redactors of a connection's two directions. */
     private record ConnectionRedactors(Redactor client, Redactor server) { }
 
     public Anonymous(Mask masker, Synthesis.Sink sink) {
@@ -34,7 +34,8 @@
 
     @Override
     public void opened(Reassembly.Flow flow, long timestampNs) {
-        flow.subject = new ConnectionRedactors(new Redactor(masker, true, flow.isWhole), new Redactor(masker, false, flow.isWhole));
+        flow.subject = new ConnectionRedactors(new Redactor(masker, true, flow.isWhole),
+                new Redactor(masker, false, flow.isWhole));
         runUnchecked(() -> synthesizer.opened(flow.number, flow.client, flow.server, flow.isWhole, timestampNs));
     }
 
--- a/src/main/java/honeygap/capture/redact/Mask.java
+++ b/src/main/java/honeygap/capture/redact/Mask.java
@@ -7,9 +7,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Puts keyed hashes (HMAC-SHA-256) in the place of words, of the same length and with each character in its class:
- * digits stay digits, the letters a to f stay among them, so that hexadecimal stays hexadecimal. The same word under
- * the same secret comes to the same one, so a key stays a key.
+ * Replaces values by keyed hashes (HMAC-SHA-256) of the same length that preserve each character's class: digits stay
+ * digits and the letters a to f stay in that range, so hexadecimal stays hexadecimal. The same value under the same
+ * secret always gets the same replacement, so keys can still be matched.
  */
 public final class Mask {
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Masks bytes in place; the hash is of all of them together. */
+    /** Masks bytes in place; the hash covers the whole range. */
     public void mask(byte[] bytes, int from, int to) {
         byte[] plaintext = Arrays.copyOfRange(bytes, from, to);
         byte[] keystream = {};
@@ -58,16 +58,16 @@
         if (original >= 'G' && original <= 'Z') {
             return (byte) ('G' + hashByte % 20);
         }
-        // Parts of letters beyond ASCII, and bytes of values that are no text.
+        // Bytes of non-ASCII characters and of binary values.
         return original < 0 ? (byte) 'x' : original;
     }
 
-    /** Hides the values in JSON, in place: names, and what the protocol itself says, stay. */
+    /** Masks the values in JSON in place; field names and the values of protocol fields are left as they are. */
     public void hideJson(byte[] json, int from, int to) {
         new JsonMasker(json, from, to).maskAll();
     }
 
-    /** A walk over JSON that need not be sound: what it can't tell is hidden. */
+    /** Scans JSON that may be malformed; strings and numbers that it can't attribute to a field are masked. */
     private final class JsonMasker {
 
         private static final String UNMASKED_FIELDS = " key reason errorCode version flagSetId ";
@@ -116,7 +116,7 @@
             }
         }
 
-        /** Between escapes, which stay what they are; those of other letters come to an x. */
+        /** Masks the text between escape sequences. Escapes stay, except that Unicode escapes become an escaped x. */
         private void maskString(int begin, int end) {
             int from = begin;
             for (int i = begin; i < end; i++) {
@@ -145,7 +145,7 @@
             }
             int firstDigit = json[begin] == '-' ? begin + 1 : begin;
             byte originalFirstDigit = firstDigit < position ? json[firstDigit] : 0;
-            // Digits only, and no exponent: what stands behind an e is its size.
+            // Only the digits before the exponent are masked, to preserve the number's magnitude.
             int digitsEnd = firstDigit;
             while (digitsEnd < position && json[digitsEnd] != 'e' && json[digitsEnd] != 'E') {
                 digitsEnd++;
--- a/src/main/java/honeygap/capture/redact/Redactor.java
+++ b/src/main/java/honeygap/capture/redact/Redactor.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 
 /**
- * Hides keys and values in one direction of a connection, with every byte in its place. What has come is handed on
- * once it is a whole message; what can't be read as one is blacked out, and all behind it, for as long as the
- * connection lasts: what is not understood may hold anything.
+ * Masks keys and values in one direction of a connection without changing any byte's position. Data is released once
+ * a message is complete. Data that can't be parsed is blanked, and so is the rest of the connection, since it may
+ * contain anything.
  */
 public final class Redactor {
 
@@ -17,23 +17,23 @@
     private static final byte FILL_BYTE = 'x';
     private static final String[] SECRET_HEADERS = {"authorization", "x-api-key", "idempotency-key", "cookie"};
 
-    private enum Protocol { UNKNOWN, STARTUP, PG, HTTP, UNREADABLE_STREAM }
+    private enum Protocol { UNKNOWN, STARTUP, PG, HTTP, OPAQUE }
 
     private final Mask masker;
     private final boolean isClient;
     private Protocol protocol;
     private byte[] buffer = {};
 
-    /** What a connection begins with is known only where its beginning was seen. */
+    /** Creates a redactor. A connection that was not captured from its start can't be parsed and is blanked. */
     public Redactor(Mask masker, boolean isClient, boolean isFromStart) {
         this.masker = masker;
         this.isClient = isClient;
-        protocol = isFromStart ? Protocol.UNKNOWN : Protocol.UNREADABLE_STREAM;
+        protocol = isFromStart ? Protocol.UNKNOWN : Protocol.OPAQUE;
     }
 
-    /** Takes bytes in and hands on those that may be seen now, in the order of their coming. */
+    /** Buffers bytes and returns, in order, the redacted bytes that are ready to be written. */
     public byte[] take(byte[] bytes) {
-        if (protocol == Protocol.UNREADABLE_STREAM) {
+        if (protocol == Protocol.OPAQUE) {
             byte[] blanked = new byte[bytes.length];
             Arrays.fill(blanked, FILL_BYTE);
             return blanked;
@@ -45,7 +45,7 @@
             detectProtocol();
         }
         int done = 0;
-        while (done < buffer.length && protocol != Protocol.UNREADABLE_STREAM && protocol != Protocol.UNKNOWN) {
+        while (done < buffer.length && protocol != Protocol.OPAQUE && protocol != Protocol.UNKNOWN) {
             int length = protocol == Protocol.HTTP ? redactHttpMessage(done) : redactPgMessage(done);
             if (length == 0) {
                 break;
@@ -53,9 +53,9 @@
             done += length;
         }
         if (buffer.length - done > MAX_MESSAGE_BYTES) {
-            protocol = Protocol.UNREADABLE_STREAM;
+            protocol = Protocol.OPAQUE;
         }
-        if (protocol == Protocol.UNREADABLE_STREAM) {
+        if (protocol == Protocol.OPAQUE) {
             Arrays.fill(buffer, done, buffer.length, FILL_BYTE);
             done = buffer.length;
         }
@@ -64,12 +64,15 @@
         return redacted;
     }
 
-    /** Bytes are missing, or the connection ends: what is held, blacked out. Nothing can be read behind a hole. */
+    /**
+     * Returns the buffered bytes blanked, on a gap or at the end of the connection. The rest of the stream is blanked
+     * too, since nothing after a gap can be parsed.
+     */
     public byte[] lose() {
         byte[] blanked = new byte[buffer.length];
         Arrays.fill(blanked, FILL_BYTE);
         buffer = new byte[0];
-        protocol = Protocol.UNREADABLE_STREAM;
+        protocol = Protocol.OPAQUE;
         return blanked;
     }
 
@@ -77,13 +80,13 @@
         byte first = buffer[0];
         if (isClient) {
             boolean isHttp = first >= 'A' && first <= 'Z';
-            protocol = isHttp ? Protocol.HTTP : first == 0 ? Protocol.STARTUP : Protocol.UNREADABLE_STREAM;
+            protocol = isHttp ? Protocol.HTTP : first == 0 ? Protocol.STARTUP : Protocol.OPAQUE;
         } else {
             protocol = first == 'H' ? Protocol.HTTP : Protocol.PG;
         }
     }
 
-    /** The length of the message there, hidden; 0 where it is not whole. */
+    /** Masks the message at an offset and returns its length; 0 if it is incomplete. */
     private int redactPgMessage(int start) {
         ByteBuffer bytes = ByteBuffer.wrap(buffer);
         int available = buffer.length - start;
@@ -99,7 +102,7 @@
                 return 0;
             }
             int version = bytes.getInt(start + 4);
-            // A request for encryption is followed by the startup, in the clear as far as we can tell.
+            // SSLRequest and GSSENCRequest are followed by a startup message, which is assumed to be unencrypted.
             protocol = version == 80877103 || version == 80877104 ? Protocol.STARTUP : Protocol.PG;
             return length;
         }
@@ -107,7 +110,7 @@
             return 0;
         }
         if (available < 5) {
-            // One N is the answer to a request for encryption.
+            // A single N refuses an encryption request.
             if (!isClient && available == 1 && buffer[start] == 'N') {
                 return 1;
             }
@@ -125,7 +128,7 @@
     }
 
     private int markUnreadable() {
-        protocol = Protocol.UNREADABLE_STREAM;
+        protocol = Protocol.OPAQUE;
         return 0;
     }
 
@@ -135,7 +138,7 @@
                 maskStatement(start + 5, end - 1);
                 break;
             case 'D':
-                // Columns: a count, then a length and a value each.
+                // DataRow: a column count, then a length and a value for each column.
                 ByteBuffer row = ByteBuffer.wrap(buffer, start + 5, end - start - 5).slice();
                 int columns = row.remaining() < 2 ? 0 : row.getShort();
                 int lengthOffset = start + 7;
@@ -157,7 +160,7 @@
         }
     }
 
-    /** Words in quotes, and in the comment behind them those that name a key. */
+    /** Masks quoted literals, and the idempotency key (k=) in the trailing comment. */
     private void maskStatement(int from, int to) {
         int i = from;
         while (i < to) {
@@ -166,7 +169,7 @@
                 while (end < to && buffer[end] != '\'') {
                     end++;
                 }
-                // A value in hexadecimal has a mark before its digits.
+                // A hexadecimal bytea literal starts with \\x, which is left as it is.
                 int begin = end - i > 2 && buffer[i + 1] == '\\' && buffer[i + 2] == 'x' ? i + 3 : i + 1;
                 masker.mask(buffer, begin, end);
                 i = end + 1;
@@ -184,7 +187,7 @@
         }
     }
 
-    /** Codes and times stay, words are hidden. */
+    /** Masks the texts of an error; severity (S, V), code (C) and detail (D), which holds the retry time, stay. */
     private void maskErrorFields(int from, int end) {
         int fieldStart = from;
         while (fieldStart < end && buffer[fieldStart] != 0) {
@@ -192,7 +195,8 @@
             while (fieldEnd < end && buffer[fieldEnd] != 0) {
                 fieldEnd++;
             }
-            if (buffer[fieldStart] != 'S' && buffer[fieldStart] != 'V' && buffer[fieldStart] != 'C' && buffer[fieldStart] != 'D') {
+            if (buffer[fieldStart] != 'S' && buffer[fieldStart] != 'V' && buffer[fieldStart] != 'C'
+                    && buffer[fieldStart] != 'D') {
                 masker.mask(buffer, fieldStart + 1, fieldEnd);
             }
             fieldStart = fieldEnd + 1;
@@ -237,7 +241,8 @@
 
     private static String headerValue(String lowerCaseHead, String name) {
         int from = lowerCaseHead.indexOf("\r\n" + name + ":");
-        return from < 0 ? null : lowerCaseHead.substring(from + name.length() + 3, lowerCaseHead.indexOf("\r\n", from + 2)).strip();
+        return from < 0 ? null : lowerCaseHead.substring(from + name.length() + 3,
+                lowerCaseHead.indexOf("\r\n", from + 2)).strip();
     }
 
     private void maskSecretHeaders(int start, String head, String lowerCaseHead) {
@@ -250,20 +255,22 @@
         }
     }
 
-    /** Where the last chunk ends, the data hidden on the way; 0 where it is not there, below 0 for no chunks. */
+    /** Masks a chunked body and returns the offset of its end; 0 if it is incomplete, negative if it is malformed. */
     private int maskChunkedBody(int bodyStart) {
         int chunkStart = bodyStart;
         int[] chunkBounds = new int[64];
         int count = 0;
         while (true) {
             int sizeLineEnd = chunkStart;
-            while (sizeLineEnd + 1 < buffer.length && !(buffer[sizeLineEnd] == '\r' && buffer[sizeLineEnd + 1] == '\n')) {
+            while (sizeLineEnd + 1 < buffer.length
+                    && !(buffer[sizeLineEnd] == '\r' && buffer[sizeLineEnd + 1] == '\n')) {
                 sizeLineEnd++;
             }
             if (sizeLineEnd + 1 >= buffer.length) {
                 return 0;
             }
-            String size = new String(buffer, chunkStart, sizeLineEnd - chunkStart, StandardCharsets.ISO_8859_1).split(";", 2)[0].strip();
+            String size = new String(buffer, chunkStart, sizeLineEnd - chunkStart, StandardCharsets.ISO_8859_1)
+                    .split(";", 2)[0].strip();
             if (!size.matches("[0-9a-fA-F]{1,6}")) {
                 return -1;
             }
@@ -285,7 +292,7 @@
         }
     }
 
-    /** JSON in pieces: hidden as one, and put back where the pieces were. */
+    /** Masks the chunks as one JSON text and copies the result back into them. */
     private void maskChunks(int[] chunkBounds, int count) {
         int length = 0;
         for (int i = 0; i < count; i++) {
--- a/src/main/java/honeygap/capture/replay/Plan.java
+++ b/src/main/java/honeygap/capture/replay/Plan.java
@@ -10,27 +10,27 @@
 import java.util.function.Predicate;
 
 /**
- * Decides when each recorded RPC is sent again, and on which connection. It has no I/O and is driven as the decision
- * module is: inputs update what is known, {@link #next} says what is to be done until there is nothing. The load is
- * open: an RPC is due at its recorded time, whatever became of the ones before; only those of one connection wait for
- * each other, as they did. What goes out late is late by the clock of the record. Times are nanoseconds.
+ * Decides when each recorded RPC is replayed, and on which connection. It does no I/O and is driven like the decision
+ * module: inputs update its state, and {@link #next} emits actions until none is left. The load is open-loop: an RPC
+ * is due at its recorded time, whether or not earlier ones have completed. Only RPCs of one connection wait for each
+ * other, as they did in the recording. Lateness is measured against the recorded schedule. Times are in nanoseconds.
  */
 public final class Plan {
 
-    /** The way decisions go out; each call of {@link #next} makes at most one. */
+    /** Receives the actions to carry out; each call of {@link #next} emits at most one. */
     public interface Sender {
 
-        /** Sends an RPC on a line; it was due at that time of the replay. */
+        /** Sends an RPC on a connection; {@code dueNs} is its due time on the replay clock. */
         void send(RecordedConnection connection, Spoken rpc, long dueNs);
 
-        /** A line has rested for long: its connection may go. */
+        /** Closes a connection that has reached the idle timeout. */
         void close(RecordedConnection connection);
     }
 
-    /** A connection of the record, in one round of it. */
+    /** A connection of the recording, in one round of the replay. */
     public final class RecordedConnection {
 
-        /** For whoever carries it out. */
+        /** State of the sender for this connection. */
         public Object attachment;
         private final ArrayDeque<ScheduledRpc> waiting = new ArrayDeque<>();
         private boolean isBusy;
@@ -66,10 +66,10 @@
     private final Predicate<Spoken> filter;
     private final long idleTimeoutNs;
     private final PriorityQueue<ScheduledRpc> scheduled = new PriorityQueue<>();
-    /** Lines whose next RPC is due and that are free. */
+    /** Free connections whose next RPC is due. */
     private final ArrayDeque<RecordedConnection> ready = new ArrayDeque<>();
     private final Map<String, RecordedConnection> connections = new HashMap<>();
-    /** Those with nothing to do, the one that has rested longest first. */
+    /** Connections without a waiting RPC, longest idle first. */
     private final Set<RecordedConnection> idle = new LinkedHashSet<>();
     private long nowNs;
     private long firstRequestNs = Long.MIN_VALUE;
@@ -82,7 +82,14 @@
     private long notSelected;
     private long delayedByPrevious;
 
-    /** How many times as fast; whether what may have an effect is sent; which are; how long a free line is kept. */
+    /**
+     * Creates an empty schedule.
+     *
+     * @param speed factor by which the replay is faster than the recording
+     * @param includeEffects whether RPCs that may have effects are replayed
+     * @param filter selects the RPCs to replay
+     * @param idleTimeoutNs how long an idle connection is kept open
+     */
     public Plan(double speed, boolean includeEffects, Predicate<Spoken> filter, long idleTimeoutNs) {
         this.speed = speed;
         this.includeEffects = includeEffects;
@@ -90,19 +97,19 @@
         this.idleTimeoutNs = idleTimeoutNs;
     }
 
-    /** The time of the replay, from 0. */
+    /** Sets the time on the replay clock, which starts at 0. */
     public void setNow(long nowNs) {
         this.nowNs = nowNs;
     }
 
-    /** The record begins anew: what comes now is due behind all that was. */
+    /** Starts another round of the recording: RPCs scheduled from now on are due after all earlier ones. */
     public void startRound() {
         round++;
         roundStartNs = lastDueNs;
         firstRequestNs = Long.MIN_VALUE;
     }
 
-    /** The next recorded RPC; of one connection they come in their order. */
+    /** Schedules a recorded RPC; those of one connection have to be added in order. */
     public void schedule(Spoken rpc) {
         if (!filter.test(rpc)) {
             notSelected++;
@@ -117,13 +124,14 @@
         }
         long dueNs = Math.max(0, roundStartNs + (long) ((rpc.at - firstRequestNs) / speed));
         lastDueNs = Math.max(lastDueNs, dueNs);
-        RecordedConnection connection = connections.computeIfAbsent(round + "/" + rpc.connection + "/" + rpc.client, RecordedConnection::new);
+        RecordedConnection connection = connections.computeIfAbsent(
+                round + "/" + rpc.connection + "/" + rpc.client, RecordedConnection::new);
         idle.remove(connection);
         scheduled.add(new ScheduledRpc(rpc, dueNs, nextSequence++, connection));
         incomplete++;
     }
 
-    /** What was sent on a line has its answer, or will have none. */
+    /** Handles the end of the RPC in flight on a connection, with or without a response. */
     public void rpcCompleted(RecordedConnection connection) {
         connection.isBusy = false;
         incomplete--;
@@ -135,17 +143,17 @@
         }
     }
 
-    /** RPCs known and not ended. */
+    /** Number of RPCs that are scheduled or in flight. */
     public int incomplete() {
         return incomplete;
     }
 
-    /** When the next one is due; the greatest number where none is. */
+    /** When the next RPC is due; {@link Long#MAX_VALUE} if none is scheduled. */
     public long nextDueNs() {
         return scheduled.isEmpty() ? Long.MAX_VALUE : scheduled.peek().dueNs;
     }
 
-    /** Recorded ones that were not sent since they may have an effect. */
+    /** Number of RPCs skipped because they may have effects. */
     public long skippedForEffects() {
         return skippedForEffects;
     }
@@ -154,7 +162,7 @@
         return notSelected;
     }
 
-    /** Those that waited for the one before them on their connection. */
+    /** Number of RPCs that were delayed by the previous RPC on their connection. */
     public long delayedByPrevious() {
         return delayedByPrevious;
     }
@@ -182,7 +190,7 @@
             RecordedConnection connection = idle.iterator().next();
             if (nowNs - connection.idleSinceNs > idleTimeoutNs) {
                 idle.remove(connection);
-                // One that has more to come is opened anew.
+                // A connection with more RPCs scheduled is kept, and reopened when they are due.
                 if (scheduled.stream().noneMatch(rpc -> rpc.connection == connection)) {
                     connections.remove(connection.name);
                 }
--- a/src/main/java/honeygap/capture/replay/Replayer.java
+++ b/src/main/java/honeygap/capture/replay/Replayer.java
@@ -17,20 +17,21 @@
 import java.util.concurrent.CountDownLatch;
 import org.apache.mina.core.session.IoSession;
 
-/** Carries a plan out against one address: reads ahead on a thread of its own, sends and hears on a loop. */
+/** Replays recorded RPCs against one address. A separate thread reads ahead; all network I/O is on an event loop. */
 public final class Replayer implements Loop.Core, Plan.Sender {
 
-    /** Reads a record once, from its beginning, and hands on each RPC in the order of their times. */
+    /** Reads a recording once from its start and passes on its RPCs in order of time. */
     public interface Source {
 
         void read(java.util.function.Consumer<Spoken> consumer) throws Exception;
     }
 
+    /** The loop's clock counts tenths of a millisecond. */
     private static final long NANOS_PER_TICK = 100_000;
     private static final int READ_AHEAD_RPCS = 20_000;
     private static final long TIMEOUT_MARGIN_MS = 2_000;
     private static final int MAX_MESSAGE_BYTES = 1 << 20;
-    /** A mark in the queue: the record begins anew, and it has ended. */
+    /** Markers in the read-ahead queue: the start of another round, and the end of the input. */
     private static final Spoken NEXT_ROUND_MARKER = new Spoken();
     private static final Spoken END_MARKER = new Spoken();
 
@@ -57,7 +58,10 @@
         this.compareValues = compareValues;
     }
 
-    /** Plays the record so many times; comes back when all has ended. Progress is told every so often. */
+    /**
+     * Replays the recording the given number of times and returns when every RPC has completed. Runs the progress
+     * callback once a second.
+     */
     public void play(Source source, int rounds, Runnable progress) throws Exception {
         Thread reader = new Thread(() -> {
             try {
@@ -74,7 +78,7 @@
         }, "read ahead");
         reader.setDaemon(true);
         reader.start();
-        // What is due first is there before the clock begins.
+        // Waits for the first RPC before the replay clock starts.
         while (readAhead.isEmpty()) {
             Thread.sleep(1);
         }
@@ -101,7 +105,7 @@
     public void now(long now) {
         startTick = startTick < 0 ? now : startTick;
         schedule.setNow((now - startTick) * NANOS_PER_TICK);
-        // As much as will be due soon; the rest waits in the queue, whose length is bounded.
+        // Schedules a bounded number of RPCs; the others wait in the queue, which is bounded too.
         while (schedule.incomplete() < READ_AHEAD_RPCS) {
             Spoken rpc = readAhead.poll();
             if (rpc == null) {
@@ -129,7 +133,7 @@
             }
             return false;
         }
-        // Awake for the next one that is due, or soon, to read on.
+        // Wakes up for the next due RPC, or after 10 ms to schedule more from the queue.
         long nextTick = Math.min(startTick + schedule.nextDueNs() / NANOS_PER_TICK, loop.now() + 100);
         if (nextTick < wakeupTick || wakeupTick <= loop.now()) {
             wakeupTick = Math.max(loop.now() + 1, nextTick);
@@ -146,7 +150,8 @@
     public void send(Plan.RecordedConnection recordedConnection, Spoken rpc, long dueNs) {
         ReplayConnection connection = (ReplayConnection) recordedConnection.attachment;
         if (connection == null || connection.isClosed) {
-            connection = rpc.protocol.equals("pg") ? new PgConnection(recordedConnection) : new HttpConnection(recordedConnection);
+            connection = rpc.protocol.equals("pg") ? new PgConnection(recordedConnection)
+                    : new HttpConnection(recordedConnection);
             recordedConnection.attachment = connection;
             loop.connect(target, connection);
         }
@@ -160,7 +165,7 @@
         }
     }
 
-    /** A connection that carries one RPC at a time. */
+    /** A connection to the target with at most one RPC in flight. */
     private abstract class ReplayConnection implements Peer {
 
         final Plan.RecordedConnection recordedConnection;
@@ -197,7 +202,8 @@
                 rpc = null;
                 boolean isComparable = compareValues && response != null && completed.outcome == Spoken.Outcome.served
                         && outcome == Spoken.Outcome.served;
-                report.rpcCompleted(completed, outcome, replayTimeNs() - dueNs, isComparable ? Arrays.equals(completed.answer, response) : null);
+                report.rpcCompleted(completed, outcome, replayTimeNs() - dueNs,
+                        isComparable ? Arrays.equals(completed.answer, response) : null);
                 loop.gather(() -> schedule.rpcCompleted(recordedConnection));
             }
         }
@@ -337,14 +343,13 @@
         @Override
         public void data(ByteBuffer bytes) throws Malformed {
             if (body.size() + bytes.remaining() > MAX_MESSAGE_BYTES) {
-                throw new Malformed("an answer too long");
+                throw new Malformed("response body exceeds the maximum size");
             }
             while (bytes.hasRemaining()) {
                 body.write(bytes.get());
             }
         }
 
-        /** The end of an answer. */
         @Override
         public void end() {
             byte[] bytes = body.toByteArray();
--- a/src/main/java/honeygap/capture/replay/Rewriting.java
+++ b/src/main/java/honeygap/capture/replay/Rewriting.java
@@ -8,8 +8,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Makes the request that is sent of the one recorded: a new id, the deadline as it was or as set, keys and tokens
- * mapped so that the same stay the same, or as they were.
+ * Rewrites recorded requests for replay: assigns a new id, replaces the deadline if one is configured, maps
+ * idempotency tokens, and optionally masks keys. Equal keys stay equal, and so do equal tokens within a round.
  */
 public final class Rewriting {
 
@@ -18,14 +18,14 @@
     private final Mask keyMasker;
     private long idCount;
 
-    /** A deadline of 0 is the recorded one; without a mask keys stay as they are. */
+    /** Creates a rewriter. A deadline of 0 keeps the recorded one; without a masker (null) keys are not changed. */
     public Rewriting(long seed, long deadlineMs, Mask keyMasker) {
         this.seed = seed;
         this.deadlineMs = deadlineMs;
         this.keyMasker = keyMasker;
     }
 
-    /** The whole message, with its length. */
+    /** Returns the complete message to send, including its length prefix. */
     public ByteBuffer rewrite(Spoken rpc, int round) {
         if (!rpc.protocol.equals("pg")) {
             return ByteBuffer.wrap(rpc.request);
@@ -46,7 +46,7 @@
             } else if (name.equals("d") && deadlineMs > 0) {
                 value = Long.toString(deadlineMs);
             } else if (name.equals("k")) {
-                // A token names one effect: in another round of the record it is another one.
+                // A token identifies one effect, so each round of the replay needs its own.
                 value = mapToken(value, round);
             }
             fields.append(fields.length() > 0 ? "," : "").append(name).append('=').append(value);
--- a/src/main/java/honeygap/capture/replay/Tally.java
+++ b/src/main/java/honeygap/capture/replay/Tally.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What became of a replay: outcomes beside the recorded ones, times, how late RPCs went out. */
+/** Statistics of a replay: outcomes compared with the recorded ones, response times, and send delays. */
 public final class Tally {
 
-    /** An RPC that went out later than this, in nanoseconds, is late. */
+    /** An RPC sent more than this many nanoseconds after its due time counts as late. */
     private static final long LATE_AFTER_NS = 5_000_000;
 
     private final Map<Spoken.Outcome, Map<Spoken.Outcome, Long>> outcomeCounts = new EnumMap<>(Spoken.Outcome.class);
@@ -23,19 +23,20 @@
     private long differentValues;
     private long sameValues;
 
-    /** An RPC goes out, so many nanoseconds after it was due. */
+    /** Records that an RPC was sent the given number of nanoseconds after its due time. */
     public void rpcSent(long delayNs) {
         sentCount++;
         sendError.recordValue(Math.max(0, delayNs));
         lateCount += delayNs > LATE_AFTER_NS ? 1 : 0;
     }
 
-    /** One has ended; its time is counted from when it was due, so that a late one is not made to look quick. */
+    /** Records a completed RPC. Its duration counts from the due time, so that a late send doesn't hide latency. */
     public void rpcCompleted(Spoken rpc, Spoken.Outcome outcome, long durationNs, Boolean isSameValue) {
         completedCount++;
         outcomeCounts.computeIfAbsent(rpc.outcome, recordedOutcome -> new EnumMap<>(Spoken.Outcome.class))
                 .merge(outcome, 1L, Long::sum);
-        replayedTimesByMethod.computeIfAbsent(rpc.method, method -> new Histogram(3)).recordValue(Math.max(0, durationNs));
+        replayedTimesByMethod.computeIfAbsent(rpc.method, method -> new Histogram(3))
+                .recordValue(Math.max(0, durationNs));
         if (rpc.took >= 0) {
             recordedTimes.recordValue(rpc.took);
         }
@@ -57,7 +58,7 @@
         return lateCount;
     }
 
-    /** Answers of another kind than recorded, where the record knows, or of another value where that was asked. */
+    /** Number of RPCs whose outcome differs from a known recorded one, or whose compared value differs. */
     public long different() {
         long differences = differentValues;
         for (Map.Entry<Spoken.Outcome, Map<Spoken.Outcome, Long>> recorded : outcomeCounts.entrySet()) {
@@ -69,7 +70,7 @@
         return differences;
     }
 
-    /** Send-time error at a percentile, in nanoseconds. */
+    /** The send delay at a percentile, in nanoseconds. */
     public long sendErrorNs(double percentile) {
         return sendError.getValueAtPercentile(percentile);
     }
@@ -81,7 +82,8 @@
                 + " before: %d%n", sendError.getValueAtPercentile(50) / 1e6, sendError.getValueAtPercentile(99) / 1e6,
                 sendError.getMaxValue() / 1e6, LATE_AFTER_NS / 1_000_000, lateCount, schedule.delayedByPrevious());
         outcomeCounts.forEach((recordedOutcome, counts) -> counts.forEach((replayedOutcome, count) ->
-                out.printf("recorded %-8s now %-8s %d%s%n", recordedOutcome, replayedOutcome, count, recordedOutcome == replayedOutcome ? "" : "  (differs)")));
+                out.printf("recorded %-8s now %-8s %d%s%n", recordedOutcome, replayedOutcome, count,
+                        recordedOutcome == replayedOutcome ? "" : "  (differs)")));
         if (sameValues + differentValues > 0) {
             out.printf("values: same %d, other %d%n", sameValues, differentValues);
         }
