--- a/src/test/java/honeygap/bench/CaptureSpeed.java
+++ b/src/test/java/honeygap/bench/CaptureSpeed.java
@@ -12,17 +12,19 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** How fast a capture is read, put together and parsed, beside the plain bytes of the same file and a copy of memory. */
+/**
+ * Throughput of reading, reassembling and decoding a capture, compared with reading the plain file and copying memory.
+ */
 public final class CaptureSpeed {
 
     private CaptureSpeed() {
     }
 
-    private interface Work {
+    private interface Task {
         long run() throws IOException;
     }
 
-    private static void time(String name, long size, Work work) throws IOException {
+    private static void time(String name, long size, Task work) throws IOException {
         long best = Long.MAX_VALUE;
         long result = 0;
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/honeygap/bench/FlagsLoad.java
+++ b/src/test/java/honeygap/bench/FlagsLoad.java
@@ -21,9 +21,9 @@
 import picocli.CommandLine;
 
 /**
- * Load on the flag API, on loopback: canned servers in this process, the agent in one of its own on one core. At
- * a rate, times count from when each evaluation was due, so that a late one is not hidden; without one, clients
- * ask as fast as they are answered. Prints a line of figures.
+ * Load test of the flag API on loopback, with stub servers in this process and the agent in its own process on one
+ * core. At a fixed rate, times count from each evaluation's due time, so that late sends don't hide latency. Without
+ * a rate the load is closed-loop. Prints one line of results.
  */
 @CommandLine.Command(name = "flags-load", mixinStandardHelpOptions = true)
 public final class FlagsLoad implements Callable<Integer> {
@@ -61,7 +61,7 @@
     @CommandLine.Option(names = "--cpu", defaultValue = "0", description = "The core of the agent.")
     private String cpu;
 
-    private final AtomicLong left = new AtomicLong();
+    private final AtomicLong remaining = new AtomicLong();
     private final AtomicLong version = new AtomicLong(1);
     private final List<ServerSocket> sockets = new ArrayList<>();
 
@@ -69,39 +69,39 @@
         System.exit(new CommandLine(new FlagsLoad()).execute(args));
     }
 
-    private static void thread(Callable<?> task) {
+    private static void runInBackground(Callable<?> task) {
         Thread thread = new Thread(() -> {
             try {
                 task.call();
             } catch (Exception e) {
-                // The other side has closed.
+                // The peer has closed the connection.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void server() throws IOException {
+    private void startServer() throws IOException {
         ServerSocket socket = new ServerSocket(0, 1000, InetAddress.getLoopbackAddress());
         sockets.add(socket);
-        thread(() -> {
+        runInBackground(() -> {
             while (true) {
-                Socket one = socket.accept();
-                one.setTcpNoDelay(true);
-                thread(() -> {
-                    serve(one);
+                Socket connection = socket.accept();
+                connection.setTcpNoDelay(true);
+                runInBackground(() -> {
+                    serve(connection);
                     return null;
                 });
             }
         });
     }
 
-    private void serve(Socket one) throws IOException {
-        DataInputStream in = new DataInputStream(new BufferedInputStream(one.getInputStream()));
-        OutputStream out = one.getOutputStream();
+    private void serve(Socket connection) throws IOException {
+        DataInputStream in = new DataInputStream(new BufferedInputStream(connection.getInputStream()));
+        OutputStream out = connection.getOutputStream();
         byte[] buffer = new byte[4096];
         while (true) {
-            skip(in, buffer);
+            skipMessage(in, buffer);
             String body = "{\"key\":\"f\",\"reason\":\"STATIC\",\"variant\":\"on\",\"value\":true,\"metadata\":{\"version\":\""
                     + version.get() + "\"}}";
             out.write(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
@@ -109,8 +109,8 @@
         }
     }
 
-    /** Reads one head and body past; the status of an answer. */
-    private static int skip(DataInputStream in, byte[] buffer) throws IOException {
+    /** Skips one HTTP message, head and body; returns the status if it is a response. */
+    private static int skipMessage(DataInputStream in, byte[] buffer) throws IOException {
         int length = 0;
         int status = 0;
         for (boolean first = true;; first = false) {
@@ -136,7 +136,7 @@
         }
     }
 
-    private String sheet(int port, int draining) {
+    private String agentSettings(int port, int draining) {
         StringBuilder list = new StringBuilder();
         for (int i = 0; i < sockets.size(); i++) {
             list.append("{name:'s").append(i).append("',address:'127.0.0.1:").append(sockets.get(i).getLocalPort())
@@ -149,22 +149,22 @@
     @Override
     public Integer call() throws Exception {
         for (int i = 0; i < servers; i++) {
-            server();
+            startServer();
         }
         int port = sockets.get(0).getLocalPort();
         Process process = null;
-        Path sheet = Files.createTempFile("flags", ".jsonnet");
+        Path settingsFile = Files.createTempFile("flags", ".jsonnet");
         if (!through.equals("direct")) {
             try (ServerSocket free = new ServerSocket(0)) {
                 port = free.getLocalPort();
             }
-            Files.writeString(sheet, sheet(port, -1));
+            Files.writeString(settingsFile, agentSettings(port, -1));
             List<String> command = new ArrayList<>(List.of("taskset", "-c", cpu, "java", "-XX:+UseSerialGC", "-Xms256m",
                     "-Xmx256m", "-cp", System.getProperty("java.class.path")));
             if (through.equals("agent")) {
-                command.addAll(List.of("honeygap.cli.Start", "serve", "--flags", sheet.toString()));
+                command.addAll(List.of("honeygap.cli.Start", "serve", "--flags", settingsFile.toString()));
                 if (record) {
-                    command.addAll(List.of("--record", sheet + ".tape", "--record-files", "2"));
+                    command.addAll(List.of("--record", settingsFile + ".recording", "--record-files", "2"));
                 }
             } else {
                 command.addAll(List.of(Forwarder.class.getName(), "" + port));
@@ -174,40 +174,41 @@
                     .redirectOutput(Path.of(System.getProperty("java.io.tmpdir"), "flags-load.log").toFile()).start();
         }
         try {
-            await(port);
-            // Compiled code first, as fast as it goes: on one core compiling takes turns with serving.
-            int wanted = rate;
+            awaitListening(port);
+            // Warms up the JIT at full speed, since on one core compilation competes with serving.
+            int measuredRate = rate;
             rate = 0;
-            round(port, 200_000, new Histogram(3), new AtomicLongArray(600), null, sheet);
-            rate = wanted;
+            runLoad(port, 200_000, new Histogram(3), new AtomicLongArray(600), null, settingsFile);
+            rate = measuredRate;
             Histogram times = new Histogram(3);
             AtomicLongArray statuses = new AtomicLongArray(600);
             long cpuBefore = cpuTicks(process);
-            long since = System.nanoTime();
-            round(port, evaluations, times, statuses, process, sheet);
-            double seconds = (System.nanoTime() - since) / 1e9;
-            double used = (cpuTicks(process) - cpuBefore) / 100.0 / seconds;
-            StringBuilder other = new StringBuilder();
+            long startNs = System.nanoTime();
+            runLoad(port, evaluations, times, statuses, process, settingsFile);
+            double seconds = (System.nanoTime() - startNs) / 1e9;
+            double usedCores = (cpuTicks(process) - cpuBefore) / 100.0 / seconds;
+            StringBuilder statusCounts = new StringBuilder();
             for (int i = 0; i < 600; i++) {
                 if (statuses.get(i) > 0) {
-                    other.append(' ').append(i).append('=').append(statuses.get(i));
+                    statusCounts.append(' ').append(i).append('=').append(statuses.get(i));
                 }
             }
             System.out.printf("through %s%s, servers %d, clients %d, rate %s, sharing %s, kept %s, drain %ss: %.0f/s,"
                     + " p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms, max %.1f ms; cpu %.2f, rss %d MB; statuses%s%n",
-                    through, record ? " recording" : "", servers, clients, rate == 0 ? "closed" : "" + rate, !noSharing, keep, drainEvery,
+                    through, record ? " recording" : "", servers, clients, rate == 0 ? "closed" : "" + rate, !noSharing,
+                    keep, drainEvery,
                     evaluations / seconds, times.getValueAtPercentile(50) / 1e6, times.getValueAtPercentile(99) / 1e6,
-                    times.getValueAtPercentile(99.9) / 1e6, times.getMaxValue() / 1e6, used, rss(process), other);
+                    times.getValueAtPercentile(99.9) / 1e6, times.getMaxValue() / 1e6, usedCores, rss(process), statusCounts);
         } finally {
             if (process != null) {
                 process.destroyForcibly();
             }
-            Files.delete(sheet);
+            Files.delete(settingsFile);
         }
         return 0;
     }
 
-    private static void await(int port) throws Exception {
+    private static void awaitListening(int port) throws Exception {
         for (int i = 0; i < 200; i++) {
             try {
                 new Socket(InetAddress.getLoopbackAddress(), port).close();
@@ -217,20 +218,20 @@
                 Thread.sleep(50);
             }
         }
-        throw new IOException("nobody listens");
+        throw new IOException("no process listens on the port");
     }
 
-    private void round(int port, long many, Histogram all, AtomicLongArray statuses, Process process, Path sheet)
+    private void runLoad(int port, long count, Histogram all, AtomicLongArray statuses, Process process, Path settingsFile)
             throws Exception {
-        left.set(many);
+        remaining.set(count);
         List<Thread> threads = new ArrayList<>();
-        long begin = System.nanoTime();
+        long startNs = System.nanoTime();
         AtomicLong number = new AtomicLong();
         for (int i = 0; i < clients; i++) {
             int seed = i;
             Thread thread = new Thread(() -> {
                 try {
-                    client(port, new SplittableRandom(seed), begin, number, all, statuses);
+                    runClient(port, new SplittableRandom(seed), startNs, number, all, statuses);
                 } catch (IOException e) {
                     System.err.println("client ended: " + e);
                 }
@@ -238,34 +239,34 @@
             threads.add(thread);
             thread.start();
         }
-        int drained = -1;
-        long next = begin + drainEvery * 1_000_000_000L;
+        int drainedServer = -1;
+        long nextDrainNs = startNs + drainEvery * 1_000_000_000L;
         for (Thread thread : threads) {
             while (thread.isAlive()) {
                 thread.join(100);
-                if (drainEvery > 0 && process != null && System.nanoTime() > next) {
-                    next += drainEvery * 1_000_000_000L;
-                    drained = drained < 0 ? (int) (next % servers) : -1;
-                    Files.writeString(sheet, sheet(port, drained));
+                if (drainEvery > 0 && process != null && System.nanoTime() > nextDrainNs) {
+                    nextDrainNs += drainEvery * 1_000_000_000L;
+                    drainedServer = drainedServer < 0 ? (int) (nextDrainNs % servers) : -1;
+                    Files.writeString(settingsFile, agentSettings(port, drainedServer));
                     new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
                 }
             }
         }
     }
 
-    private void client(int port, SplittableRandom random, long begin, AtomicLong number, Histogram all,
+    private void runClient(int port, SplittableRandom random, long startNs, AtomicLong number, Histogram all,
                         AtomicLongArray statuses) throws IOException {
-        Histogram mine = new Histogram(3);
+        Histogram times = new Histogram(3);
         byte[] buffer = new byte[4096];
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setTcpNoDelay(true);
             DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-            while (left.getAndDecrement() > 0) {
-                long due = System.nanoTime();
+            while (remaining.getAndDecrement() > 0) {
+                long dueNs = System.nanoTime();
                 if (rate > 0) {
-                    due = begin + (long) (number.getAndIncrement() * 1e9 / rate);
-                    while (System.nanoTime() < due) {
-                        LockSupport.parkNanos(Math.max(1, due - System.nanoTime() - 60_000));
+                    dueNs = startNs + (long) (number.getAndIncrement() * 1e9 / rate);
+                    while (System.nanoTime() < dueNs) {
+                        LockSupport.parkNanos(Math.max(1, dueNs - System.nanoTime() - 60_000));
                     }
                 }
                 String body = "{\"context\":{\"targetingKey\":\"user-" + random.nextInt(keys)
@@ -273,12 +274,12 @@
                 socket.getOutputStream().write(("POST /ofrep/v1/evaluate/flags/f HTTP/1.1\r\nHost: x\r\n"
                         + "Content-Type: application/json\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII));
-                statuses.incrementAndGet(skip(in, buffer));
-                mine.recordValue(System.nanoTime() - due);
+                statuses.incrementAndGet(skipMessage(in, buffer));
+                times.recordValue(System.nanoTime() - dueNs);
             }
         }
         synchronized (all) {
-            all.add(mine);
+            all.add(times);
         }
     }
 
--- a/src/test/java/honeygap/bench/Forwarder.java
+++ b/src/test/java/honeygap/bench/Forwarder.java
@@ -19,15 +19,15 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * The baseline: hands each request to a server chosen at random and its answer back, on the same loop and with
- * the same parsers, with no decisions, no checks of bodies, no deadlines and no second tries.
+ * Baseline proxy: forwards each request to a random server and returns its response, with the agent's event loop and
+ * parsers but without decisions, body checks, deadlines or retries.
  */
 public final class Forwarder {
 
     private final Loop loop = new Loop();
     private final SplittableRandom random = new SplittableRandom(1);
     private final List<InetSocketAddress> servers = new ArrayList<>();
-    private final List<ArrayDeque<Back>> idle = new ArrayList<>();
+    private final List<ArrayDeque<ServerConnection>> idle = new ArrayList<>();
 
     public static void main(String[] args) throws Exception {
         new Forwarder().run(args);
@@ -40,13 +40,13 @@
         }
         loop.start();
         loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(args[0])), 1024, 1024,
-                Front::new);
+                ClientConnection::new);
         Thread.currentThread().join();
     }
 
-    private final class Front implements Peer {
+    private final class ClientConnection implements Peer {
 
-        private final Requests requests = new Requests(65_536);
+        private final Requests requestParser = new Requests(65_536);
         private IoSession session;
 
         @Override
@@ -60,25 +60,25 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            requests.feed(bytes);
+            requestParser.feed(bytes);
             try {
-                if (requests.next()) {
-                    int at = random.nextInt(servers.size());
-                    Back back = idle.get(at).pollLast();
-                    if (back == null) {
-                        back = new Back(at);
-                        loop.connect(servers.get(at), back);
+                if (requestParser.next()) {
+                    int serverIndex = random.nextInt(servers.size());
+                    ServerConnection connection = idle.get(serverIndex).pollLast();
+                    if (connection == null) {
+                        connection = new ServerConnection(serverIndex);
+                        loop.connect(servers.get(serverIndex), connection);
                     }
-                    back.carry(this, ("POST " + requests.target() + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
-                            + requests.body().length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII),
-                            requests.body());
+                    connection.forward(this, ("POST " + requestParser.target() + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
+                            + requestParser.body().length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII),
+                            requestParser.body());
                 }
             } catch (Refusal e) {
                 session.closeNow();
             }
         }
 
-        void answer(int status, byte[] body) {
+        void respond(int status, byte[] body) {
             session.write(new Gathered(ByteBuffer.wrap(("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length
                     + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII)), ByteBuffer.wrap(body)));
         }
@@ -92,43 +92,43 @@
         }
     }
 
-    private final class Back implements Peer, Answers.Reader {
+    private final class ServerConnection implements Peer, Answers.Reader {
 
-        private final int at;
-        private final Answers answers = new Answers(this);
+        private final int serverIndex;
+        private final Answers responseParser = new Answers(this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private IoSession session;
-        private Front front;
-        private ByteBuffer[] waiting;
+        private ClientConnection client;
+        private ByteBuffer[] request;
         private int status;
 
-        Back(int at) {
-            this.at = at;
+        ServerConnection(int serverIndex) {
+            this.serverIndex = serverIndex;
         }
 
-        void carry(Front front, byte[] head, byte[] request) {
-            this.front = front;
-            waiting = new ByteBuffer[] {ByteBuffer.wrap(head), ByteBuffer.wrap(request)};
+        void forward(ClientConnection client, byte[] head, byte[] requestBody) {
+            this.client = client;
+            request = new ByteBuffer[] {ByteBuffer.wrap(head), ByteBuffer.wrap(requestBody)};
             if (session != null) {
-                session.write(new Gathered(waiting));
+                session.write(new Gathered(request));
             }
         }
 
         @Override
         public void opened(IoSession session) {
             this.session = session;
-            session.write(new Gathered(waiting));
+            session.write(new Gathered(request));
         }
 
         @Override
         public void unreachable() {
-            front.session.closeNow();
+            client.session.closeNow();
         }
 
         @Override
         public void received(ByteBuffer bytes) {
             try {
-                answers.feed(bytes);
+                responseParser.feed(bytes);
             } catch (Malformed e) {
                 session.closeNow();
             }
@@ -150,8 +150,8 @@
         public void end() {
             byte[] whole = body.toByteArray();
             body.reset();
-            idle.get(at).addLast(this);
-            front.answer(status, whole);
+            idle.get(serverIndex).addLast(this);
+            client.respond(status, whole);
         }
 
         @Override
@@ -160,7 +160,7 @@
 
         @Override
         public void closed() {
-            idle.get(at).remove(this);
+            idle.get(serverIndex).remove(this);
         }
     }
 }
--- a/src/test/java/honeygap/bench/PiecesBench.java
+++ b/src/test/java/honeygap/bench/ReassemblyBufferBench.java
@@ -19,19 +19,19 @@
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** The store of held segments beside a tree map of copies: a run of segments, shuffled, is put in and taken out. */
+/** Compares the reassembly buffer with a tree map of copied segments, on a shuffled run of segments. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
-public class PiecesBench {
+public class ReassemblyBufferBench {
 
     private static final int SEGMENTS = 128;
     private static final int LENGTH = 1448;
 
-    /** How far a segment may be from its place. */
+    /** Number of consecutive segments that are shuffled among themselves. */
     @Param({"2", "16", "128"})
     public int window;
 
@@ -47,45 +47,45 @@
         for (int from = 0; from < SEGMENTS; from += window) {
             int to = Math.min(SEGMENTS, from + window);
             for (int i = to - 1; i > from; i--) {
-                int other = from + random.nextInt(i - from + 1);
-                int one = order[i];
-                order[i] = order[other];
-                order[other] = one;
+                int swapIndex = from + random.nextInt(i - from + 1);
+                int swapped = order[i];
+                order[i] = order[swapIndex];
+                order[swapIndex] = swapped;
             }
         }
     }
 
     @Benchmark
-    public long pieces() {
-        Pieces pieces = new Pieces(1 << 18);
-        long out = 0;
+    public long reassemblyBuffer() {
+        Pieces buffer = new Pieces(1 << 18);
+        long deliveredBytes = 0;
         for (int number : order) {
-            pieces.add((long) number * LENGTH, data, 0, LENGTH);
-            if (pieces.ready() > 0) {
-                out += pieces.take().length;
+            buffer.add((long) number * LENGTH, data, 0, LENGTH);
+            if (buffer.ready() > 0) {
+                deliveredBytes += buffer.take().length;
             }
         }
-        return out;
+        return deliveredBytes;
     }
 
     @Benchmark
     public long treeMap() {
-        TreeMap<Long, byte[]> held = new TreeMap<>();
+        TreeMap<Long, byte[]> buffered = new TreeMap<>();
         long base = 0;
-        long out = 0;
+        long deliveredBytes = 0;
         for (int number : order) {
-            held.put((long) number * LENGTH, data.clone());
-            for (Map.Entry<Long, byte[]> first = held.firstEntry(); first != null && first.getKey() == base;
-                    first = held.firstEntry()) {
-                out += first.getValue().length;
+            buffered.put((long) number * LENGTH, data.clone());
+            for (Map.Entry<Long, byte[]> first = buffered.firstEntry(); first != null && first.getKey() == base;
+                    first = buffered.firstEntry()) {
+                deliveredBytes += first.getValue().length;
                 base += first.getValue().length;
-                held.pollFirstEntry();
+                buffered.pollFirstEntry();
             }
         }
-        return out;
+        return deliveredBytes;
     }
 
     public static void main(String[] args) throws Exception {
-        new Runner(new OptionsBuilder().include(PiecesBench.class.getSimpleName()).build()).run();
+        new Runner(new OptionsBuilder().include(ReassemblyBufferBench.class.getSimpleName()).build()).run();
     }
 }
--- a/src/test/java/honeygap/bench/StructuresBench.java
+++ b/src/test/java/honeygap/bench/StructuresBench.java
@@ -24,7 +24,9 @@
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** The structures of flag answers beside plain maps that are bounded likewise; docs/results.md has the figures. */
+/**
+ * Compares the data structures of flag responses with plain maps of the same bounds; docs/results.md has the results.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -33,7 +35,7 @@
 @Fork(1)
 public class StructuresBench {
 
-    /** Keys that come, of which a tenth has room. */
+    /** Number of different keys; the structures hold a tenth of them. */
     @Param({"10000", "1000000"})
     public int keys;
 
@@ -106,7 +108,7 @@
         return plainKept.get(questions[random.nextInt(keys)]);
     }
 
-    /** Only for the unbounded plain map, as a floor of what any map takes. */
+    /** An unbounded plain map, as a lower bound for the cost of any map. */
     @State(Scope.Thread)
     public static class Unbounded {
         final Map<Long, Long> map = new HashMap<>();
