--- a/src/test/java/honeygap/bench/StructuresBench.java
+++ b/src/test/java/honeygap/bench/StructuresBench.java
@@ -41,20 +41,20 @@
 
     private Versions versions;
     private Map<Long, Long> plainVersions;
-    private Kept kept;
-    private Map<Question, byte[]> plainKept;
-    private Question[] questions;
+    private Kept retainedResponses;
+    private Map<Question, byte[]> plainRetainedResponses;
+    private Question[] requests;
     private final byte[] body = new byte[200];
     private SplittableRandom random;
     private long step;
 
-    private static <K, V> Map<K, V> bounded(int most) {
+    private static <K, V> Map<K, V> bounded(int maxEntries) {
         return new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-                return size() > most;
+                return size() > maxEntries;
             }
         };
     }
@@ -64,24 +64,24 @@
         random = new SplittableRandom(1);
         versions = new Versions(keys / 10, keys / 10);
         plainVersions = bounded(keys / 10);
-        kept = new Kept(keys / 10 * 300);
-        plainKept = bounded(keys / 10);
+        retainedResponses = new Kept(keys / 10 * 300);
+        plainRetainedResponses = bounded(keys / 10);
         Method method = new Method(0, 0, 0, 0, 1, 1, 1, 0);
-        questions = new Question[keys];
+        requests = new Question[keys];
         for (int i = 0; i < keys; i++) {
             byte[] identity = ("POST /flags/a {\"targetingKey\":\"" + i + "\"}").getBytes(StandardCharsets.UTF_8);
-            questions[i] = new Question(method, "a", i + 1, identity, i * 0x9e3779b97f4a7c15L, true);
+            requests[i] = new Question(method, "a", i + 1, identity, i * 0x9e3779b97f4a7c15L, true);
         }
         for (int i = 0; i < keys; i++) {
-            versionsMet();
-            mapMet();
-            keptKeepAndFind();
-            mapKeepAndFind();
+            versionsUpdate();
+            mapUpdate();
+            retainedResponsesPutAndGet();
+            mapPutAndGet();
         }
     }
 
     @Benchmark
-    public long versionsMet() {
+    public long versionsUpdate() {
         long key = 1 + random.nextInt(keys);
         long floor = versions.floor(key);
         versions.met(key, Math.max(floor, ++step / 1000));
@@ -89,7 +89,7 @@
     }
 
     @Benchmark
-    public long mapMet() {
+    public long mapUpdate() {
         Long key = 1L + random.nextInt(keys);
         Long floor = plainVersions.get(key);
         plainVersions.put(key, floor == null ? ++step / 1000 : Math.max(floor, ++step / 1000));
@@ -97,15 +97,15 @@
     }
 
     @Benchmark
-    public int keptKeepAndFind() {
-        kept.keep(questions[random.nextInt(keys)], 1, body, ++step);
-        return kept.find(questions[random.nextInt(keys)]);
+    public int retainedResponsesPutAndGet() {
+        retainedResponses.keep(requests[random.nextInt(keys)], 1, body, ++step);
+        return retainedResponses.find(requests[random.nextInt(keys)]);
     }
 
     @Benchmark
-    public byte[] mapKeepAndFind() {
-        plainKept.put(questions[random.nextInt(keys)], body.clone());
-        return plainKept.get(questions[random.nextInt(keys)]);
+    public byte[] mapPutAndGet() {
+        plainRetainedResponses.put(requests[random.nextInt(keys)], body.clone());
+        return plainRetainedResponses.get(requests[random.nextInt(keys)]);
     }
 
     /** An unbounded plain map, as a lower bound for the cost of any map. */
@@ -115,7 +115,7 @@
     }
 
     @Benchmark
-    public Long unboundedMet(Unbounded unbounded) {
+    public Long unboundedMapUpdate(Unbounded unbounded) {
         return unbounded.map.merge(1L + random.nextInt(keys), ++step / 1000, Math::max);
     }
 
