--- a/src/main/java/honeygap/capture/record/Row.java
+++ b/src/main/java/honeygap/capture/record/Row.java
@@ -5,34 +5,34 @@
 import java.util.function.Function;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** The columns of a row an RPC, the same in every form: a name, a type, and what stands there. */
+/** The columns of the table of RPCs, the same in every output format. Each row describes one RPC. */
 public final class Row {
 
-    /** One column; its values are text or whole numbers. */
+    /** A column with text or integer values. */
     public record Column(String name, boolean isText, Function<Spoken, Object> value) { }
 
     public static final List<Column> COLUMNS = List.of(
-            new Column("protocol", true, spoken -> spoken.protocol),
-            new Column("connection", false, spoken -> spoken.connection),
-            new Column("client", true, spoken -> spoken.client.toString()),
-            new Column("server", true, spoken -> spoken.server.toString()),
-            new Column("at_ns", false, spoken -> spoken.at),
-            new Column("took_ns", false, spoken -> spoken.took),
-            new Column("method", true, spoken -> spoken.method),
-            new Column("id", true, spoken -> spoken.id),
-            new Column("tenant", true, spoken -> spoken.tenant),
-            new Column("key_hash", true, spoken -> hash(spoken.key)),
-            new Column("outcome", true, spoken -> spoken.outcome.name()),
-            new Column("code", true, spoken -> spoken.code),
-            new Column("deadline_ms", false, spoken -> spoken.deadlineMs),
-            new Column("request_bytes", false, spoken -> (long) spoken.request.length),
-            new Column("answer_bytes", false, spoken -> (long) spoken.answer.length));
+            new Column("protocol", true, rpc -> rpc.protocol),
+            new Column("connection", false, rpc -> rpc.connection),
+            new Column("client", true, rpc -> rpc.client.toString()),
+            new Column("server", true, rpc -> rpc.server.toString()),
+            new Column("at_ns", false, rpc -> rpc.at),
+            new Column("took_ns", false, rpc -> rpc.took),
+            new Column("method", true, rpc -> rpc.method),
+            new Column("id", true, rpc -> rpc.id),
+            new Column("tenant", true, rpc -> rpc.tenant),
+            new Column("key_hash", true, rpc -> hashKey(rpc.key)),
+            new Column("outcome", true, rpc -> rpc.outcome.name()),
+            new Column("code", true, rpc -> rpc.code),
+            new Column("deadline_ms", false, rpc -> rpc.deadlineMs),
+            new Column("request_bytes", false, rpc -> (long) rpc.request.length),
+            new Column("answer_bytes", false, rpc -> (long) rpc.answer.length));
 
     private Row() {
     }
 
-    /** Keys themselves stay in the capture; a hash tells which are the same. */
-    private static String hash(String key) {
+    /** Exports a hash of the key, which still shows equal keys, so that the keys themselves don't leave the capture. */
+    private static String hashKey(String key) {
         if (key.isEmpty()) {
             return "";
         }
--- a/src/main/java/honeygap/capture/record/Rows.java
+++ b/src/main/java/honeygap/capture/record/Rows.java
@@ -18,12 +18,12 @@
 import org.apache.avro.generic.GenericDatumWriter;
 import org.apache.avro.generic.GenericRecord;
 
-/** Writes a row an RPC, in one of several forms. */
+/** Writes one row for each RPC, in one of several formats. */
 public interface Rows extends Closeable {
 
-    void write(Spoken spoken) throws IOException;
+    void write(Spoken rpc) throws IOException;
 
-    /** Comma-separated (RFC 4180), with a head. */
+    /** CSV (RFC 4180) with a header row. */
     final class Csv implements Rows {
 
         private final Writer out;
@@ -35,14 +35,14 @@
         }
 
         @Override
-        public void write(Spoken spoken) throws IOException {
-            String comma = "";
+        public void write(Spoken rpc) throws IOException {
+            String separator = "";
             for (Row.Column column : Row.COLUMNS) {
-                out.write(comma);
-                comma = ",";
-                String words = column.value().apply(spoken).toString();
-                boolean isPlain = words.chars().noneMatch(c -> c == ',' || c == '"' || c == '\r' || c == '\n');
-                out.write(isPlain ? words : '"' + words.replace("\"", "\"\"") + '"');
+                out.write(separator);
+                separator = ",";
+                String text = column.value().apply(rpc).toString();
+                boolean needsNoQuotes = text.chars().noneMatch(c -> c == ',' || c == '"' || c == '\r' || c == '\n');
+                out.write(needsNoQuotes ? text : '"' + text.replace("\"", "\"\"") + '"');
             }
             out.write("\r\n");
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** An object a line. */
+    /** JSON Lines: one object on each line. */
     final class JsonLines implements Rows {
 
         private final JsonGenerator out;
@@ -64,10 +64,10 @@
         }
 
         @Override
-        public void write(Spoken spoken) throws IOException {
+        public void write(Spoken rpc) throws IOException {
             out.writeStartObject();
             for (Row.Column column : Row.COLUMNS) {
-                Object value = column.value().apply(spoken);
+                Object value = column.value().apply(rpc);
                 if (column.isText()) {
                     out.writeStringField(column.name(), value.toString());
                 } else {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** An Avro file, in blocks compressed with zstd. */
+    /** An Avro container file with zstd-compressed blocks. */
     final class Avro implements Rows {
 
         private final Schema schema;
@@ -102,10 +102,10 @@
         }
 
         @Override
-        public void write(Spoken spoken) throws IOException {
+        public void write(Spoken rpc) throws IOException {
             GenericRecord row = new GenericData.Record(schema);
             for (Row.Column column : Row.COLUMNS) {
-                row.put(column.name(), column.value().apply(spoken));
+                row.put(column.name(), column.value().apply(rpc));
             }
             out.append(row);
         }
--- a/src/test/java/honeygap/bench/StructuresBench.java
+++ b/src/test/java/honeygap/bench/StructuresBench.java
@@ -24,7 +24,9 @@
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** The structures of flag answers beside plain maps that are bounded likewise; docs/results.md has the figures. */
+/**
+ * Compares the data structures of flag responses with plain maps of the same bounds; docs/results.md has the results.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -33,26 +35,26 @@
 @Fork(1)
 public class StructuresBench {
 
-    /** Keys that come, of which a tenth has room. */
+    /** Number of different keys; the structures hold a tenth of them. */
     @Param({"10000", "1000000"})
     public int keys;
 
     private Versions versions;
     private Map<Long, Long> plainVersions;
-    private Kept kept;
-    private Map<Question, byte[]> plainKept;
-    private Question[] questions;
+    private Kept retainedResponses;
+    private Map<Question, byte[]> plainRetainedResponses;
+    private Question[] requests;
     private final byte[] body = new byte[200];
     private SplittableRandom random;
     private long step;
 
-    private static <K, V> Map<K, V> bounded(int most) {
+    private static <K, V> Map<K, V> bounded(int maxEntries) {
         return new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-                return size() > most;
+                return size() > maxEntries;
             }
         };
     }
@@ -62,24 +64,24 @@
         random = new SplittableRandom(1);
         versions = new Versions(keys / 10, keys / 10);
         plainVersions = bounded(keys / 10);
-        kept = new Kept(keys / 10 * 300);
-        plainKept = bounded(keys / 10);
+        retainedResponses = new Kept(keys / 10 * 300);
+        plainRetainedResponses = bounded(keys / 10);
         Method method = new Method(0, 0, 0, 0, 1, 1, 1, 0);
-        questions = new Question[keys];
+        requests = new Question[keys];
         for (int i = 0; i < keys; i++) {
             byte[] identity = ("POST /flags/a {\"targetingKey\":\"" + i + "\"}").getBytes(StandardCharsets.UTF_8);
-            questions[i] = new Question(method, "a", i + 1, identity, i * 0x9e3779b97f4a7c15L, true);
+            requests[i] = new Question(method, "a", i + 1, identity, i * 0x9e3779b97f4a7c15L, true);
         }
         for (int i = 0; i < keys; i++) {
-            versionsMet();
-            mapMet();
-            keptKeepAndFind();
-            mapKeepAndFind();
+            versionsUpdate();
+            mapUpdate();
+            retainedResponsesPutAndGet();
+            mapPutAndGet();
         }
     }
 
     @Benchmark
-    public long versionsMet() {
+    public long versionsUpdate() {
         long key = 1 + random.nextInt(keys);
         long floor = versions.floor(key);
         versions.met(key, Math.max(floor, ++step / 1000));
@@ -87,7 +89,7 @@
     }
 
     @Benchmark
-    public long mapMet() {
+    public long mapUpdate() {
         Long key = 1L + random.nextInt(keys);
         Long floor = plainVersions.get(key);
         plainVersions.put(key, floor == null ? ++step / 1000 : Math.max(floor, ++step / 1000));
@@ -95,25 +97,25 @@
     }
 
     @Benchmark
-    public int keptKeepAndFind() {
-        kept.keep(questions[random.nextInt(keys)], 1, body, ++step);
-        return kept.find(questions[random.nextInt(keys)]);
+    public int retainedResponsesPutAndGet() {
+        retainedResponses.keep(requests[random.nextInt(keys)], 1, body, ++step);
+        return retainedResponses.find(requests[random.nextInt(keys)]);
     }
 
     @Benchmark
-    public byte[] mapKeepAndFind() {
-        plainKept.put(questions[random.nextInt(keys)], body.clone());
-        return plainKept.get(questions[random.nextInt(keys)]);
+    public byte[] mapPutAndGet() {
+        plainRetainedResponses.put(requests[random.nextInt(keys)], body.clone());
+        return plainRetainedResponses.get(requests[random.nextInt(keys)]);
     }
 
-    /** Only for the unbounded plain map, as a floor of what any map takes. */
+    /** An unbounded plain map, as a lower bound for the cost of any map. */
     @State(Scope.Thread)
     public static class Unbounded {
         final Map<Long, Long> map = new HashMap<>();
     }
 
     @Benchmark
-    public Long unboundedMet(Unbounded unbounded) {
+    public Long unboundedMapUpdate(Unbounded unbounded) {
         return unbounded.map.merge(1L + random.nextInt(keys), ++step / 1000, Math::max);
     }
 
