--- a/src/main/java/honeygap/capture/Reading.java
+++ b/src/main/java/honeygap/capture/Reading.java
@@ -26,71 +26,71 @@
     }
 
     /** A file and the packet of it that is next. */
-    private static final class Open implements Comparable<Open> {
+    private static final class OpenFile implements Comparable<OpenFile> {
         final CaptureReader reader;
         final int number;
         final Packet packet = new Packet();
 
-        Open(CaptureReader reader, int number) {
+        OpenFile(CaptureReader reader, int number) {
             this.reader = reader;
             this.number = number;
         }
 
         @Override
-        public int compareTo(Open other) {
+        public int compareTo(OpenFile other) {
             int order = Long.compare(packet.at, other.packet.at);
             return order != 0 ? order : Integer.compare(number, other.number);
         }
     }
 
-    private final List<Open> files = new ArrayList<>();
-    private final PriorityQueue<Open> next = new PriorityQueue<>();
-    private Open last;
+    private final List<OpenFile> files = new ArrayList<>();
+    private final PriorityQueue<OpenFile> queue = new PriorityQueue<>();
+    private OpenFile current;
     private long packets;
     private long bytes;
-    private long firstAt = Long.MAX_VALUE;
-    private long lastAt = Long.MIN_VALUE;
+    private long firstTimestampNs = Long.MAX_VALUE;
+    private long lastTimestampNs = Long.MIN_VALUE;
 
     public Reading(List<Path> paths) throws IOException {
         try {
             for (Path path : paths) {
-                files.add(new Open(new CaptureReader(path), files.size()));
+                files.add(new OpenFile(new CaptureReader(path), files.size()));
             }
         } catch (IOException e) {
             close();
             throw e;
         }
-        for (Open file : files) {
-            add(file);
+        for (OpenFile file : files) {
+            enqueueNext(file);
         }
     }
 
-    private void add(Open file) throws IOException {
+    private void enqueueNext(OpenFile file) throws IOException {
         if (file.reader.next(file.packet)) {
-            next.add(file);
+            queue.add(file);
         }
     }
 
     /** The next packet, good until the next call; null at the end. */
     public Packet next() throws IOException {
-        if (last != null) {
-            add(last);
+        if (current != null) {
+            enqueueNext(current);
         }
-        last = next.poll();
-        if (last == null) {
+        current = queue.poll();
+        if (current == null) {
             return null;
         }
         packets++;
-        bytes += last.packet.length;
-        firstAt = Math.min(firstAt, last.packet.at);
-        lastAt = Math.max(lastAt, last.packet.at);
-        return last.packet;
+        bytes += current.packet.length;
+        firstTimestampNs = Math.min(firstTimestampNs, current.packet.at);
+        lastTimestampNs = Math.max(lastTimestampNs, current.packet.at);
+        return current.packet;
     }
 
     /** Reads all that is left as conversations. What was out of the ordinary on the way, by kind. */
-    public Map<String, Long> conversations(Conversation.Hearer hearer, Hearer each) throws IOException {
-        Conversations conversations = new Conversations(hearer);
-        Map<String, Long> counts = streams(conversations, each);
+    public Map<String, Long> conversations(Conversation.Hearer listener, Hearer packetListener) throws IOException {
+        Conversations conversations = new Conversations(listener);
+        Map<String, Long> counts = streams(conversations, packetListener);
         counts.putAll(conversations.counts());
         counts.put("connections", conversations.connections());
         counts.put("RPCs", conversations.heard());
@@ -98,39 +98,39 @@
     }
 
     /** Reads all that is left as streams. */
-    public Map<String, Long> streams(Reassembly.Out out, Hearer each) throws IOException {
+    public Map<String, Long> streams(Reassembly.Out listener, Hearer packetListener) throws IOException {
         Decoder decoder = new Decoder();
         Reassembly reassembly = new Reassembly();
         Segment segment = new Segment();
         for (Packet packet = next(); packet != null; packet = next()) {
-            each.packet(packet);
+            packetListener.packet(packet);
             if (decoder.read(packet, segment)) {
                 reassembly.take(segment);
-                drain(reassembly, out);
+                drain(reassembly, listener);
             }
         }
         reassembly.end();
-        drain(reassembly, out);
+        drain(reassembly, listener);
         Map<String, Long> counts = new TreeMap<>(reassembly.counts());
-        decoder.passed().forEach((kind, many) -> counts.put("packets: " + kind, many));
+        decoder.skipped().forEach((kind, count) -> counts.put("packets: " + kind, count));
         return counts;
     }
 
-    private static void drain(Reassembly reassembly, Reassembly.Out out) {
-        while (reassembly.next(out)) {
+    private static void drain(Reassembly reassembly, Reassembly.Out listener) {
+        while (reassembly.next(listener)) {
             continue;
         }
     }
 
     /** What was cut off at the ends of files, a line each. */
     public List<String> cutOff() {
-        List<String> lines = new ArrayList<>();
-        for (Open file : files) {
+        List<String> truncations = new ArrayList<>();
+        for (OpenFile file : files) {
             if (file.reader.cutOff() != null) {
-                lines.add(file.reader.cutOff());
+                truncations.add(file.reader.cutOff());
             }
         }
-        return lines;
+        return truncations;
     }
 
     public long packets() {
@@ -144,16 +144,16 @@
 
     /** Nanoseconds since 1970. */
     public long firstAt() {
-        return firstAt;
+        return firstTimestampNs;
     }
 
     public long lastAt() {
-        return lastAt;
+        return lastTimestampNs;
     }
 
     @Override
     public void close() throws IOException {
-        for (Open file : files) {
+        for (OpenFile file : files) {
             file.reader.close();
         }
     }
--- a/src/main/java/honeygap/capture/file/Source.java
+++ b/src/main/java/honeygap/capture/file/CaptureInput.java
@@ -18,31 +18,31 @@
  * The bytes of a capture file, plain, gzip or zstd as its first bytes say, read as a stream with a buffer of fixed
  * size. One that was cut off ends; it is no fault. Guards against bombs: what expands beyond measure is spoilt.
  */
-final class Source implements Closeable {
+final class CaptureInput implements Closeable {
 
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
     /** Past so many bytes a file may not expand more than so many times. */
-    private static final long TRUSTED = 256L << 20;
-    private static final long EXPANSION = 300;
+    private static final long EXPANSION_CHECK_BYTES = 256L << 20;
+    private static final long MAX_EXPANSION = 300;
 
     final String name;
     private final InputStream in;
-    private final Counted raw;
-    private final boolean isPacked;
+    private final CountingInputStream raw;
+    private final boolean isCompressed;
     private final boolean isZstd;
-    private final byte[] buffer = new byte[BUFFER];
-    private int from;
-    private int to;
+    private final byte[] buffer = new byte[BUFFER_BYTES];
+    private int position;
+    private int limit;
     /** Where the byte after the buffer's last one stands. */
-    private long end;
-    private boolean isCut;
+    private long bufferEndOffset;
+    private boolean isTruncated;
 
-    private static final class Counted extends FilterInputStream {
+    private static final class CountingInputStream extends FilterInputStream {
 
         private long count;
-        private final Frames frames = new Frames();
+        private final ZstdFrameTracker frames = new ZstdFrameTracker();
 
-        Counted(InputStream in) {
+        CountingInputStream(InputStream in) {
             super(in);
         }
 
@@ -63,23 +63,23 @@
         }
     }
 
-    Source(Path file) throws IOException {
+    CaptureInput(Path file) throws IOException {
         this(file.toString(), Files.newInputStream(file));
     }
 
-    Source(String name, InputStream bytes) throws IOException {
+    CaptureInput(String name, InputStream bytes) throws IOException {
         this.name = name;
-        BufferedInputStream first = new BufferedInputStream(bytes, BUFFER);
+        BufferedInputStream first = new BufferedInputStream(bytes, BUFFER_BYTES);
         first.mark(4);
         byte[] magic = first.readNBytes(4);
         first.reset();
-        raw = new Counted(first);
+        raw = new CountingInputStream(first);
         boolean isGzip = magic.length >= 2 && (magic[0] & 0xff) == 0x1f && (magic[1] & 0xff) == 0x8b;
         isZstd = magic.length == 4 && ByteBuffer.wrap(magic).order(ByteOrder.LITTLE_ENDIAN).getInt()
                 == 0xfd2fb528;
-        isPacked = isGzip || isZstd;
+        isCompressed = isGzip || isZstd;
         try {
-            in = isGzip ? new GZIPInputStream(raw, BUFFER) : isZstd ? new ZstdInputStream(raw) : raw;
+            in = isGzip ? new GZIPInputStream(raw, BUFFER_BYTES) : isZstd ? new ZstdInputStream(raw) : raw;
         } catch (ZipException e) {
             throw new Spoilt(name, 0, "compression", "not gzip: " + e.getMessage());
         } catch (EOFException e) {
@@ -88,40 +88,40 @@
     }
 
     /** Where the next byte stands. */
-    long place() {
-        return end - (to - from);
+    long offset() {
+        return bufferEndOffset - (limit - position);
     }
 
     /** The file broke off in the middle of what is compressed. */
-    boolean isCut() {
-        return isCut;
+    boolean isTruncated() {
+        return isTruncated;
     }
 
     private boolean fill() throws IOException {
-        int many;
+        int count;
         try {
-            many = in.read(buffer, 0, BUFFER);
+            count = in.read(buffer, 0, BUFFER_BYTES);
         } catch (EOFException e) {
-            isCut = true;
+            isTruncated = true;
             return false;
         } catch (ZipException e) {
-            throw new Spoilt(name, end, "compression", "spoilt gzip: " + e.getMessage());
+            throw new Spoilt(name, bufferEndOffset, "compression", "spoilt gzip: " + e.getMessage());
         } catch (IOException e) {
-            if (isPacked && String.valueOf(e.getMessage()).contains("runcated")) {
-                isCut = true;
+            if (isCompressed && String.valueOf(e.getMessage()).contains("runcated")) {
+                isTruncated = true;
                 return false;
             }
-            throw isPacked ? new Spoilt(name, end, "compression", "spoilt compression: " + e.getMessage()) : e;
+            throw isCompressed ? new Spoilt(name, bufferEndOffset, "compression", "spoilt compression: " + e.getMessage()) : e;
         }
-        if (many <= 0) {
-            isCut |= isZstd && !raw.frames.isBetween();
+        if (count <= 0) {
+            isTruncated |= isZstd && !raw.frames.isAtFrameBoundary();
             return false;
         }
-        from = 0;
-        to = many;
-        end += many;
-        if (isPacked && end > TRUSTED && end / EXPANSION > raw.count) {
-            throw new Spoilt(name, end, "bomb", "expands more than " + EXPANSION + " times");
+        position = 0;
+        limit = count;
+        bufferEndOffset += count;
+        if (isCompressed && bufferEndOffset > EXPANSION_CHECK_BYTES && bufferEndOffset / MAX_EXPANSION > raw.count) {
+            throw new Spoilt(name, bufferEndOffset, "bomb", "expands more than " + MAX_EXPANSION + " times");
         }
         return true;
     }
@@ -130,27 +130,27 @@
     int read(byte[] into, int at, int length) throws IOException {
         int done = 0;
         while (done < length) {
-            if (from == to && !fill()) {
+            if (position == limit && !fill()) {
                 return done;
             }
-            int part = Math.min(length - done, to - from);
-            System.arraycopy(buffer, from, into, at + done, part);
-            from += part;
-            done += part;
+            int count = Math.min(length - done, limit - position);
+            System.arraycopy(buffer, position, into, at + done, count);
+            position += count;
+            done += count;
         }
         return done;
     }
 
     /** Passes so many bytes over; whether they were all there. */
     boolean skip(long length) throws IOException {
-        long left = length;
-        while (left > 0) {
-            if (from == to && !fill()) {
+        long remaining = length;
+        while (remaining > 0) {
+            if (position == limit && !fill()) {
                 return false;
             }
-            int part = (int) Math.min(left, to - from);
-            from += part;
-            left -= part;
+            int count = (int) Math.min(remaining, limit - position);
+            position += count;
+            remaining -= count;
         }
         return true;
     }
--- a/src/main/java/honeygap/capture/file/Packet.java
+++ b/src/main/java/honeygap/capture/file/Packet.java
@@ -11,9 +11,9 @@
     public byte[] data = new byte[2048];
     public int length;
     /** How long it was on the wire. */
-    public int original;
+    public int originalLength;
     /** Counted from 1. */
     public long number;
     /** Where its record begins in the file, after decompression. */
-    public long place;
+    public long fileOffset;
 }
--- a/src/main/java/honeygap/capture/file/Spoilt.java
+++ b/src/main/java/honeygap/capture/file/Spoilt.java
@@ -10,8 +10,8 @@
     /** Counted by this. */
     public final String kind;
 
-    public Spoilt(String file, long place, String kind, String words) {
-        super(file + ": byte " + place + ": " + words);
+    public Spoilt(String file, long offset, String kind, String description) {
+        super(file + ": byte " + offset + ": " + description);
         this.kind = kind;
     }
 }
--- a/src/main/java/honeygap/capture/file/Synthesis.java
+++ b/src/main/java/honeygap/capture/file/Synthesis.java
@@ -15,8 +15,8 @@
     /** Link type of packets that begin with IP. */
     public static final int RAW = 101;
 
-    private static final int MOST = 1448;
-    private static final int WINDOW = 65_535;
+    private static final int MAX_SEGMENT_BYTES = 1448;
+    private static final int WINDOW_BYTES = 65_535;
 
     /** Where packets go. */
     public interface Sink {
@@ -28,15 +28,15 @@
         final Address client;
         final Address server;
         /** The next sequence number of each side. */
-        int up;
-        int down;
-        boolean isOver;
+        int clientSequence;
+        int serverSequence;
+        boolean isClosed;
 
-        Flow(Address client, Address server, int up, int down) {
+        Flow(Address client, Address server, int clientSequence, int serverSequence) {
             this.client = client;
             this.server = server;
-            this.up = up;
-            this.down = down;
+            this.clientSequence = clientSequence;
+            this.serverSequence = serverSequence;
         }
     }
 
@@ -49,38 +49,38 @@
         packet.link = RAW;
     }
 
-    public int open() {
+    public int openConnections() {
         return flows.size();
     }
 
     /** A connection comes up; whole where its beginning is to be seen, which the three first packets show. */
-    public void opened(long number, Address client, Address server, boolean isWhole, long at) throws IOException {
+    public void opened(long number, Address client, Address server, boolean isFromStart, long timestampNs) throws IOException {
         int seed = (int) (number * 0x9e3779b9L) ^ client.port() << 16 ^ server.port();
         Flow flow = new Flow(client, server, seed, seed * 31 + 17);
         flows.put(number, flow);
-        if (isWhole) {
-            write(flow, true, Segment.SYN, null, 0, 0, at);
-            flow.up++;
-            write(flow, false, Segment.SYN | Segment.ACK, null, 0, 0, at);
-            flow.down++;
-            write(flow, true, Segment.ACK, null, 0, 0, at);
+        if (isFromStart) {
+            write(flow, true, Segment.SYN, null, 0, 0, timestampNs);
+            flow.clientSequence++;
+            write(flow, false, Segment.SYN | Segment.ACK, null, 0, 0, timestampNs);
+            flow.serverSequence++;
+            write(flow, true, Segment.ACK, null, 0, 0, timestampNs);
         }
     }
 
-    public void data(long number, boolean isClient, byte[] bytes, int start, int length, long at) throws IOException {
+    public void data(long number, boolean isClient, byte[] bytes, int start, int length, long timestampNs) throws IOException {
         Flow flow = flows.get(number);
         if (flow == null) {
             return;
         }
         for (int done = 0; done < length;) {
-            int part = Math.min(MOST, length - done);
-            done += part;
-            write(flow, isClient, Segment.ACK | (done == length ? Segment.PSH : 0), bytes, start + done - part, part,
-                    at);
+            int segmentLength = Math.min(MAX_SEGMENT_BYTES, length - done);
+            done += segmentLength;
+            write(flow, isClient, Segment.ACK | (done == length ? Segment.PSH : 0), bytes, start + done - segmentLength, segmentLength,
+                    timestampNs);
             if (isClient) {
-                flow.up += part;
+                flow.clientSequence += segmentLength;
             } else {
-                flow.down += part;
+                flow.serverSequence += segmentLength;
             }
         }
     }
@@ -89,42 +89,42 @@
     public void hole(long number, boolean isClient, long length) {
         Flow flow = flows.get(number);
         if (flow != null && isClient) {
-            flow.up += (int) length;
+            flow.clientSequence += (int) length;
         } else if (flow != null) {
-            flow.down += (int) length;
+            flow.serverSequence += (int) length;
         }
     }
 
     /** Ends a connection, from the client's side or the server's, in order or at once. */
-    public void closed(long number, boolean isByClient, boolean isReset, long at) throws IOException {
+    public void closed(long number, boolean isByClient, boolean isReset, long timestampNs) throws IOException {
         Flow flow = flows.remove(number);
-        if (flow == null || flow.isOver) {
+        if (flow == null || flow.isClosed) {
             return;
         }
-        flow.isOver = true;
+        flow.isClosed = true;
         if (isReset) {
-            write(flow, isByClient, Segment.RST | Segment.ACK, null, 0, 0, at);
+            write(flow, isByClient, Segment.RST | Segment.ACK, null, 0, 0, timestampNs);
             return;
         }
-        write(flow, isByClient, Segment.FIN | Segment.ACK, null, 0, 0, at);
-        flow.up += isByClient ? 1 : 0;
-        flow.down += isByClient ? 0 : 1;
-        write(flow, !isByClient, Segment.FIN | Segment.ACK, null, 0, 0, at);
-        flow.up += isByClient ? 0 : 1;
-        flow.down += isByClient ? 1 : 0;
-        write(flow, isByClient, Segment.ACK, null, 0, 0, at);
+        write(flow, isByClient, Segment.FIN | Segment.ACK, null, 0, 0, timestampNs);
+        flow.clientSequence += isByClient ? 1 : 0;
+        flow.serverSequence += isByClient ? 0 : 1;
+        write(flow, !isByClient, Segment.FIN | Segment.ACK, null, 0, 0, timestampNs);
+        flow.clientSequence += isByClient ? 0 : 1;
+        flow.serverSequence += isByClient ? 1 : 0;
+        write(flow, isByClient, Segment.ACK, null, 0, 0, timestampNs);
     }
 
-    private void write(Flow flow, boolean isClient, int flags, byte[] bytes, int start, int length, long at)
+    private void write(Flow flow, boolean isClient, int flags, byte[] bytes, int start, int length, long timestampNs)
             throws IOException {
         Address from = isClient ? flow.client : flow.server;
         Address to = isClient ? flow.server : flow.client;
-        boolean isSix = from.isSix();
-        int ip = isSix ? 40 : 20;
-        int total = ip + 20 + length;
+        boolean isIpv6 = from.isIpv6();
+        int ipHeaderLength = isIpv6 ? 40 : 20;
+        int totalLength = ipHeaderLength + 20 + length;
         byte[] data = packet.data;
-        java.util.Arrays.fill(data, 0, ip + 20, (byte) 0);
-        if (isSix) {
+        java.util.Arrays.fill(data, 0, ipHeaderLength + 20, (byte) 0);
+        if (isIpv6) {
             data[0] = 0x60;
             put16(4, 20 + length);
             data[6] = 6;
@@ -135,7 +135,7 @@
             put64(32, to.low());
         } else {
             data[0] = 0x45;
-            put16(2, total);
+            put16(2, totalLength);
             put16(6, 0x4000);
             data[8] = 64;
             data[9] = 6;
@@ -143,39 +143,39 @@
             put32(16, (int) to.low());
             put16(10, ~fold(sum(0, 20, 0)) & 0xffff);
         }
-        put16(ip, from.port());
-        put16(ip + 2, to.port());
-        put32(ip + 4, isClient ? flow.up : flow.down);
-        put32(ip + 8, (flags & Segment.ACK) == 0 ? 0 : isClient ? flow.down : flow.up);
-        data[ip + 12] = 0x50;
-        data[ip + 13] = (byte) flags;
-        put16(ip + 14, WINDOW);
+        put16(ipHeaderLength, from.port());
+        put16(ipHeaderLength + 2, to.port());
+        put32(ipHeaderLength + 4, isClient ? flow.clientSequence : flow.serverSequence);
+        put32(ipHeaderLength + 8, (flags & Segment.ACK) == 0 ? 0 : isClient ? flow.serverSequence : flow.clientSequence);
+        data[ipHeaderLength + 12] = 0x50;
+        data[ipHeaderLength + 13] = (byte) flags;
+        put16(ipHeaderLength + 14, WINDOW_BYTES);
         if (length > 0) {
-            System.arraycopy(bytes, start, data, ip + 20, length);
+            System.arraycopy(bytes, start, data, ipHeaderLength + 20, length);
         }
-        long pseudo = sum(isSix ? 8 : 12, isSix ? 40 : 20, 0) + 6 + 20 + length;
-        put16(ip + 16, ~fold(sum(ip, total, pseudo)) & 0xffff);
-        packet.length = total;
-        packet.original = total;
-        packet.at = at;
+        long pseudoHeaderSum = sum(isIpv6 ? 8 : 12, isIpv6 ? 40 : 20, 0) + 6 + 20 + length;
+        put16(ipHeaderLength + 16, ~fold(sum(ipHeaderLength, totalLength, pseudoHeaderSum)) & 0xffff);
+        packet.length = totalLength;
+        packet.originalLength = totalLength;
+        packet.at = timestampNs;
         sink.write(packet);
     }
 
     private long sum(int from, int to, long sum) {
         byte[] data = packet.data;
-        long all = sum;
+        long total = sum;
         for (int i = from; i + 1 < to; i += 2) {
-            all += (data[i] & 0xff) << 8 | data[i + 1] & 0xff;
+            total += (data[i] & 0xff) << 8 | data[i + 1] & 0xff;
         }
-        return (to - from) % 2 == 0 ? all : all + ((data[to - 1] & 0xff) << 8);
+        return (to - from) % 2 == 0 ? total : total + ((data[to - 1] & 0xff) << 8);
     }
 
     private static int fold(long sum) {
-        long all = sum;
-        while (all > 0xffff) {
-            all = (all & 0xffff) + (all >>> 16);
+        long folded = sum;
+        while (folded > 0xffff) {
+            folded = (folded & 0xffff) + (folded >>> 16);
         }
-        return (int) all;
+        return (int) folded;
     }
 
     private void put16(int at, int value) {
--- a/src/main/java/honeygap/capture/packet/Address.java
+++ b/src/main/java/honeygap/capture/packet/Address.java
@@ -1,7 +1,7 @@
 package honeygap.capture.packet;
 
 /** An address and a port: four or sixteen bytes as two numbers. */
-public record Address(boolean isSix, long high, long low, int port) implements Comparable<Address> {
+public record Address(boolean isIpv6, long high, long low, int port) implements Comparable<Address> {
 
     public static Address four(int address, int port) {
         return new Address(false, 0, address & 0xffffffffL, port);
@@ -17,7 +17,7 @@
 
     @Override
     public int compareTo(Address other) {
-        int order = Boolean.compare(isSix, other.isSix);
+        int order = Boolean.compare(isIpv6, other.isIpv6);
         order = order != 0 ? order : Long.compareUnsigned(high, other.high);
         order = order != 0 ? order : Long.compareUnsigned(low, other.low);
         return order != 0 ? order : Integer.compare(port, other.port);
@@ -25,14 +25,14 @@
 
     @Override
     public String toString() {
-        if (!isSix) {
+        if (!isIpv6) {
             return (low >>> 24) + "." + (low >>> 16 & 255) + "." + (low >>> 8 & 255) + "." + (low & 255) + ":" + port;
         }
-        StringBuilder words = new StringBuilder("[");
+        StringBuilder text = new StringBuilder("[");
         for (int i = 0; i < 8; i++) {
             long half = i < 4 ? high : low;
-            words.append(i > 0 ? ":" : "").append(Long.toHexString(half >>> 48 - 16 * (i % 4) & 0xffff));
+            text.append(i > 0 ? ":" : "").append(Long.toHexString(half >>> 48 - 16 * (i % 4) & 0xffff));
         }
-        return words.append("]:").append(port).toString();
+        return text.append("]:").append(port).toString();
     }
 }
--- a/src/main/java/honeygap/capture/packet/Decoder.java
+++ b/src/main/java/honeygap/capture/packet/Decoder.java
@@ -13,91 +13,91 @@
  */
 public final class Decoder {
 
-    private static final int ETHERNET = 1, NULL = 0, LOOP = 108, COOKED = 113, COOKED_2 = 276, RAW = 101, RAW_12 = 12,
-            RAW_14 = 14, FOUR = 228, SIX = 229;
-    private static final int TYPE_FOUR = 0x0800, TYPE_SIX = 0x86dd;
-    private static final int MOST_TAGS = 4;
-    private static final int MOST_EXTENSIONS = 8;
-    private static final int TCP = 6;
-    private static final int MOST_FRAGMENTED = 64;
-    private static final int LONGEST_WHOLE = 65_535;
+    private static final int ETHERNET = 1, NULL = 0, LOOP = 108, LINUX_SLL = 113, LINUX_SLL2 = 276, RAW = 101, RAW_12 = 12,
+            RAW_14 = 14, IPV4 = 228, IPV6 = 229;
+    private static final int ETHERTYPE_IPV4 = 0x0800, ETHERTYPE_IPV6 = 0x86dd;
+    private static final int MAX_VLAN_TAGS = 4;
+    private static final int MAX_EXTENSION_HEADERS = 8;
+    private static final int PROTOCOL_TCP = 6;
+    private static final int MAX_FRAGMENTED_DATAGRAMS = 64;
+    private static final int MAX_DATAGRAM_BYTES = 65_535;
     /** Fragments that wait longer, in nanoseconds of the capture, are given up. */
-    private static final long FRAGMENT_WAIT = 30_000_000_000L;
+    private static final long FRAGMENT_TIMEOUT_NS = 30_000_000_000L;
 
     /** Fragments of one packet of IP. */
-    private static final class Whole {
-        final long since;
-        final byte[] data = new byte[LONGEST_WHOLE];
+    private static final class FragmentedDatagram {
+        final long firstFragmentNs;
+        final byte[] data = new byte[MAX_DATAGRAM_BYTES];
         /** Begin and end of what is there, in pieces that do not touch. */
-        final TreeMap<Integer, Integer> there = new TreeMap<>();
-        int end = -1;
+        final TreeMap<Integer, Integer> ranges = new TreeMap<>();
+        int length = -1;
 
-        Whole(long since) {
-            this.since = since;
+        FragmentedDatagram(long firstFragmentNs) {
+            this.firstFragmentNs = firstFragmentNs;
         }
 
         void add(byte[] from, int at, int offset, int length, boolean isLast) {
             System.arraycopy(from, at, data, offset, length);
             int begin = offset;
             int end = offset + length;
-            Map.Entry<Integer, Integer> before = there.floorEntry(begin);
+            Map.Entry<Integer, Integer> before = ranges.floorEntry(begin);
             if (before != null && before.getValue() >= begin) {
                 begin = before.getKey();
                 end = Math.max(end, before.getValue());
             }
-            for (Map.Entry<Integer, Integer> next = there.ceilingEntry(begin); next != null && next.getKey() <= end;
-                    next = there.ceilingEntry(begin)) {
+            for (Map.Entry<Integer, Integer> next = ranges.ceilingEntry(begin); next != null && next.getKey() <= end;
+                    next = ranges.ceilingEntry(begin)) {
                 end = Math.max(end, next.getValue());
-                there.remove(next.getKey());
+                ranges.remove(next.getKey());
             }
-            there.put(begin, end);
-            this.end = isLast ? offset + length : this.end;
+            ranges.put(begin, end);
+            this.length = isLast ? offset + length : this.length;
         }
 
-        boolean isWhole() {
-            return end >= 0 && there.size() == 1 && there.firstKey() == 0 && there.firstEntry().getValue() >= end;
+        boolean isComplete() {
+            return length >= 0 && ranges.size() == 1 && ranges.firstKey() == 0 && ranges.firstEntry().getValue() >= length;
         }
     }
 
     /** Addresses, protocol and number of a packet in fragments. */
-    private record Id(long high, long low, long high2, long low2, int number, int protocol) { }
+    private record FragmentKey(long high, long low, long high2, long low2, int number, int protocol) { }
 
-    private final LinkedHashMap<Id, Whole> fragmented = new LinkedHashMap<>();
-    private final Map<String, Long> passed = new java.util.TreeMap<>();
+    private final LinkedHashMap<FragmentKey, FragmentedDatagram> fragmented = new LinkedHashMap<>();
+    private final Map<String, Long> skipped = new java.util.TreeMap<>();
     private byte[] data;
     private int end;
-    private long at;
+    private long packetTimestampNs;
 
     /** Fills the segment; false where the packet holds none. */
     public boolean read(Packet packet, Segment segment) {
         data = packet.data;
         end = packet.length;
-        at = packet.at;
+        packetTimestampNs = packet.at;
         segment.at = packet.at;
         switch (packet.link) {
             case ETHERNET:
-                return ethernet(segment);
+                return decodeEthernet(segment);
             case NULL, LOOP:
-                return loopback(segment);
-            case COOKED:
-                return end < 16 ? pass("cut off") : network(segment, u16(14), 16);
-            case COOKED_2:
-                return end < 20 ? pass("cut off") : network(segment, u16(0), 20);
-            case RAW, RAW_12, RAW_14, FOUR, SIX:
-                return raw(segment, 0);
+                return decodeLoopback(segment);
+            case LINUX_SLL:
+                return end < 16 ? skip("cut off") : decodeNetwork(segment, u16(14), 16);
+            case LINUX_SLL2:
+                return end < 20 ? skip("cut off") : decodeNetwork(segment, u16(0), 20);
+            case RAW, RAW_12, RAW_14, IPV4, IPV6:
+                return decodeIp(segment, 0);
             default:
-                return pass("unknown link type " + packet.link);
+                return skip("unknown link type " + packet.link);
         }
     }
 
-    private boolean pass(String kind) {
-        passed.merge(kind, 1L, Long::sum);
+    private boolean skip(String kind) {
+        skipped.merge(kind, 1L, Long::sum);
         return false;
     }
 
     /** Packets passed over, by kind. */
-    public Map<String, Long> passed() {
-        return passed;
+    public Map<String, Long> skipped() {
+        return skipped;
     }
 
     private int u8(int at) {
@@ -116,158 +116,158 @@
         return (long) i32(at) << 32 | i32(at + 4) & 0xffffffffL;
     }
 
-    private boolean ethernet(Segment segment) {
-        int place = 12;
-        for (int tags = 0; place + 2 <= end; tags++) {
-            int type = u16(place);
+    private boolean decodeEthernet(Segment segment) {
+        int offset = 12;
+        for (int tags = 0; offset + 2 <= end; tags++) {
+            int type = u16(offset);
             if (type != 0x8100 && type != 0x88a8 && type != 0x9100) {
-                return network(segment, type, place + 2);
+                return decodeNetwork(segment, type, offset + 2);
             }
-            if (tags == MOST_TAGS) {
-                return pass("too many tags");
+            if (tags == MAX_VLAN_TAGS) {
+                return skip("too many tags");
             }
-            place += 4;
+            offset += 4;
         }
-        return pass("cut off");
+        return skip("cut off");
     }
 
     /** The family comes first, in the byte order of whoever captured. */
-    private boolean loopback(Segment segment) {
+    private boolean decodeLoopback(Segment segment) {
         if (end < 4) {
-            return pass("cut off");
+            return skip("cut off");
         }
         int family = i32(0);
         family = (family & 0xffff) == 0 ? Integer.reverseBytes(family) : family;
-        return family == 2 ? network(segment, TYPE_FOUR, 4)
-                : family == 24 || family == 28 || family == 30 || family == 10 ? network(segment, TYPE_SIX, 4)
-                : pass("not IP");
+        return family == 2 ? decodeNetwork(segment, ETHERTYPE_IPV4, 4)
+                : family == 24 || family == 28 || family == 30 || family == 10 ? decodeNetwork(segment, ETHERTYPE_IPV6, 4)
+                : skip("not IP");
     }
 
-    private boolean network(Segment segment, int type, int place) {
-        return type == TYPE_FOUR || type == TYPE_SIX ? raw(segment, place) : pass("not IP");
+    private boolean decodeNetwork(Segment segment, int type, int offset) {
+        return type == ETHERTYPE_IPV4 || type == ETHERTYPE_IPV6 ? decodeIp(segment, offset) : skip("not IP");
     }
 
-    private boolean raw(Segment segment, int place) {
-        if (place >= end) {
-            return pass("cut off");
+    private boolean decodeIp(Segment segment, int offset) {
+        if (offset >= end) {
+            return skip("cut off");
         }
-        switch (u8(place) >> 4) {
+        switch (u8(offset) >> 4) {
             case 4:
-                return four(segment, place);
+                return decodeIpv4(segment, offset);
             case 6:
-                return six(segment, place);
+                return decodeIpv6(segment, offset);
             default:
-                return pass("not IP");
+                return skip("not IP");
         }
     }
 
-    private boolean four(Segment segment, int place) {
-        if (place + 20 > end) {
-            return pass("cut off");
+    private boolean decodeIpv4(Segment segment, int offset) {
+        if (offset + 20 > end) {
+            return skip("cut off");
         }
-        int head = 4 * (u8(place) & 15);
-        int total = u16(place + 2);
+        int headerLength = 4 * (u8(offset) & 15);
+        int totalLength = u16(offset + 2);
         // A length of 0 is what offloading leaves: the packet is as long as what was captured.
-        int sent = total == 0 ? end - place : total;
-        if (head < 20 || sent < head || place + head > end) {
-            return pass("bad head of IP");
+        int datagramLength = totalLength == 0 ? end - offset : totalLength;
+        if (headerLength < 20 || datagramLength < headerLength || offset + headerLength > end) {
+            return skip("bad head of IP");
         }
-        int protocol = u8(place + 9);
-        int fragment = u16(place + 6);
-        Address from = Address.four(i32(place + 12), 0);
-        Address to = Address.four(i32(place + 16), 0);
+        int protocol = u8(offset + 9);
+        int fragment = u16(offset + 6);
+        Address from = Address.four(i32(offset + 12), 0);
+        Address to = Address.four(i32(offset + 16), 0);
         if ((fragment & 0x3fff) != 0) {
-            Id id = new Id(0, from.low(), 0, to.low(), u16(place + 4), protocol);
-            return fragment(segment, id, from, to, place + head, sent - head, 8 * (fragment & 0x1fff),
+            FragmentKey id = new FragmentKey(0, from.low(), 0, to.low(), u16(offset + 4), protocol);
+            return addFragment(segment, id, from, to, offset + headerLength, datagramLength - headerLength, 8 * (fragment & 0x1fff),
                     (fragment & 0x2000) == 0, protocol);
         }
-        return protocol == TCP ? tcp(segment, from, to, place + head, sent - head) : pass("not TCP");
+        return protocol == PROTOCOL_TCP ? decodeTcp(segment, from, to, offset + headerLength, datagramLength - headerLength) : skip("not TCP");
     }
 
-    private boolean six(Segment segment, int place) {
-        if (place + 40 > end) {
-            return pass("cut off");
+    private boolean decodeIpv6(Segment segment, int headerOffset) {
+        if (headerOffset + 40 > end) {
+            return skip("cut off");
         }
-        int sent = u16(place + 4);
-        int next = u8(place + 6);
-        Address from = new Address(true, i64(place + 8), i64(place + 16), 0);
-        Address to = new Address(true, i64(place + 24), i64(place + 32), 0);
-        int at = place + 40;
-        int left = sent == 0 ? end - at : sent;
-        for (int i = 0; i < MOST_EXTENSIONS; i++) {
-            if (next == TCP) {
-                return tcp(segment, from, to, at, left);
+        int payloadLength = u16(headerOffset + 4);
+        int next = u8(headerOffset + 6);
+        Address from = new Address(true, i64(headerOffset + 8), i64(headerOffset + 16), 0);
+        Address to = new Address(true, i64(headerOffset + 24), i64(headerOffset + 32), 0);
+        int at = headerOffset + 40;
+        int remaining = payloadLength == 0 ? end - at : payloadLength;
+        for (int i = 0; i < MAX_EXTENSION_HEADERS; i++) {
+            if (next == PROTOCOL_TCP) {
+                return decodeTcp(segment, from, to, at, remaining);
             }
             boolean isKnown = next == 0 || next == 43 || next == 60 || next == 44 || next == 51;
             if (!isKnown) {
-                return pass("not TCP");
+                return skip("not TCP");
             }
-            if (at + 8 > end || left < 8) {
-                return pass("cut off");
+            if (at + 8 > end || remaining < 8) {
+                return skip("cut off");
             }
             int length = next == 44 ? 8 : next == 51 ? 4 * (u8(at + 1) + 2) : 8 * (u8(at + 1) + 1);
             if (next == 44) {
                 int offset = u16(at + 2);
                 if ((offset & 0xfff9) != 0) {
-                    Id id = new Id(from.high(), from.low(), to.high(), to.low(), i32(at + 4), u8(at));
-                    return fragment(segment, id, from, to, at + 8, left - 8, offset & 0xfff8, (offset & 1) == 0,
+                    FragmentKey id = new FragmentKey(from.high(), from.low(), to.high(), to.low(), i32(at + 4), u8(at));
+                    return addFragment(segment, id, from, to, at + 8, remaining - 8, offset & 0xfff8, (offset & 1) == 0,
                             u8(at));
                 }
             }
             next = u8(at);
             at += length;
-            left -= length;
-            if (left < 0 || at > end) {
-                return pass("bad head of IP");
+            remaining -= length;
+            if (remaining < 0 || at > end) {
+                return skip("bad head of IP");
             }
         }
-        return pass("too many extensions");
+        return skip("too many extensions");
     }
 
-    private boolean fragment(Segment segment, Id id, Address from, Address to, int place, int length, int offset,
+    private boolean addFragment(Segment segment, FragmentKey id, Address from, Address to, int dataOffset, int length, int offset,
                              boolean isLast, int protocol) {
-        fragmented.values().removeIf(old -> at - old.since > FRAGMENT_WAIT);
-        if (place + length > end || length <= 0 || offset + length > LONGEST_WHOLE) {
-            return pass("bad fragment");
+        fragmented.values().removeIf(old -> packetTimestampNs - old.firstFragmentNs > FRAGMENT_TIMEOUT_NS);
+        if (dataOffset + length > end || length <= 0 || offset + length > MAX_DATAGRAM_BYTES) {
+            return skip("bad fragment");
         }
-        Whole whole = fragmented.computeIfAbsent(id, key -> new Whole(at));
-        if (fragmented.size() > MOST_FRAGMENTED) {
+        FragmentedDatagram datagram = fragmented.computeIfAbsent(id, key -> new FragmentedDatagram(packetTimestampNs));
+        if (fragmented.size() > MAX_FRAGMENTED_DATAGRAMS) {
             fragmented.remove(fragmented.keySet().iterator().next());
-            passed.merge("fragments given up", 1L, Long::sum);
+            skipped.merge("fragments given up", 1L, Long::sum);
         }
-        whole.add(data, place, offset, length, isLast);
-        if (!whole.isWhole()) {
-            return pass("fragment");
+        datagram.add(data, dataOffset, offset, length, isLast);
+        if (!datagram.isComplete()) {
+            return skip("fragment");
         }
         fragmented.remove(id);
-        if (protocol != TCP) {
-            return pass("not TCP");
+        if (protocol != PROTOCOL_TCP) {
+            return skip("not TCP");
         }
-        data = Arrays.copyOf(whole.data, whole.end);
-        end = whole.end;
-        return tcp(segment, from, to, 0, whole.end);
+        data = Arrays.copyOf(datagram.data, datagram.length);
+        end = datagram.length;
+        return decodeTcp(segment, from, to, 0, datagram.length);
     }
 
-    private boolean tcp(Segment segment, Address from, Address to, int place, int sent) {
-        if (place + 20 > end || sent < 20) {
-            return pass("cut off");
+    private boolean decodeTcp(Segment segment, Address from, Address to, int offset, int segmentLength) {
+        if (offset + 20 > end || segmentLength < 20) {
+            return skip("cut off");
         }
-        int head = 4 * (u8(place + 12) >> 4);
-        if (head < 20 || head > sent) {
-            return pass("bad head of TCP");
+        int headerLength = 4 * (u8(offset + 12) >> 4);
+        if (headerLength < 20 || headerLength > segmentLength) {
+            return skip("bad head of TCP");
         }
-        segment.from = new Address(from.isSix(), from.high(), from.low(), u16(place));
-        segment.to = new Address(to.isSix(), to.high(), to.low(), u16(place + 2));
-        segment.seq = i32(place + 4);
-        segment.ack = i32(place + 8);
-        segment.flags = u8(place + 13);
+        segment.from = new Address(from.isIpv6(), from.high(), from.low(), u16(offset));
+        segment.to = new Address(to.isIpv6(), to.high(), to.low(), u16(offset + 2));
+        segment.seq = i32(offset + 4);
+        segment.ack = i32(offset + 8);
+        segment.flags = u8(offset + 13);
         segment.data = data;
-        segment.start = Math.min(place + head, end);
-        segment.sent = sent - head;
+        segment.start = Math.min(offset + headerLength, end);
+        segment.sent = segmentLength - headerLength;
         // Behind the packet there may be padding; before its end the capture may have stopped.
         segment.length = Math.max(0, Math.min(segment.sent, end - segment.start));
         if (segment.length < segment.sent) {
-            passed.merge("segments cut off", 1L, Long::sum);
+            skipped.merge("segments cut off", 1L, Long::sum);
         }
         return true;
     }
--- a/src/main/java/honeygap/capture/stream/Pieces.java
+++ b/src/main/java/honeygap/capture/stream/Pieces.java
@@ -10,15 +10,15 @@
     /** Where the window begins, counted from the first byte of the direction. */
     private long base;
     private byte[] window = new byte[1024];
-    private final int most;
+    private final int maxWindowBytes;
     /** Begin and end of each run, counted likewise. */
     private long[] runs = new long[8];
-    private int count;
-    private int held;
+    private int runCount;
+    private int bufferedBytes;
 
     /** The window is never longer than this, a power of two. */
-    public Pieces(int most) {
-        this.most = Integer.highestOneBit(Math.max(1024, most));
+    public Pieces(int maxWindowBytes) {
+        this.maxWindowBytes = Integer.highestOneBit(Math.max(1024, maxWindowBytes));
     }
 
     /** The next byte that is missing or not yet taken out. */
@@ -26,106 +26,106 @@
         return base;
     }
 
-    public int held() {
-        return held;
+    public int bufferedBytes() {
+        return bufferedBytes;
     }
 
-    public int runs() {
-        return count;
+    public int runCount() {
+        return runCount;
     }
 
     /** Whether a byte so far out may be held. */
-    public boolean reaches(long end) {
-        return end - base <= most;
+    public boolean fits(long end) {
+        return end - base <= maxWindowBytes;
     }
 
     /** Where the run nearest to the base begins; the base itself where there is nothing. */
-    public long firstRun() {
-        return count == 0 ? base : runs[0];
+    public long firstRunStart() {
+        return runCount == 0 ? base : runs[0];
     }
 
     /** Length of the run at the base, which can be taken out. */
     public int ready() {
-        return count > 0 && runs[0] == base ? (int) (runs[1] - base) : 0;
+        return runCount > 0 && runs[0] == base ? (int) (runs[1] - base) : 0;
     }
 
     /**
      * Holds bytes within reach and at or behind the base. How many of them were there already with another value:
      * those keep the first one.
      */
-    public int add(long at, byte[] data, int start, int length) {
+    public int add(long offset, byte[] data, int start, int length) {
         if (length == 0) {
             return 0;
         }
-        long end = at + length;
-        room(end);
+        long end = offset + length;
+        ensureCapacity(end);
         // The first run that ends at or behind the begin of the new one.
         int first = 0;
-        if (count > 0 && runs[2 * count - 1] < at) {
-            first = count;
+        if (runCount > 0 && runs[2 * runCount - 1] < offset) {
+            first = runCount;
         } else {
-            while (first < count && runs[2 * first + 1] < at) {
+            while (first < runCount && runs[2 * first + 1] < offset) {
                 first++;
             }
         }
         int last = first;
         int differing = 0;
-        long from = at;
-        while (last < count && runs[2 * last] <= end) {
+        long from = offset;
+        while (last < runCount && runs[2 * last] <= end) {
             long begin = runs[2 * last];
             long stop = runs[2 * last + 1];
             if (begin > from) {
-                copy(from, data, start + (int) (from - at), (int) (Math.min(begin, end) - from));
+                copy(from, data, start + (int) (from - offset), (int) (Math.min(begin, end) - from));
             }
-            differing += differs(Math.max(begin, at), Math.min(stop, end), data, start, at);
+            differing += countDiffering(Math.max(begin, offset), Math.min(stop, end), data, start, offset);
             from = Math.max(from, stop);
             last++;
         }
         if (from < end) {
-            copy(from, data, start + (int) (from - at), (int) (end - from));
+            copy(from, data, start + (int) (from - offset), (int) (end - from));
         }
         if (first == last) {
-            insert(first, at, end);
+            insertRun(first, offset, end);
         } else {
-            runs[2 * first] = Math.min(runs[2 * first], at);
+            runs[2 * first] = Math.min(runs[2 * first], offset);
             runs[2 * first + 1] = Math.max(runs[2 * last - 1], end);
-            remove(first + 1, last);
+            removeRuns(first + 1, last);
         }
         return differing;
     }
 
-    private void copy(long at, byte[] data, int start, int length) {
-        int place = (int) (at & window.length - 1);
-        int part = Math.min(length, window.length - place);
-        System.arraycopy(data, start, window, place, part);
+    private void copy(long offset, byte[] data, int start, int length) {
+        int index = (int) (offset & window.length - 1);
+        int part = Math.min(length, window.length - index);
+        System.arraycopy(data, start, window, index, part);
         System.arraycopy(data, start + part, window, 0, length - part);
-        held += length;
+        bufferedBytes += length;
     }
 
-    private int differs(long from, long to, byte[] data, int start, long at) {
+    private int countDiffering(long from, long to, byte[] data, int start, long offset) {
         int differing = 0;
         for (long i = from; i < to; i++) {
-            differing += window[(int) (i & window.length - 1)] != data[start + (int) (i - at)] ? 1 : 0;
+            differing += window[(int) (i & window.length - 1)] != data[start + (int) (i - offset)] ? 1 : 0;
         }
         return differing;
     }
 
-    private void insert(int place, long begin, long end) {
-        if (2 * count == runs.length) {
+    private void insertRun(int index, long begin, long end) {
+        if (2 * runCount == runs.length) {
             runs = java.util.Arrays.copyOf(runs, 2 * runs.length);
         }
-        System.arraycopy(runs, 2 * place, runs, 2 * place + 2, 2 * (count - place));
-        runs[2 * place] = begin;
-        runs[2 * place + 1] = end;
-        count++;
+        System.arraycopy(runs, 2 * index, runs, 2 * index + 2, 2 * (runCount - index));
+        runs[2 * index] = begin;
+        runs[2 * index + 1] = end;
+        runCount++;
     }
 
-    private void remove(int from, int to) {
-        System.arraycopy(runs, 2 * to, runs, 2 * from, 2 * (count - to));
-        count -= to - from;
+    private void removeRuns(int from, int to) {
+        System.arraycopy(runs, 2 * to, runs, 2 * from, 2 * (runCount - to));
+        runCount -= to - from;
     }
 
-    private void room(long end) {
+    private void ensureCapacity(long end) {
         int length = window.length;
         while (end - base > length) {
             length *= 2;
@@ -133,7 +133,7 @@
         if (length > window.length) {
             byte[] old = window;
             window = new byte[length];
-            for (int i = 0; i < count; i++) {
+            for (int i = 0; i < runCount; i++) {
                 for (long at = runs[2 * i]; at < runs[2 * i + 1];) {
                     int from = (int) (at & old.length - 1);
                     int to = (int) (at & length - 1);
@@ -149,21 +149,21 @@
     public byte[] take() {
         int length = ready();
         byte[] bytes = new byte[length];
-        int place = (int) (base & window.length - 1);
-        int part = Math.min(length, window.length - place);
-        System.arraycopy(window, place, bytes, 0, part);
+        int index = (int) (base & window.length - 1);
+        int part = Math.min(length, window.length - index);
+        System.arraycopy(window, index, bytes, 0, part);
         System.arraycopy(window, 0, bytes, part, length - part);
-        held -= length;
+        bufferedBytes -= length;
         base += length;
-        remove(0, 1);
-        if (count == 0 && window.length > 1 << 16) {
+        removeRuns(0, 1);
+        if (runCount == 0 && window.length > 1 << 16) {
             window = new byte[1024];
         }
         return bytes;
     }
 
     /** Goes on behind bytes that were handed on without being held, or are given up; none of them is held. */
-    public void pass(long to) {
+    public void advanceTo(long to) {
         base = to;
     }
 }
--- a/src/main/java/honeygap/capture/stream/Reassembly.java
+++ b/src/main/java/honeygap/capture/stream/Reassembly.java
@@ -48,42 +48,42 @@
     }
 
     /** One direction of a connection. */
-    private final class Way {
+    private final class Direction {
 
         final Flow flow;
         final boolean isClient;
-        final Pieces pieces = new Pieces(mostHeld);
+        final Pieces buffer = new Pieces(maxBufferedPerDirection);
         /** The sequence number at offset 0, as 32 bits. */
-        int zero;
-        boolean isKnown;
+        int initialSequence;
+        boolean hasInitialSequence;
         /** Since when the next byte is missing while later ones are held. */
-        long gapSince;
+        long gapSinceNs;
         /** Since when the other side has what is missing here; under 0 where it has not. */
-        long ackedSince = -1;
+        long ackedSinceNs = -1;
         /** Data that acknowledges more than has come from the other side, and since when it waits. */
         final ArrayDeque<Segment> blocked = new ArrayDeque<>(0);
-        long blockedSince;
+        long blockedSinceNs;
         /** Where the last byte is; negative before that is known. */
-        long end = -1;
+        long endOffset = -1;
 
-        Way(Flow flow, boolean isClient) {
+        Direction(Flow flow, boolean isClient) {
             this.flow = flow;
             this.isClient = isClient;
         }
 
-        void begin(int seq) {
-            zero = seq;
-            isKnown = true;
+        void setInitialSequence(int sequence) {
+            initialSequence = sequence;
+            hasInitialSequence = true;
         }
 
         /** Where a sequence number stands, from what is near: it turns over after 2^32. */
         long offset(int seq) {
-            long base = pieces.base();
-            return base + (seq - (zero + (int) base));
+            long base = buffer.base();
+            return base + (seq - (initialSequence + (int) base));
         }
 
         boolean isAtEnd() {
-            return end >= 0 && pieces.base() >= end;
+            return endOffset >= 0 && buffer.base() >= endOffset;
         }
     }
 
@@ -97,16 +97,16 @@
         public final boolean isWhole;
         /** For whoever hears of it. */
         public Object subject;
-        private final Way up = new Way(this, true);
-        private final Way down = new Way(this, false);
-        private long lastAt;
-        private boolean isOver;
+        private final Direction fromClient = new Direction(this, true);
+        private final Direction fromServer = new Direction(this, false);
+        private long lastSegmentNs;
+        private boolean isClosed;
 
-        Flow(Address client, Address server, long number, boolean isWhole) {
+        Flow(Address client, Address server, long number, boolean isFromStart) {
             this.client = client;
             this.server = server;
             this.number = number;
-            this.isWhole = isWhole;
+            this.isWhole = isFromStart;
         }
 
         @Override
@@ -116,55 +116,55 @@
     }
 
     /** A connection of which not both SYNs are there yet, and what has come of it. */
-    private static final class Joining {
-        final List<Segment> early = new ArrayList<>();
-        Segment first;
-        Segment second;
+    private static final class PendingConnection {
+        final List<Segment> segments = new ArrayList<>();
+        Segment syn;
+        Segment synAck;
         long bytes;
     }
 
     /** The two ends, the lesser first. */
-    private record Ends(Address one, Address other) { }
+    private record EndpointPair(Address lower, Address higher) { }
 
-    private interface Word {
+    private interface Event {
 
-        void say(Out out);
+        void deliverTo(Out out);
     }
 
-    private static final int MOST_EARLY = 64;
+    private static final int MAX_PENDING_SEGMENTS = 64;
     /** So long first segments wait for SYNs, and an acknowledged gap for what was only shuffled. */
-    private static final long SHUFFLED = 100_000_000L;
-
-    private final int mostHeld;
-    private final long mostHeldInAll;
-    private final int mostFlows;
-    private final long gapWait;
-    private final long silentFor;
-    private final LinkedHashMap<Ends, Flow> flows = new LinkedHashMap<>(64, 0.75f, true);
+    private static final long REORDER_WAIT_NS = 100_000_000L;
+
+    private final int maxBufferedPerDirection;
+    private final long maxBufferedTotal;
+    private final int maxFlows;
+    private final long gapTimeoutNs;
+    private final long idleTimeoutNs;
+    private final LinkedHashMap<EndpointPair, Flow> flows = new LinkedHashMap<>(64, 0.75f, true);
     /** Directions with a gap, the one that has waited longest first. */
-    private final LinkedHashSet<Way> gaps = new LinkedHashSet<>();
+    private final LinkedHashSet<Direction> gaps = new LinkedHashSet<>();
     /** Those of them that the other side has acknowledged, in the order of that. */
-    private final LinkedHashSet<Way> acked = new LinkedHashSet<>();
+    private final LinkedHashSet<Direction> acked = new LinkedHashSet<>();
     /** Directions whose data waits for the other one, the one that has waited longest first. */
-    private final LinkedHashSet<Way> blocked = new LinkedHashSet<>();
-    private final LinkedHashMap<Ends, Joining> joining = new LinkedHashMap<>();
-    private long early;
+    private final LinkedHashSet<Direction> blocked = new LinkedHashSet<>();
+    private final LinkedHashMap<EndpointPair, PendingConnection> pending = new LinkedHashMap<>();
+    private long pendingBytes;
     /** When what is handed on now was said. */
-    private long saidAt;
-    private final ArrayDeque<Word> words = new ArrayDeque<>();
+    private long dataTimestampNs;
+    private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Set<Integer> serverPorts = new HashSet<>();
     private final Map<String, Long> counts = new TreeMap<>();
-    private long held;
-    private long opened;
-    private long now = Long.MIN_VALUE;
+    private long bufferedBytes;
+    private long openedCount;
+    private long nowNs = Long.MIN_VALUE;
 
     /** Bytes held a direction and in all, connections, how long a gap and a silent connection wait. */
-    public Reassembly(int mostHeld, long mostHeldInAll, int mostFlows, long gapWait, long silentFor) {
-        this.mostHeld = mostHeld;
-        this.mostHeldInAll = mostHeldInAll;
-        this.mostFlows = mostFlows;
-        this.gapWait = gapWait;
-        this.silentFor = silentFor;
+    public Reassembly(int maxBufferedPerDirection, long maxBufferedTotal, int maxFlows, long gapTimeoutNs, long idleTimeoutNs) {
+        this.maxBufferedPerDirection = maxBufferedPerDirection;
+        this.maxBufferedTotal = maxBufferedTotal;
+        this.maxFlows = maxFlows;
+        this.gapTimeoutNs = gapTimeoutNs;
+        this.idleTimeoutNs = idleTimeoutNs;
     }
 
     /** With bounds for everyday files: 256 KiB a direction, 64 MiB in all, 100,000 connections, 3 s, 2 h. */
@@ -172,8 +172,8 @@
         this(1 << 18, 64L << 20, 100_000, 3_000_000_000L, 7_200_000_000_000L);
     }
 
-    private void count(String kind, long many) {
-        counts.merge(kind, many, Long::sum);
+    private void count(String kind, long amount) {
+        counts.merge(kind, amount, Long::sum);
     }
 
     /** What was out of the ordinary, by kind. */
@@ -182,75 +182,75 @@
     }
 
     public long held() {
-        return held + early;
+        return bufferedBytes + pendingBytes;
     }
 
     public int flows() {
-        return flows.size() + joining.size();
+        return flows.size() + pending.size();
     }
 
     /** A port at which servers listen, for connections whose beginning is not in the capture. */
-    public void servesAt(int port) {
+    public void addServerPort(int port) {
         serverPorts.add(port);
     }
 
     public void take(Segment segment) {
         // Clocks that step back do not make gaps wait for ever, nor end them at once.
-        if (segment.at < now) {
+        if (segment.at < nowNs) {
             count("time went back", 1);
         }
-        now = Math.max(now, segment.at);
+        nowNs = Math.max(nowNs, segment.at);
         expire();
-        boolean isLess = segment.from.compareTo(segment.to) <= 0;
-        Ends ends = isLess ? new Ends(segment.from, segment.to) : new Ends(segment.to, segment.from);
-        Flow flow = flows.get(ends);
-        if (flow != null && isFirst(segment) && isAnother(flow, segment)) {
-            close(flow, ends, End.REUSED);
+        boolean isFromLower = segment.from.compareTo(segment.to) <= 0;
+        EndpointPair endpoints = isFromLower ? new EndpointPair(segment.from, segment.to) : new EndpointPair(segment.to, segment.from);
+        Flow flow = flows.get(endpoints);
+        if (flow != null && isInitialSyn(segment) && startsNewConnection(flow, segment)) {
+            close(flow, endpoints, End.REUSED);
             flow = null;
         }
         if (flow != null) {
-            take(flow, ends, segment);
+            processSegment(flow, endpoints, segment);
         } else {
-            join(ends, segment);
+            addPending(endpoints, segment);
         }
     }
 
-    private static boolean isFirst(Segment segment) {
+    private static boolean isInitialSyn(Segment segment) {
         return segment.has(Segment.SYN) && !segment.has(Segment.ACK);
     }
 
-    private void join(Ends ends, Segment segment) {
-        Joining all = joining.get(ends);
+    private void addPending(EndpointPair endpoints, Segment segment) {
+        PendingConnection connection = pending.get(endpoints);
         boolean isSyn = segment.has(Segment.SYN);
-        if (all != null && isFirst(segment) && all.first != null && all.first.seq != segment.seq) {
+        if (connection != null && isInitialSyn(segment) && connection.syn != null && connection.syn.seq != segment.seq) {
             // Another connection between the same ports, before the first one had an answer.
-            resolve(ends, all);
+            startFlow(endpoints, connection);
             take(segment);
             return;
         }
-        if (all == null) {
+        if (connection == null) {
             if (segment.has(Segment.RST) || segment.sent == 0 && !isSyn) {
                 return;
             }
-            all = new Joining();
-            joining.put(ends, all);
+            connection = new PendingConnection();
+            pending.put(endpoints, connection);
         }
         Segment copy = copy(segment);
-        copy.at = now;
-        all.early.add(copy);
-        all.bytes += copy.length;
-        early += copy.length;
+        copy.at = nowNs;
+        connection.segments.add(copy);
+        connection.bytes += copy.length;
+        pendingBytes += copy.length;
         if (isSyn && segment.has(Segment.ACK)) {
-            all.second = copy;
+            connection.synAck = copy;
         } else if (isSyn) {
-            all.first = copy;
+            connection.syn = copy;
         }
-        if (all.first != null && all.second != null || all.early.size() >= MOST_EARLY || segment.has(Segment.RST)) {
-            resolve(ends, all);
+        if (connection.syn != null && connection.synAck != null || connection.segments.size() >= MAX_PENDING_SEGMENTS || segment.has(Segment.RST)) {
+            startFlow(endpoints, connection);
         }
-        while (!joining.isEmpty() && (early > mostHeldInAll || flows.size() + joining.size() > mostFlows)) {
-            Map.Entry<Ends, Joining> eldest = joining.entrySet().iterator().next();
-            resolve(eldest.getKey(), eldest.getValue());
+        while (!pending.isEmpty() && (pendingBytes > maxBufferedTotal || flows.size() + pending.size() > maxFlows)) {
+            Map.Entry<EndpointPair, PendingConnection> eldest = pending.entrySet().iterator().next();
+            startFlow(eldest.getKey(), eldest.getValue());
         }
     }
 
@@ -269,349 +269,349 @@
     }
 
     /** What has come of a connection is taken now, in the order of its sequence numbers where SYNs are missing. */
-    private void resolve(Ends ends, Joining all) {
-        joining.remove(ends);
-        early -= all.bytes;
-        Segment syn = all.first != null ? all.first : all.second;
-        Flow flow = open(syn != null ? syn : all.early.get(0), syn != null);
-        flows.put(ends, flow);
-        for (Segment one : all.early) {
-            Way way = one.from.equals(flow.client) ? flow.up : flow.down;
-            int begin = one.seq + (one.has(Segment.SYN) ? 1 : 0);
-            if (!way.isKnown || one.has(Segment.SYN) || (way.isClient ? all.first : all.second) == null
-                    && begin - way.zero < 0 && way.zero - begin < 1 << 24) {
-                way.begin(begin);
+    private void startFlow(EndpointPair endpoints, PendingConnection connection) {
+        pending.remove(endpoints);
+        pendingBytes -= connection.bytes;
+        Segment syn = connection.syn != null ? connection.syn : connection.synAck;
+        Flow flow = open(syn != null ? syn : connection.segments.get(0), syn != null);
+        flows.put(endpoints, flow);
+        for (Segment segment : connection.segments) {
+            Direction direction = segment.from.equals(flow.client) ? flow.fromClient : flow.fromServer;
+            int begin = segment.seq + (segment.has(Segment.SYN) ? 1 : 0);
+            if (!direction.hasInitialSequence || segment.has(Segment.SYN) || (direction.isClient ? connection.syn : connection.synAck) == null
+                    && begin - direction.initialSequence < 0 && direction.initialSequence - begin < 1 << 24) {
+                direction.setInitialSequence(begin);
             }
         }
-        long real = now;
-        for (Segment one : all.early) {
-            if (flow.isOver) {
+        long savedNowNs = nowNs;
+        for (Segment segment : connection.segments) {
+            if (flow.isClosed) {
                 break;
             }
-            now = one.at;
-            take(flow, ends, one);
+            nowNs = segment.at;
+            processSegment(flow, endpoints, segment);
         }
-        now = real;
-        if (flows.size() > mostFlows) {
-            Map.Entry<Ends, Flow> eldest = flows.entrySet().iterator().next();
+        nowNs = savedNowNs;
+        if (flows.size() > maxFlows) {
+            Map.Entry<EndpointPair, Flow> eldest = flows.entrySet().iterator().next();
             close(eldest.getValue(), eldest.getKey(), End.CROWDED);
         }
     }
 
-    private void take(Flow flow, Ends ends, Segment segment) {
-        flow.lastAt = now;
-        boolean isUp = segment.from.equals(flow.client);
-        Way way = isUp ? flow.up : flow.down;
-        Way other = isUp ? flow.down : flow.up;
+    private void processSegment(Flow flow, EndpointPair endpoints, Segment segment) {
+        flow.lastSegmentNs = nowNs;
+        boolean isFromClient = segment.from.equals(flow.client);
+        Direction direction = isFromClient ? flow.fromClient : flow.fromServer;
+        Direction opposite = isFromClient ? flow.fromServer : flow.fromClient;
         if (segment.has(Segment.RST)) {
-            close(flow, ends, End.RESET);
+            close(flow, endpoints, End.RESET);
             return;
         }
         if (segment.has(Segment.SYN)) {
-            if (!way.isKnown) {
-                way.begin(segment.seq + 1);
+            if (!direction.hasInitialSequence) {
+                direction.setInitialSequence(segment.seq + 1);
             }
             if (segment.length > 0) {
-                data(way, segment, segment.seq + 1);
+                processData(direction, segment, segment.seq + 1);
             }
             return;
         }
-        if (!way.isKnown) {
-            way.begin(segment.seq);
+        if (!direction.hasInitialSequence) {
+            direction.setInitialSequence(segment.seq);
         }
-        if (segment.has(Segment.ACK) && other.ackedSince < 0 && gaps.contains(other)
-                && other.offset(segment.ack) >= other.pieces.firstRun()) {
-            other.ackedSince = now;
-            acked.add(other);
+        if (segment.has(Segment.ACK) && opposite.ackedSinceNs < 0 && gaps.contains(opposite)
+                && opposite.offset(segment.ack) >= opposite.buffer.firstRunStart()) {
+            opposite.ackedSinceNs = nowNs;
+            acked.add(opposite);
         }
-        if (segment.has(Segment.ACK) && !other.isKnown) {
-            other.begin(segment.ack);
+        if (segment.has(Segment.ACK) && !opposite.hasInitialSequence) {
+            opposite.setInitialSequence(segment.ack);
         }
-        if (segment.sent > 0 && needs(other, segment)) {
+        if (segment.sent > 0 && acknowledgesMissing(opposite, segment)) {
             Segment copy = copy(segment);
-            early += copy.length;
-            way.blocked.add(copy);
-            if (blocked.add(way)) {
-                way.blockedSince = now;
+            pendingBytes += copy.length;
+            direction.blocked.add(copy);
+            if (blocked.add(direction)) {
+                direction.blockedSinceNs = nowNs;
             }
-            if (way.blocked.size() >= MOST_EARLY || early > mostHeldInAll) {
-                force(way);
+            if (direction.blocked.size() >= MAX_PENDING_SEGMENTS || pendingBytes > maxBufferedTotal) {
+                forceBlocked(direction);
             }
         } else {
-            data(way, segment, segment.seq);
+            processData(direction, segment, segment.seq);
         }
-        release(flow);
+        releaseBlocked(flow);
         if (segment.has(Segment.FIN)) {
-            long end = way.offset(segment.seq) + segment.sent;
-            way.end = way.end < 0 ? end : Math.min(way.end, Math.max(end, way.pieces.base()));
+            long end = direction.offset(segment.seq) + segment.sent;
+            direction.endOffset = direction.endOffset < 0 ? end : Math.min(direction.endOffset, Math.max(end, direction.buffer.base()));
         }
-        if (flow.up.isAtEnd() && flow.down.isAtEnd()) {
-            close(flow, ends, End.CLOSED);
+        if (flow.fromClient.isAtEnd() && flow.fromServer.isAtEnd()) {
+            close(flow, endpoints, End.CLOSED);
         }
     }
 
     /** Whether a segment acknowledges what has not come; the end counts as a byte and need not be seen. */
-    private static boolean needs(Way other, Segment segment) {
+    private static boolean acknowledgesMissing(Direction opposite, Segment segment) {
         if (!segment.has(Segment.ACK)) {
             return false;
         }
-        long need = other.offset(segment.ack);
-        return other.pieces.base() < (other.end >= 0 ? Math.min(need, other.end) : need);
+        long acknowledged = opposite.offset(segment.ack);
+        return opposite.buffer.base() < (opposite.endOffset >= 0 ? Math.min(acknowledged, opposite.endOffset) : acknowledged);
     }
 
-    private Way other(Way way) {
-        return way.isClient ? way.flow.down : way.flow.up;
+    private Direction opposite(Direction direction) {
+        return direction.isClient ? direction.flow.fromServer : direction.flow.fromClient;
     }
 
     /** Hands on what has waited for the other direction, as far as that has come. */
-    private void release(Flow flow) {
-        boolean more = !flow.up.blocked.isEmpty() || !flow.down.blocked.isEmpty();
+    private void releaseBlocked(Flow flow) {
+        boolean more = !flow.fromClient.blocked.isEmpty() || !flow.fromServer.blocked.isEmpty();
         while (more) {
-            more = release(flow.up) | release(flow.down);
+            more = releaseBlocked(flow.fromClient) | releaseBlocked(flow.fromServer);
         }
     }
 
-    private boolean release(Way way) {
-        boolean some = false;
-        for (Iterator<Segment> all = way.blocked.iterator(); all.hasNext();) {
-            Segment segment = all.next();
-            if (!needs(other(way), segment)) {
-                all.remove();
-                early -= segment.length;
-                data(way, segment, segment.seq);
-                some = true;
+    private boolean releaseBlocked(Direction direction) {
+        boolean isReleased = false;
+        for (Iterator<Segment> segments = direction.blocked.iterator(); segments.hasNext();) {
+            Segment segment = segments.next();
+            if (!acknowledgesMissing(opposite(direction), segment)) {
+                segments.remove();
+                pendingBytes -= segment.length;
+                processData(direction, segment, segment.seq);
+                isReleased = true;
             }
         }
-        if (way.blocked.isEmpty()) {
-            blocked.remove(way);
+        if (direction.blocked.isEmpty()) {
+            blocked.remove(direction);
         }
-        return some;
+        return isReleased;
     }
 
     /** What the first that waits there waits for will not come. */
-    private void force(Way way) {
-        Way other = other(way);
-        Segment segment = way.blocked.stream().min((a, b) -> a.seq - b.seq).orElseThrow();
-        long need = other.offset(segment.ack);
+    private void forceBlocked(Direction direction) {
+        Direction opposite = opposite(direction);
+        Segment segment = direction.blocked.stream().min((a, b) -> a.seq - b.seq).orElseThrow();
+        long acknowledged = opposite.offset(segment.ack);
         count("acknowledged and not there", 1);
-        while (other.pieces.held() > 0 && other.pieces.base() < need) {
-            giveUp(other, "gaps that were acknowledged");
+        while (opposite.buffer.bufferedBytes() > 0 && opposite.buffer.base() < acknowledged) {
+            abandonGap(opposite, "gaps that were acknowledged");
         }
-        if (need - other.pieces.base() == 1) {
+        if (acknowledged - opposite.buffer.base() == 1) {
             // An end that was not seen.
-            other.end = other.end < 0 ? other.pieces.base() : other.end;
-        } else if (need - other.pieces.base() > 1 && need - other.pieces.base() < 1 << 30) {
-            hole(other, need);
-        }
-        way.blocked.remove(segment);
-        early -= segment.length;
-        data(way, segment, segment.seq);
-        if (way.blocked.isEmpty()) {
-            blocked.remove(way);
+            opposite.endOffset = opposite.endOffset < 0 ? opposite.buffer.base() : opposite.endOffset;
+        } else if (acknowledged - opposite.buffer.base() > 1 && acknowledged - opposite.buffer.base() < 1 << 30) {
+            emitHole(opposite, acknowledged);
+        }
+        direction.blocked.remove(segment);
+        pendingBytes -= segment.length;
+        processData(direction, segment, segment.seq);
+        if (direction.blocked.isEmpty()) {
+            blocked.remove(direction);
         } else {
-            way.blockedSince = now;
-            blocked.remove(way);
-            blocked.add(way);
+            direction.blockedSinceNs = nowNs;
+            blocked.remove(direction);
+            blocked.add(direction);
         }
-        release(way.flow);
+        releaseBlocked(direction.flow);
     }
 
     /** A SYN that begins another connection between the same ports, not the same one once more. */
-    private static boolean isAnother(Flow flow, Segment segment) {
-        Way way = segment.from.equals(flow.client) ? flow.up : flow.down;
-        return !way.isClient || way.isKnown && way.offset(segment.seq + 1) != 0 || flow.up.isAtEnd();
+    private static boolean startsNewConnection(Flow flow, Segment segment) {
+        Direction direction = segment.from.equals(flow.client) ? flow.fromClient : flow.fromServer;
+        return !direction.isClient || direction.hasInitialSequence && direction.offset(segment.seq + 1) != 0 || flow.fromClient.isAtEnd();
     }
 
     private Flow open(Segment segment, boolean isSyn) {
         boolean isFromClient = isSyn ? !segment.has(Segment.ACK)
                 : serverPorts.contains(segment.to.port()) || !serverPorts.contains(segment.from.port())
                 && segment.to.port() <= segment.from.port();
-        Flow flow = isFromClient ? new Flow(segment.from, segment.to, ++opened, isSyn)
-                : new Flow(segment.to, segment.from, ++opened, isSyn);
+        Flow flow = isFromClient ? new Flow(segment.from, segment.to, ++openedCount, isSyn)
+                : new Flow(segment.to, segment.from, ++openedCount, isSyn);
         if (isSyn) {
             serverPorts.add(flow.server.port());
         } else {
             count("joined midway", 1);
         }
-        long at = now;
-        words.add(out -> out.opened(flow, at));
+        long at = nowNs;
+        events.add(out -> out.opened(flow, at));
         return flow;
     }
 
-    private void data(Way way, Segment segment, int seq) {
-        saidAt = segment.at;
-        long at = way.offset(seq);
+    private void processData(Direction direction, Segment segment, int seq) {
+        dataTimestampNs = segment.at;
+        long offset = direction.offset(seq);
         int start = segment.start;
         int length = segment.length;
-        long base = way.pieces.base();
-        if (at + length <= base || length == 0) {
+        long base = direction.buffer.base();
+        if (offset + length <= base || length == 0) {
             count("duplicates", length > 0 ? 1 : 0);
-            cutOff(way, segment, at);
+            skipUncaptured(direction, segment, offset);
             return;
         }
-        if (way.end >= 0 && at + length > way.end) {
+        if (direction.endOffset >= 0 && offset + length > direction.endOffset) {
             count("behind the end", 1);
             return;
         }
-        if (at < base) {
+        if (offset < base) {
             count("overlaps", 1);
-            start += (int) (base - at);
-            length -= (int) (base - at);
-            at = base;
+            start += (int) (base - offset);
+            length -= (int) (base - offset);
+            offset = base;
         }
-        if (at == base && way.pieces.held() == 0) {
+        if (offset == base && direction.buffer.bufferedBytes() == 0) {
             // The usual case: nothing is held, and what comes is next.
             byte[] bytes = Arrays.copyOfRange(segment.data, start, start + length);
-            way.pieces.pass(at + length);
-            say(way, bytes);
+            direction.buffer.advanceTo(offset + length);
+            emitData(direction, bytes);
         } else {
-            if (at != base) {
+            if (offset != base) {
                 count("out of order", 1);
             }
-            while (!way.pieces.reaches(at + length) && way.pieces.held() > 0) {
-                giveUp(way, "gaps beyond the bound");
+            while (!direction.buffer.fits(offset + length) && direction.buffer.bufferedBytes() > 0) {
+                abandonGap(direction, "gaps beyond the bound");
             }
-            if (way.pieces.base() > base) {
+            if (direction.buffer.base() > base) {
                 // What was held has gone out, perhaps past where this begins: looked at anew. Found by a property test.
-                data(way, segment, seq);
+                processData(direction, segment, seq);
                 return;
             }
-            if (!way.pieces.reaches(at + length)) {
+            if (!direction.buffer.fits(offset + length)) {
                 // Nothing is held, and the segment lies further on than anything may be held.
-                hole(way, at);
+                emitHole(direction, offset);
             }
-            int before = way.pieces.held();
-            int differing = way.pieces.add(at, segment.data, start, length);
+            int before = direction.buffer.bufferedBytes();
+            int differing = direction.buffer.add(offset, segment.data, start, length);
             if (differing > 0) {
                 count("overlaps that differ", 1);
             }
-            held += way.pieces.held() - before;
-            deliver(way);
+            bufferedBytes += direction.buffer.bufferedBytes() - before;
+            deliver(direction);
         }
-        cutOff(way, segment, at);
-        while (held > mostHeldInAll && !gaps.isEmpty()) {
-            giveUp(gaps.iterator().next(), "gaps beyond the bound in all");
+        skipUncaptured(direction, segment, offset);
+        while (bufferedBytes > maxBufferedTotal && !gaps.isEmpty()) {
+            abandonGap(gaps.iterator().next(), "gaps beyond the bound in all");
         }
     }
 
     /** What a capture cut off a segment never comes: a hole as soon as it is next. */
-    private void cutOff(Way way, Segment segment, long at) {
-        long end = way.offset(segment.seq) + segment.sent;
-        if (segment.length < segment.sent && way.pieces.held() == 0 && way.pieces.base() < end
-                && way.pieces.base() >= at) {
-            hole(way, end);
+    private void skipUncaptured(Direction direction, Segment segment, long offset) {
+        long end = direction.offset(segment.seq) + segment.sent;
+        if (segment.length < segment.sent && direction.buffer.bufferedBytes() == 0 && direction.buffer.base() < end
+                && direction.buffer.base() >= offset) {
+            emitHole(direction, end);
         }
     }
 
-    private void deliver(Way way) {
-        if (way.pieces.ready() > 0) {
-            byte[] bytes = way.pieces.take();
-            held -= bytes.length;
-            say(way, bytes);
-            settled(way);
+    private void deliver(Direction direction) {
+        if (direction.buffer.ready() > 0) {
+            byte[] bytes = direction.buffer.take();
+            bufferedBytes -= bytes.length;
+            emitData(direction, bytes);
+            clearGap(direction);
         }
-        if (way.pieces.held() > 0 && gaps.add(way)) {
-            way.gapSince = now;
+        if (direction.buffer.bufferedBytes() > 0 && gaps.add(direction)) {
+            direction.gapSinceNs = nowNs;
         }
     }
 
-    private void settled(Way way) {
-        gaps.remove(way);
-        acked.remove(way);
-        way.ackedSince = -1;
+    private void clearGap(Direction direction) {
+        gaps.remove(direction);
+        acked.remove(direction);
+        direction.ackedSinceNs = -1;
     }
 
-    private void say(Way way, byte[] bytes) {
-        long at = saidAt;
-        words.add(out -> out.data(way.flow, way.isClient, bytes, at));
+    private void emitData(Direction direction, byte[] bytes) {
+        long timestampNs = dataTimestampNs;
+        events.add(out -> out.data(direction.flow, direction.isClient, bytes, timestampNs));
     }
 
-    private void hole(Way way, long to) {
-        long length = to - way.pieces.base();
-        long at = now;
-        way.pieces.pass(to);
+    private void emitHole(Direction direction, long to) {
+        long length = to - direction.buffer.base();
+        long timestampNs = nowNs;
+        direction.buffer.advanceTo(to);
         count("holes", 1);
         count("bytes missing", length);
-        words.add(out -> out.hole(way.flow, way.isClient, length, at));
+        events.add(out -> out.hole(direction.flow, direction.isClient, length, timestampNs));
     }
 
     /** What is missing before the first run that is held will not come. */
-    private void giveUp(Way way, String why) {
-        count(why, 1);
-        hole(way, way.pieces.firstRun());
-        deliver(way);
+    private void abandonGap(Direction direction, String reason) {
+        count(reason, 1);
+        emitHole(direction, direction.buffer.firstRunStart());
+        deliver(direction);
     }
 
     private void expire() {
-        while (!joining.isEmpty()) {
-            Map.Entry<Ends, Joining> eldest = joining.entrySet().iterator().next();
-            if (now - eldest.getValue().early.get(0).at < SHUFFLED) {
+        while (!pending.isEmpty()) {
+            Map.Entry<EndpointPair, PendingConnection> eldest = pending.entrySet().iterator().next();
+            if (nowNs - eldest.getValue().segments.get(0).at < REORDER_WAIT_NS) {
                 break;
             }
-            resolve(eldest.getKey(), eldest.getValue());
+            startFlow(eldest.getKey(), eldest.getValue());
         }
-        while (!blocked.isEmpty() && now - blocked.iterator().next().blockedSince >= SHUFFLED) {
-            force(blocked.iterator().next());
+        while (!blocked.isEmpty() && nowNs - blocked.iterator().next().blockedSinceNs >= REORDER_WAIT_NS) {
+            forceBlocked(blocked.iterator().next());
         }
         while (!acked.isEmpty()) {
-            Way way = acked.iterator().next();
-            if (now - way.ackedSince < SHUFFLED) {
+            Direction direction = acked.iterator().next();
+            if (nowNs - direction.ackedSinceNs < REORDER_WAIT_NS) {
                 break;
             }
-            giveUp(way, "gaps that were acknowledged");
+            abandonGap(direction, "gaps that were acknowledged");
         }
         while (!gaps.isEmpty()) {
-            Way way = gaps.iterator().next();
-            if (now - way.gapSince < gapWait) {
+            Direction direction = gaps.iterator().next();
+            if (nowNs - direction.gapSinceNs < gapTimeoutNs) {
                 break;
             }
-            giveUp(way, "gaps that waited too long");
+            abandonGap(direction, "gaps that waited too long");
         }
-        Iterator<Map.Entry<Ends, Flow>> eldest = flows.entrySet().iterator();
+        Iterator<Map.Entry<EndpointPair, Flow>> eldest = flows.entrySet().iterator();
         if (eldest.hasNext()) {
-            Map.Entry<Ends, Flow> one = eldest.next();
-            if (now - one.getValue().lastAt > silentFor) {
-                close(one.getValue(), one.getKey(), End.SILENT);
+            Map.Entry<EndpointPair, Flow> entry = eldest.next();
+            if (nowNs - entry.getValue().lastSegmentNs > idleTimeoutNs) {
+                close(entry.getValue(), entry.getKey(), End.SILENT);
             }
         }
     }
 
-    private void close(Flow flow, Ends ends, End how) {
-        flow.isOver = true;
-        flows.remove(ends);
-        while (!flow.up.blocked.isEmpty() || !flow.down.blocked.isEmpty()) {
-            force(flow.up.blocked.isEmpty() ? flow.down : flow.up);
+    private void close(Flow flow, EndpointPair endpoints, End how) {
+        flow.isClosed = true;
+        flows.remove(endpoints);
+        while (!flow.fromClient.blocked.isEmpty() || !flow.fromServer.blocked.isEmpty()) {
+            forceBlocked(flow.fromClient.blocked.isEmpty() ? flow.fromServer : flow.fromClient);
         }
-        for (Way way : new Way[] {flow.up, flow.down}) {
-            while (way.pieces.held() > 0) {
-                giveUp(way, "gaps at the end");
+        for (Direction direction : new Direction[] {flow.fromClient, flow.fromServer}) {
+            while (direction.buffer.bufferedBytes() > 0) {
+                abandonGap(direction, "gaps at the end");
             }
-            settled(way);
-            if (way.end > way.pieces.base()) {
-                hole(way, way.end);
+            clearGap(direction);
+            if (direction.endOffset > direction.buffer.base()) {
+                emitHole(direction, direction.endOffset);
             }
         }
-        long at = now;
-        words.add(out -> out.closed(flow, how, at));
+        long timestampNs = nowNs;
+        events.add(out -> out.closed(flow, how, timestampNs));
     }
 
     /** Nothing more comes: what is open ends here. */
     public void end() {
-        for (Map.Entry<Ends, Joining> one : new ArrayList<>(joining.entrySet())) {
-            resolve(one.getKey(), one.getValue());
+        for (Map.Entry<EndpointPair, PendingConnection> entry : new ArrayList<>(pending.entrySet())) {
+            startFlow(entry.getKey(), entry.getValue());
         }
-        for (Map.Entry<Ends, Flow> one : new ArrayList<>(flows.entrySet())) {
-            close(one.getValue(), one.getKey(), End.CUT);
+        for (Map.Entry<EndpointPair, Flow> entry : new ArrayList<>(flows.entrySet())) {
+            close(entry.getValue(), entry.getKey(), End.CUT);
         }
     }
 
     /** Says one thing; false when there is nothing to say. */
-    public boolean next(Out out) {
-        Word word = words.poll();
-        if (word == null) {
+    public boolean next(Out listener) {
+        Event event = events.poll();
+        if (event == null) {
             return false;
         }
-        word.say(out);
+        event.deliverTo(listener);
         return true;
     }
 }
--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/tape/Recorder.java
@@ -28,86 +28,86 @@
  */
 public final class Recorder implements Tap, Counters.Group, AutoCloseable {
 
-    private static final int OPENED = 1, COMER = 2, RECEIVED = 3, SENT = 4, CLOSED = 5;
-    private static final long NAP = 2_000_000;
-    private static final long LAST_WORDS_MS = 5_000;
+    private static final int OPENED = 1, ACCEPTED = 2, RECEIVED = 3, SENT = 4, CLOSED = 5;
+    private static final long IDLE_PARK_NS = 2_000_000;
+    private static final long CLOSE_TIMEOUT_MS = 5_000;
     /** All written so far can be read again after a kill. */
-    private static final long FLUSHED = 500_000_000L;
+    private static final long FLUSH_INTERVAL_NS = 500_000_000L;
 
     /** One connection, as the writing thread knows it. */
-    private static final class Line {
-        boolean isComer;
+    private static final class RecordedConnection {
+        boolean isAccepted;
         /** Bytes in place so far that came, and that went. */
-        long came;
-        long went;
-        Redactor ours;
-        Redactor theirs;
-        Address here;
-        Address there;
+        long received;
+        long sent;
+        Redactor sentRedactor;
+        Redactor receivedRedactor;
+        Address local;
+        Address remote;
     }
 
     /** Where a connection stands for the loop: bytes that came and went, those left out as well. */
-    private static final class Places {
-        long came;
-        long went;
+    private static final class StreamOffsets {
+        long received;
+        long sent;
     }
 
     private final Path folder;
     private final String name;
-    private final long mostBytes;
-    private final long mostAge;
-    private final int mostFiles;
+    private final long maxFileBytes;
+    private final long maxFileAgeNs;
+    private final int maxFiles;
     private final Mask mask;
     private final Ring ring;
-    private final long zeroNanos = System.nanoTime();
-    private final long zeroMillis = System.currentTimeMillis();
-    private final Map<Long, Places> places = new HashMap<>();
-    private final Map<Long, Line> lines = new HashMap<>();
+    private final long startNanos = System.nanoTime();
+    private final long startMillis = System.currentTimeMillis();
+    private final Map<Long, StreamOffsets> offsets = new HashMap<>();
+    private final Map<Long, RecordedConnection> connections = new HashMap<>();
     private final ArrayDeque<Path> files = new ArrayDeque<>();
-    private final ByteBuffer place = ByteBuffer.allocate(8);
+    private final ByteBuffer offsetPrefix = ByteBuffer.allocate(8);
     private final Thread thread;
     private final AtomicLong records = new AtomicLong();
     private final AtomicLong bytes = new AtomicLong();
     private final AtomicLong leftOut = new AtomicLong();
     private final AtomicLong bytesLeftOut = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
-    private final AtomicLong written = new AtomicLong();
-    private volatile boolean ends;
-    private volatile boolean isDead;
+    private final AtomicLong packets = new AtomicLong();
+    private volatile boolean isClosing;
+    private volatile boolean hasFailed;
     private CaptureWriter writer;
-    private Synthesis synthesis;
-    private long begunAt;
-    private long flushedAt;
-    private long lastAt;
-    private int number;
+    private Synthesis synthesizer;
+    private long fileStartedNs;
+    private long lastFlushNs;
+    private long lastTimestampNs;
+    private int nextFileNumber;
 
     /**
      * Files of the folder begin with the name; a new one is begun after so many bytes before compression, or so many
      * nanoseconds, and the oldest goes when there are too many. A mask hides keys and values; it may be null.
      */
-    public Recorder(Path folder, String name, long mostBytes, long mostAge, int mostFiles, int ringBytes, Mask mask)
+    public Recorder(Path folder, String name, long maxFileBytes, long maxFileAgeNs, int maxFiles, int ringBytes, Mask mask)
             throws IOException {
         this.folder = folder;
         this.name = name;
-        this.mostBytes = mostBytes;
-        this.mostAge = mostAge;
-        this.mostFiles = Math.max(1, mostFiles);
+        this.maxFileBytes = maxFileBytes;
+        this.maxFileAgeNs = maxFileAgeNs;
+        this.maxFiles = Math.max(1, maxFiles);
         this.mask = mask;
         ring = new Ring(ringBytes);
         Files.createDirectories(folder);
-        synthesis = new Synthesis(this::write);
-        begin();
+        synthesizer = new Synthesis(this::write);
+        startFile();
         thread = new Thread(this::run, "recorder");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private long now() {
-        return zeroMillis * 1_000_000 + (System.nanoTime() - zeroNanos);
+    private long nowNs() {
+        return startMillis * 1_000_000 + (System.nanoTime() - startNanos);
     }
 
     private void offer(int kind, long connection, ByteBuffer... parts) {
-        if (!isDead && !ring.offer(kind, connection, now(), parts)) {
+        if (!hasFailed && !ring.offer(kind, connection, nowNs(), parts)) {
             leftOut.incrementAndGet();
             for (ByteBuffer part : parts) {
                 bytesLeftOut.addAndGet(part.remaining());
@@ -116,33 +116,33 @@
     }
 
     @Override
-    public void opened(long connection, SocketAddress here, SocketAddress there, boolean isComer) {
-        places.put(connection, new Places());
-        byte[] words = (here + "\n" + there).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-        offer(isComer ? COMER : OPENED, connection, ByteBuffer.wrap(words));
+    public void opened(long connection, SocketAddress local, SocketAddress remote, boolean isAccepted) {
+        offsets.put(connection, new StreamOffsets());
+        byte[] addresses = (local + "\n" + remote).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
+        offer(isAccepted ? ACCEPTED : OPENED, connection, ByteBuffer.wrap(addresses));
     }
 
     /** Before the bytes stands how many came before them, so that what was left out shows as missing. */
     @Override
-    public void received(long connection, ByteBuffer came) {
-        Places all = places.get(connection);
-        if (all != null) {
-            place.putLong(0, all.came);
-            all.came += came.remaining();
-            offer(RECEIVED, connection, place, came);
+    public void received(long connection, ByteBuffer data) {
+        StreamOffsets streamOffsets = offsets.get(connection);
+        if (streamOffsets != null) {
+            offsetPrefix.putLong(0, streamOffsets.received);
+            streamOffsets.received += data.remaining();
+            offer(RECEIVED, connection, offsetPrefix, data);
         }
     }
 
     @Override
     public void sent(long connection, ByteBuffer[] slices, int count) {
-        Places all = places.get(connection);
-        if (all != null) {
-            place.putLong(0, all.went);
+        StreamOffsets streamOffsets = offsets.get(connection);
+        if (streamOffsets != null) {
+            offsetPrefix.putLong(0, streamOffsets.sent);
             ByteBuffer[] parts = new ByteBuffer[count + 1];
-            parts[0] = place;
+            parts[0] = offsetPrefix;
             for (int i = 0; i < count; i++) {
                 parts[i + 1] = slices[i];
-                all.went += slices[i].remaining();
+                streamOffsets.sent += slices[i].remaining();
             }
             offer(SENT, connection, parts);
         }
@@ -150,7 +150,7 @@
 
     @Override
     public void closed(long connection) {
-        if (places.remove(connection) != null) {
+        if (offsets.remove(connection) != null) {
             offer(CLOSED, connection);
         }
     }
@@ -158,68 +158,68 @@
     private void run() {
         try {
             while (true) {
-                boolean last = ends;
-                int many = ring.drain(this::record);
+                boolean isLastPass = isClosing;
+                int count = ring.drain(this::record);
                 long now = System.nanoTime();
-                if (now - flushedAt > FLUSHED) {
-                    flushedAt = now;
+                if (now - lastFlushNs > FLUSH_INTERVAL_NS) {
+                    lastFlushNs = now;
                     writer.flush();
-                    if (writer.bytes() > mostBytes || now - begunAt > mostAge) {
+                    if (writer.bytesWritten() > maxFileBytes || now - fileStartedNs > maxFileAgeNs) {
                         writer.close();
-                        begin();
+                        startFile();
                     }
                 }
-                if (last && many == 0) {
+                if (isLastPass && count == 0) {
                     break;
                 }
-                if (many == 0) {
-                    LockSupport.parkNanos(NAP);
+                if (count == 0) {
+                    LockSupport.parkNanos(IDLE_PARK_NS);
                 }
             }
             writer.close();
         } catch (IOException | RuntimeException e) {
-            die(e);
+            fail(e);
         }
     }
 
-    private void die(Exception e) {
-        isDead = true;
+    private void fail(Exception e) {
+        hasFailed = true;
         failed.incrementAndGet();
         Logger.warn("the recording has ended: {}", String.valueOf(e.getMessage()));
         try {
             writer.close();
-        } catch (IOException again) {
-            Logger.debug(again, "already closed");
+        } catch (IOException closeFailure) {
+            Logger.debug(closeFailure, "already closed");
         }
     }
 
-    private void begin() throws IOException {
+    private void startFile() throws IOException {
         Path file;
         do {
-            file = folder.resolve(String.format("%s-%06d.pcapng.zst", name, number++));
+            file = folder.resolve(String.format("%s-%06d.pcapng.zst", name, nextFileNumber++));
         } while (Files.exists(file));
         writer = new CaptureWriter(file);
         writer.begin(Synthesis.RAW);
         files.add(file);
-        begunAt = flushedAt = System.nanoTime();
-        while (files.size() > mostFiles) {
+        fileStartedNs = lastFlushNs = System.nanoTime();
+        while (files.size() > maxFiles) {
             Files.deleteIfExists(files.poll());
         }
     }
 
     private void write(Packet packet) throws IOException {
         writer.write(packet);
-        written.incrementAndGet();
+        packets.incrementAndGet();
     }
 
-    private void record(int kind, long connection, long at, ByteBuffer content) {
+    private void record(int kind, long connection, long timestampNs, ByteBuffer content) {
         records.incrementAndGet();
         // The clock does not step back; a record that came late to the ring is no earlier than the last.
-        lastAt = Math.max(lastAt, at);
+        lastTimestampNs = Math.max(lastTimestampNs, timestampNs);
         try {
             switch (kind) {
-                case OPENED, COMER -> open(kind == COMER, connection, content);
-                case RECEIVED, SENT -> said(kind == RECEIVED, connection, content);
+                case OPENED, ACCEPTED -> open(kind == ACCEPTED, connection, content);
+                case RECEIVED, SENT -> writeData(kind == RECEIVED, connection, content);
                 default -> close(connection);
             }
         } catch (IOException e) {
@@ -227,75 +227,75 @@
         }
     }
 
-    private void open(boolean isComer, long connection, ByteBuffer content) throws IOException {
-        byte[] words = new byte[content.remaining()];
-        content.get(words);
-        String[] ends = new String(words, java.nio.charset.StandardCharsets.US_ASCII).split("\n");
-        Line line = new Line();
-        line.isComer = isComer;
-        line.here = address(ends[0]);
-        line.there = address(ends[1]);
+    private void open(boolean isAccepted, long connection, ByteBuffer content) throws IOException {
+        byte[] addresses = new byte[content.remaining()];
+        content.get(addresses);
+        String[] ends = new String(addresses, java.nio.charset.StandardCharsets.US_ASCII).split("\n");
+        RecordedConnection recorded = new RecordedConnection();
+        recorded.isAccepted = isAccepted;
+        recorded.local = address(ends[0]);
+        recorded.remote = address(ends[1]);
         if (mask != null) {
-            line.ours = new Redactor(mask, !isComer, true);
-            line.theirs = new Redactor(mask, isComer, true);
+            recorded.sentRedactor = new Redactor(mask, !isAccepted, true);
+            recorded.receivedRedactor = new Redactor(mask, isAccepted, true);
         }
-        lines.put(connection, line);
-        synthesis.opened(connection, isComer ? line.there : line.here, isComer ? line.here : line.there, true, lastAt);
+        connections.put(connection, recorded);
+        synthesizer.opened(connection, isAccepted ? recorded.remote : recorded.local, isAccepted ? recorded.local : recorded.remote, true, lastTimestampNs);
     }
 
-    private static Address address(String words) {
-        int colon = words.lastIndexOf(':');
-        String figures = words.substring(words.indexOf('/') + 1, colon).replaceAll("[\\[\\]]|%.*", "");
-        return Address.of(new InetSocketAddress(figures, Integer.parseInt(words.substring(colon + 1))));
+    private static Address address(String text) {
+        int colon = text.lastIndexOf(':');
+        String host = text.substring(text.indexOf('/') + 1, colon).replaceAll("[\\[\\]]|%.*", "");
+        return Address.of(new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1))));
     }
 
-    private void said(boolean isReceived, long connection, ByteBuffer content) throws IOException {
-        Line line = lines.get(connection);
-        if (line == null) {
+    private void writeData(boolean isReceived, long connection, ByteBuffer content) throws IOException {
+        RecordedConnection recorded = connections.get(connection);
+        if (recorded == null) {
             return;
         }
-        long from = content.getLong();
+        long offset = content.getLong();
         byte[] data = new byte[content.remaining()];
         content.get(data);
         bytes.addAndGet(data.length);
-        boolean isClient = isReceived == line.isComer;
-        Redactor redactor = isReceived ? line.theirs : line.ours;
-        long before = isReceived ? line.came : line.went;
-        if (from > before) {
+        boolean isClient = isReceived == recorded.isAccepted;
+        Redactor redactor = isReceived ? recorded.receivedRedactor : recorded.sentRedactor;
+        long expectedOffset = isReceived ? recorded.received : recorded.sent;
+        if (offset > expectedOffset) {
             if (redactor != null) {
-                byte[] black = redactor.lose();
-                synthesis.data(connection, isClient, black, 0, black.length, lastAt);
+                byte[] masked = redactor.lose();
+                synthesizer.data(connection, isClient, masked, 0, masked.length, lastTimestampNs);
             }
-            synthesis.hole(connection, isClient, from - before);
+            synthesizer.hole(connection, isClient, offset - expectedOffset);
         }
         if (isReceived) {
-            line.came = from + data.length;
+            recorded.received = offset + data.length;
         } else {
-            line.went = from + data.length;
+            recorded.sent = offset + data.length;
         }
-        byte[] seen = redactor == null ? data : redactor.take(data);
-        synthesis.data(connection, isClient, seen, 0, seen.length, lastAt);
+        byte[] redacted = redactor == null ? data : redactor.take(data);
+        synthesizer.data(connection, isClient, redacted, 0, redacted.length, lastTimestampNs);
     }
 
     private void close(long connection) throws IOException {
-        Line line = lines.remove(connection);
-        if (line == null) {
+        RecordedConnection recorded = connections.remove(connection);
+        if (recorded == null) {
             return;
         }
         if (mask != null) {
-            byte[] theirs = line.theirs.lose();
-            synthesis.data(connection, line.isComer, theirs, 0, theirs.length, lastAt);
-            byte[] ours = line.ours.lose();
-            synthesis.data(connection, !line.isComer, ours, 0, ours.length, lastAt);
+            byte[] lastReceived = recorded.receivedRedactor.lose();
+            synthesizer.data(connection, recorded.isAccepted, lastReceived, 0, lastReceived.length, lastTimestampNs);
+            byte[] lastSent = recorded.sentRedactor.lose();
+            synthesizer.data(connection, !recorded.isAccepted, lastSent, 0, lastSent.length, lastTimestampNs);
         }
-        synthesis.closed(connection, !line.isComer, false, lastAt);
+        synthesizer.closed(connection, !recorded.isAccepted, false, lastTimestampNs);
     }
 
     @Override
     public void report(Counters counters) {
         counters.count("records", records.get());
         counters.count("bytes", bytes.get());
-        counters.count("packets", written.get());
+        counters.count("packets", packets.get());
         counters.count("left out", leftOut.get());
         counters.count("bytes left out", bytesLeftOut.get());
         counters.count("ended by a fault", failed.get());
@@ -304,9 +304,9 @@
     /** Writes what is in the ring and ends the last file. */
     @Override
     public void close() {
-        ends = true;
+        isClosing = true;
         try {
-            thread.join(LAST_WORDS_MS);
+            thread.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/honeygap/capture/tape/Ring.java
+++ b/src/main/java/honeygap/capture/tape/Ring.java
@@ -11,7 +11,7 @@
 public final class Ring {
 
     /** Length, kind, connection, time. */
-    private static final int HEAD = 4 + 4 + 8 + 8;
+    private static final int RECORD_HEADER_BYTES = 4 + 4 + 8 + 8;
     private static final VarHandle TAKEN;
     private static final VarHandle PUT;
 
@@ -30,7 +30,7 @@
         void record(int kind, long connection, long at, ByteBuffer bytes);
     }
 
-    private final ByteBuffer room;
+    private final ByteBuffer buffer;
     private final int size;
     private final int mask;
     /** Bytes ever put in and taken out. */
@@ -39,68 +39,68 @@
     @SuppressWarnings("unused")
     private volatile long taken;
     /** What the putting thread last knew of the other. */
-    private long takenSeen;
+    private long cachedTaken;
 
     /** Room for so many bytes, a power of two. */
     public Ring(int size) {
         this.size = Integer.highestOneBit(Math.max(1 << 10, size));
         mask = this.size - 1;
-        room = ByteBuffer.allocate(this.size);
+        buffer = ByteBuffer.allocate(this.size);
     }
 
     /** Puts a record in; the buffers stay as they are. False where it does not fit. */
-    public boolean offer(int kind, long connection, long at, ByteBuffer... parts) {
+    public boolean offer(int kind, long connection, long timestampNs, ByteBuffer... parts) {
         int length = 0;
         for (ByteBuffer part : parts) {
             length += part.remaining();
         }
-        int whole = HEAD + length + 7 & ~7;
-        long from = (long) PUT.get(this);
-        int place = (int) (from & mask);
+        int recordBytes = RECORD_HEADER_BYTES + length + 7 & ~7;
+        long start = (long) PUT.get(this);
+        int index = (int) (start & mask);
         // A record stands in one piece: the rest of the room is left out where it is too short for it.
-        int skipped = place + whole > size ? size - place : 0;
-        if (whole > size || from + skipped + whole - takenSeen > size) {
-            takenSeen = (long) TAKEN.getAcquire(this);
-            if (whole > size || from + skipped + whole - takenSeen > size) {
+        int skipped = index + recordBytes > size ? size - index : 0;
+        if (recordBytes > size || start + skipped + recordBytes - cachedTaken > size) {
+            cachedTaken = (long) TAKEN.getAcquire(this);
+            if (recordBytes > size || start + skipped + recordBytes - cachedTaken > size) {
                 return false;
             }
         }
         if (skipped > 0) {
             if (skipped >= 4) {
-                room.putInt(place, -1);
+                buffer.putInt(index, -1);
             }
-            place = 0;
+            index = 0;
         }
-        room.putInt(place, length);
-        room.putInt(place + 4, kind);
-        room.putLong(place + 8, connection);
-        room.putLong(place + 16, at);
-        int to = place + HEAD;
+        buffer.putInt(index, length);
+        buffer.putInt(index + 4, kind);
+        buffer.putLong(index + 8, connection);
+        buffer.putLong(index + 16, timestampNs);
+        int to = index + RECORD_HEADER_BYTES;
         for (ByteBuffer part : parts) {
-            room.put(to, part, part.position(), part.remaining());
+            buffer.put(to, part, part.position(), part.remaining());
             to += part.remaining();
         }
-        PUT.setRelease(this, from + skipped + whole);
+        PUT.setRelease(this, start + skipped + recordBytes);
         return true;
     }
 
     /** Takes all records that are there out, in order; how many. */
     public int drain(Reader reader) {
-        long from = (long) TAKEN.get(this);
-        long to = (long) PUT.getAcquire(this);
+        long position = (long) TAKEN.get(this);
+        long end = (long) PUT.getAcquire(this);
         int records = 0;
-        while (from < to) {
-            int place = (int) (from & mask);
-            int length = room.getInt(place);
+        while (position < end) {
+            int index = (int) (position & mask);
+            int length = buffer.getInt(index);
             if (length < 0) {
-                from += size - place;
+                position += size - index;
                 continue;
             }
-            reader.record(room.getInt(place + 4), room.getLong(place + 8), room.getLong(place + 16),
-                    room.slice(place + HEAD, length));
-            from += HEAD + length + 7 & ~7;
+            reader.record(buffer.getInt(index + 4), buffer.getLong(index + 8), buffer.getLong(index + 16),
+                    buffer.slice(index + RECORD_HEADER_BYTES, length));
+            position += RECORD_HEADER_BYTES + length + 7 & ~7;
             records++;
-            TAKEN.setRelease(this, from);
+            TAKEN.setRelease(this, position);
         }
         return records;
     }
--- a/src/test/java/honeygap/capture/FilesTest.java
+++ b/src/test/java/honeygap/capture/FilesTest.java
@@ -55,7 +55,7 @@
         copy.link = packet.link;
         copy.data = Arrays.copyOf(packet.data, packet.length);
         copy.length = packet.length;
-        copy.original = packet.original;
+        copy.originalLength = packet.originalLength;
         return copy;
     }
 
@@ -85,7 +85,7 @@
         assertEquals(wanted.size(), read.size());
         for (int i = 0; i < wanted.size(); i++) {
             assertEquals(wanted.get(i).at, read.get(i).at);
-            assertEquals(wanted.get(i).original, read.get(i).original);
+            assertEquals(wanted.get(i).originalLength, read.get(i).originalLength);
             assertArrayEquals(wanted.get(i).data, read.get(i).data, "packet " + i);
         }
     }
@@ -183,7 +183,7 @@
                 file.putInt(7).putInt(5).putInt(3).putInt(60).put(data);
                 List<Packet> read = read(file.array(), new String[1]);
                 assertEquals(7_000_000_000L + (magic == 0xa1b2c3d4 ? 5000 : 5), read.get(0).at);
-                assertEquals(60, read.get(0).original);
+                assertEquals(60, read.get(0).originalLength);
             }
             ByteBuffer file = ByteBuffer.allocate(400).order(order);
             section(file);
--- a/src/test/java/honeygap/capture/StreamsTest.java
+++ b/src/test/java/honeygap/capture/StreamsTest.java
@@ -181,7 +181,7 @@
                 plain[at + i] = there[at + i] ? plain[at + i] : data[i];
                 there[at + i] = true;
             }
-            assertTrue(pieces.reaches(at + data.length));
+            assertTrue(pieces.fits(at + data.length));
             assertEquals(differing, pieces.add(at, data, 0, data.length), "seed " + seed + ", step " + step);
             if (pieces.ready() > 0 && random.nextInt(4) == 0) {
                 byte[] out = pieces.take();
@@ -194,7 +194,7 @@
                 held += there[i] ? 1 : 0;
                 runs += there[i] && (i == taken || !there[i - 1]) ? 1 : 0;
             }
-            assertEquals(held + "/" + runs, pieces.held() + "/" + pieces.runs(), "seed " + seed + ", step " + step);
+            assertEquals(held + "/" + runs, pieces.bufferedBytes() + "/" + pieces.runCount(), "seed " + seed + ", step " + step);
         }
     }
 
