--- a/src/main/java/honeygap/capture/Reading.java
+++ b/src/main/java/honeygap/capture/Reading.java
@@ -16,16 +16,16 @@
 import java.util.PriorityQueue;
 import java.util.TreeMap;
 
-/** Reads captures from file to RPC: one file, or several whose packets are taken in the order of their times. */
+/** Reads one or more capture files, merged by packet time, as packets, TCP streams or RPCs. */
 public final class Reading implements Closeable {
 
-    /** Hears each packet, in order. */
+    /** Receives each packet in order. */
     public interface Hearer {
 
         void packet(Packet packet) throws IOException;
     }
 
-    /** A file and the packet of it that is next. */
+    /** A file with its next packet; ordered by that packet's time. */
     private static final class OpenFile implements Comparable<OpenFile> {
         final CaptureReader reader;
         final int number;
@@ -71,7 +71,7 @@
         }
     }
 
-    /** The next packet, good until the next call; null at the end. */
+    /** The next packet, valid until the next call; null at the end. */
     public Packet next() throws IOException {
         if (current != null) {
             enqueueNext(current);
@@ -87,7 +87,7 @@
         return current.packet;
     }
 
-    /** Reads all that is left as conversations. What was out of the ordinary on the way, by kind. */
+    /** Reads all remaining packets as conversations; returns counts of RPCs, connections and irregularities by kind. */
     public Map<String, Long> conversations(Conversation.Hearer listener, Hearer packetListener) throws IOException {
         Conversations conversations = new Conversations(listener);
         Map<String, Long> counts = streams(conversations, packetListener);
@@ -97,7 +97,7 @@
         return counts;
     }
 
-    /** Reads all that is left as streams. */
+    /** Reads all remaining packets as TCP streams; returns counts of irregularities by kind. */
     public Map<String, Long> streams(Reassembly.Out listener, Hearer packetListener) throws IOException {
         Decoder decoder = new Decoder();
         Reassembly reassembly = new Reassembly();
@@ -122,7 +122,7 @@
         }
     }
 
-    /** What was cut off at the ends of files, a line each. */
+    /** Describes what is missing at the end of truncated files, one text a file. */
     public List<String> cutOff() {
         List<String> truncations = new ArrayList<>();
         for (OpenFile file : files) {
@@ -137,12 +137,12 @@
         return packets;
     }
 
-    /** Bytes of packets. */
+    /** Captured bytes of the packets read so far. */
     public long bytes() {
         return bytes;
     }
 
-    /** Nanoseconds since 1970. */
+    /** Earliest packet time, in nanoseconds since the Unix epoch. */
     public long firstAt() {
         return firstTimestampNs;
     }
--- a/src/main/java/honeygap/capture/file/CaptureInput.java
+++ b/src/main/java/honeygap/capture/file/CaptureInput.java
@@ -15,13 +15,14 @@
 import java.util.zip.ZipException;
 
 /**
- * The bytes of a capture file, plain, gzip or zstd as its first bytes say, read as a stream with a buffer of fixed
- * size. One that was cut off ends; it is no fault. Guards against bombs: what expands beyond measure is spoilt.
+ * Reads a capture file as a stream through a fixed-size buffer and decompresses gzip and zstd, detected by the magic
+ * bytes. A truncated file is not an error: the stream ends early and {@link #isTruncated} is set. Input with an
+ * excessive compression ratio (a decompression bomb) is rejected as malformed.
  */
 final class CaptureInput implements Closeable {
 
     private static final int BUFFER_BYTES = 1 << 16;
-    /** Past so many bytes a file may not expand more than so many times. */
+    /** Decompressed bytes from which on the expansion is limited to {@link #MAX_EXPANSION}. */
     private static final long EXPANSION_CHECK_BYTES = 256L << 20;
     private static final long MAX_EXPANSION = 300;
 
@@ -33,10 +34,11 @@
     private final byte[] buffer = new byte[BUFFER_BYTES];
     private int position;
     private int limit;
-    /** Where the byte after the buffer's last one stands. */
+    /** Offset in the decompressed stream of the end of the buffer. */
     private long bufferEndOffset;
     private boolean isTruncated;
 
+    /** Counts the raw bytes and tracks zstd frame boundaries in them. */
     private static final class CountingInputStream extends FilterInputStream {
 
         private long count;
@@ -83,16 +85,16 @@
         } catch (ZipException e) {
             throw new Spoilt(name, 0, "compression", "not gzip: " + e.getMessage());
         } catch (EOFException e) {
-            throw new Spoilt(name, 0, "compression", "not a whole head of gzip");
+            throw new Spoilt(name, 0, "compression", "incomplete gzip header");
         }
     }
 
-    /** Where the next byte stands. */
+    /** Offset of the next byte in the decompressed stream. */
     long offset() {
         return bufferEndOffset - (limit - position);
     }
 
-    /** The file broke off in the middle of what is compressed. */
+    /** Whether the file ended in the middle of the compressed data. */
     boolean isTruncated() {
         return isTruncated;
     }
@@ -105,13 +107,13 @@
             isTruncated = true;
             return false;
         } catch (ZipException e) {
-            throw new Spoilt(name, bufferEndOffset, "compression", "spoilt gzip: " + e.getMessage());
+            throw new Spoilt(name, bufferEndOffset, "compression", "invalid gzip data: " + e.getMessage());
         } catch (IOException e) {
             if (isCompressed && String.valueOf(e.getMessage()).contains("runcated")) {
                 isTruncated = true;
                 return false;
             }
-            throw isCompressed ? new Spoilt(name, bufferEndOffset, "compression", "spoilt compression: " + e.getMessage()) : e;
+            throw isCompressed ? new Spoilt(name, bufferEndOffset, "compression", "invalid compressed data: " + e.getMessage()) : e;
         }
         if (count <= 0) {
             isTruncated |= isZstd && !raw.frames.isAtFrameBoundary();
@@ -121,12 +123,12 @@
         limit = count;
         bufferEndOffset += count;
         if (isCompressed && bufferEndOffset > EXPANSION_CHECK_BYTES && bufferEndOffset / MAX_EXPANSION > raw.count) {
-            throw new Spoilt(name, bufferEndOffset, "bomb", "expands more than " + MAX_EXPANSION + " times");
+            throw new Spoilt(name, bufferEndOffset, "bomb", "decompresses to more than " + MAX_EXPANSION + " times its size");
         }
         return true;
     }
 
-    /** Reads so many bytes, or as many as there are left; how many. */
+    /** Reads the given number of bytes, or fewer at the end of the input; returns the number read. */
     int read(byte[] into, int at, int length) throws IOException {
         int done = 0;
         while (done < length) {
@@ -141,7 +143,7 @@
         return done;
     }
 
-    /** Passes so many bytes over; whether they were all there. */
+    /** Skips the given number of bytes; false if the input ended before. */
     boolean skip(long length) throws IOException {
         long remaining = length;
         while (remaining > 0) {
--- a/src/main/java/honeygap/capture/file/CaptureReader.java
+++ b/src/main/java/honeygap/capture/file/CaptureReader.java
@@ -11,13 +11,13 @@
 import java.util.List;
 
 /**
- * Reads pcap and pcapng files as streams, with memory that does not grow with the file. A file that was cut off
- * ends with its last whole packet and says so; one that lies is spoilt, with the place. Sources: the pcap savefile
- * format and the pcapng drafts of the IETF's opsawg.
+ * Reads pcap and pcapng files as streams, with memory that does not grow with the file. A truncated file ends with its
+ * last complete packet and reports where it is cut off ({@link #cutOff}); invalid content raises an exception with the
+ * offset. Formats: the pcap savefile format and the pcapng drafts of the IETF's opsawg.
  */
 public final class CaptureReader implements Closeable {
 
-    /** No packet or block is longer, whatever its head says. */
+    /** Longer blocks are rejected, so that a corrupt length field can't cause a huge allocation. */
     private static final int MAX_BLOCK_BYTES = 1 << 24;
     private static final int MAX_PACKET_BYTES = 1 << 20;
     private static final int MAX_INTERFACES = 4096;
@@ -29,11 +29,11 @@
     private static final int INTERFACE_BLOCK = 1, OBSOLETE_PACKET_BLOCK = 2, SIMPLE_PACKET_BLOCK = 3, ENHANCED_PACKET_BLOCK = 6;
     private static final int OPTION_TIME_RESOLUTION = 9, OPTION_TIME_OFFSET = 14;
 
-    /** One interface of a section. */
+    /** A pcapng interface description, or the values of a pcap file header. */
     private static final class InterfaceDescription {
         int linkType;
         int snapLength;
-        /** Ticks a second, and seconds to add. */
+        /** Timestamp resolution, and seconds to add to each timestamp. */
         long ticksPerSecond = 1_000_000;
         long offsetSeconds;
     }
@@ -52,7 +52,7 @@
         this(new CaptureInput(file));
     }
 
-    /** The name is for errors. */
+    /** The name is used in error messages. */
     public CaptureReader(String name, InputStream bytes) throws IOException {
         this(new CaptureInput(name, bytes));
     }
@@ -62,10 +62,10 @@
         byte[] magic = new byte[4];
         if (input.read(magic, 0, 4) < 4) {
             if (input.isTruncated()) {
-                // What was compressed broke off before the first of it was whole.
+                // Truncated before the first compressed block was complete.
                 isPcapng = true;
                 isAtEnd = true;
-                truncation = "the compression is cut off before anything of it is whole";
+                truncation = "the compressed data is cut off before its first complete block";
                 return;
             }
             throw new Spoilt(input.name, 0, "not a capture", "too short for a capture file");
@@ -83,13 +83,13 @@
         byteOrder = bigEndian == PCAP_MAGIC_MICROS || bigEndian == PCAP_MAGIC_NANOS ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN;
         pcapInterface.ticksPerSecond = bigEndian == PCAP_MAGIC_NANOS || littleEndian == PCAP_MAGIC_NANOS ? 1_000_000_000 : 1_000_000;
         if (input.read(buffer, 0, 20) < 20) {
-            truncation = "the file's head is cut off";
+            truncation = "the file header is cut off";
             isAtEnd = true;
             return;
         }
         ByteBuffer header = wrap(20);
         if (header.getShort(0) != 2) {
-            throw new Spoilt(input.name, 4, "version", "version " + header.getShort(0) + " of pcap is not known");
+            throw new Spoilt(input.name, 4, "version", "version " + header.getShort(0) + " of pcap is not supported");
         }
         pcapInterface.snapLength = header.getInt(12);
         pcapInterface.linkType = header.getInt(16) & 0x0fffffff;
@@ -99,7 +99,7 @@
         return ByteBuffer.wrap(buffer, 0, length).order(byteOrder);
     }
 
-    /** Reads the next packet; false at the end of the file, or where it was cut off. */
+    /** Reads the next packet; false at the end of the file or where it is truncated. */
     public boolean next(Packet packet) throws IOException {
         if (isAtEnd) {
             return false;
@@ -108,7 +108,7 @@
         if (!isRead) {
             isAtEnd = true;
             if (truncation == null && input.isTruncated()) {
-                truncation = "the compression is cut off";
+                truncation = "the compressed data is cut off";
             }
         } else {
             packet.number = ++packets;
@@ -116,7 +116,7 @@
         return isRead;
     }
 
-    /** What was cut off at the end of the file, and where; null where it is whole. */
+    /** Describes what is missing at the end of a truncated file, and at which byte; null for a complete file. */
     public String cutOff() {
         return truncation == null ? null : input.name + ": byte " + input.offset() + ": " + truncation;
     }
@@ -140,7 +140,7 @@
         packet.fileOffset = input.offset();
         int count = input.read(buffer, 0, 16);
         if (count < 16) {
-            truncation = count > 0 ? "the head of packet " + (packets + 1) + " is cut off" : truncation;
+            truncation = count > 0 ? "the header of packet " + (packets + 1) + " is cut off" : truncation;
             return false;
         }
         ByteBuffer header = wrap(16);
@@ -158,7 +158,7 @@
         return true;
     }
 
-    /** Reads so many bytes of the packet; false where they are cut off. */
+    /** Reads the packet's data; false if the file ends before. */
     private boolean readData(Packet packet, int length, int originalLength) throws IOException {
         if (packet.data.length < length) {
             packet.data = new byte[Math.max(length, 2 * packet.data.length)];
@@ -180,16 +180,16 @@
         return (seconds + description.offsetSeconds) * 1_000_000_000L + nanos;
     }
 
-    /** Behind the type of a section's block; what is cut off of it, or null. */
+    /** Reads a section header block after its type field; returns a description if it is truncated, else null. */
     private String readSectionHeader() throws IOException {
         long offset = input.offset() - 4;
         if (input.read(buffer, 0, 8) < 8) {
             isAtEnd = true;
-            return "a section's head is cut off";
+            return "a section header is cut off";
         }
         int magic = ByteBuffer.wrap(buffer, 4, 4).getInt();
         if (magic != BYTE_ORDER_MAGIC && magic != Integer.reverseBytes(BYTE_ORDER_MAGIC)) {
-            throw new Spoilt(input.name, offset + 8, "byte order", "no byte order of a section");
+            throw new Spoilt(input.name, offset + 8, "byte order", "invalid byte-order magic in a section header");
         }
         byteOrder = magic == BYTE_ORDER_MAGIC ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN;
         int length = wrap(4).getInt(0);
@@ -197,12 +197,12 @@
         ensureCapacity(length - 12);
         if (input.read(buffer, 0, length - 12) < length - 12) {
             isAtEnd = true;
-            return "a section's head is cut off";
+            return "a section header is cut off";
         }
         checkTrailingLength(offset, length, length - 12);
         short major = wrap(2).getShort(0);
         if (major != 1) {
-            throw new Spoilt(input.name, offset + 12, "version", "version " + major + " of pcapng is not known");
+            throw new Spoilt(input.name, offset + 12, "version", "version " + major + " of pcapng is not supported");
         }
         interfaces.clear();
         return null;
@@ -227,7 +227,7 @@
             packet.fileOffset = input.offset();
             int count = input.read(buffer, 0, 4);
             if (count < 4) {
-                truncation = count > 0 ? "a block's head is cut off" : truncation;
+                truncation = count > 0 ? "a block header is cut off" : truncation;
                 return false;
             }
             int type = wrap(4).getInt(0);
@@ -239,7 +239,7 @@
                 continue;
             }
             if (input.read(buffer, 0, 4) < 4) {
-                truncation = "a block's head is cut off";
+                truncation = "a block header is cut off";
                 return false;
             }
             int length = wrap(4).getInt(0);
@@ -269,7 +269,7 @@
 
     private void readInterface(long blockOffset, int length) throws Spoilt {
         if (length < 8 || interfaces.size() >= MAX_INTERFACES) {
-            throw new Spoilt(input.name, blockOffset, "interface", "no whole interface, or too many");
+            throw new Spoilt(input.name, blockOffset, "interface", "incomplete interface description, or too many interfaces");
         }
         ByteBuffer body = wrap(length);
         InterfaceDescription description = new InterfaceDescription();
@@ -284,7 +284,7 @@
                 break;
             }
             if (position + size > length) {
-                throw new Spoilt(input.name, blockOffset, "option", "an option longer than its block");
+                throw new Spoilt(input.name, blockOffset, "option", "an option is longer than its block");
             }
             if (code == OPTION_TIME_RESOLUTION && size == 1) {
                 description.ticksPerSecond = ticksPerSecond(blockOffset, body.get(position) & 0xff);
@@ -294,7 +294,7 @@
             position += size + 3 & ~3;
         }
         if (Math.abs(description.offsetSeconds) > 1L << 33) {
-            throw new Spoilt(input.name, blockOffset, "option", "a time offset of " + description.offsetSeconds + " s");
+            throw new Spoilt(input.name, blockOffset, "option", "unsupported time offset of " + description.offsetSeconds + " s");
         }
         interfaces.add(description);
     }
@@ -303,7 +303,7 @@
         int exponent = resolution & 0x7f;
         boolean isBinary = resolution > 0x7f;
         if (exponent > (isBinary ? 62 : 18)) {
-            throw new Spoilt(input.name, blockOffset, "option", "a time resolution of 10 or 2 to the -" + exponent);
+            throw new Spoilt(input.name, blockOffset, "option", "unsupported time resolution: 10 or 2 to the power of -" + exponent);
         }
         long ticks = 1;
         for (int i = 0; i < exponent; i++) {
@@ -316,11 +316,11 @@
         ByteBuffer body = wrap(length);
         int headerLength = type == SIMPLE_PACKET_BLOCK ? 4 : 20;
         if (length < headerLength) {
-            throw new Spoilt(input.name, packet.fileOffset, "length", "a packet's block of " + length + " bytes");
+            throw new Spoilt(input.name, packet.fileOffset, "length", "a packet block of " + length + " bytes");
         }
         int interfaceNumber = type == SIMPLE_PACKET_BLOCK ? 0 : type == ENHANCED_PACKET_BLOCK ? body.getInt(0) : body.getShort(0) & 0xffff;
         if (interfaceNumber < 0 || interfaceNumber >= interfaces.size()) {
-            throw new Spoilt(input.name, packet.fileOffset, "interface", "no interface " + (interfaceNumber & 0xffffffffL)
+            throw new Spoilt(input.name, packet.fileOffset, "interface", "undefined interface " + (interfaceNumber & 0xffffffffL)
                     + " in its section");
         }
         InterfaceDescription description = interfaces.get(interfaceNumber);
--- a/src/main/java/honeygap/capture/file/CaptureWriter.java
+++ b/src/main/java/honeygap/capture/file/CaptureWriter.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.zip.GZIPOutputStream;
 
-/** Writes pcap or pcapng, with times in nanoseconds, plain or compressed, as the file's name ends. */
+/** Writes pcap or pcapng files with nanosecond timestamps; format and compression follow from the file name. */
 public final class CaptureWriter implements Closeable {
 
     private static final int BUFFER_BYTES = 1 << 16;
@@ -26,10 +26,10 @@
     private final ByteBuffer header = ByteBuffer.allocate(32).order(ByteOrder.LITTLE_ENDIAN);
     private int linkType = -1;
     private long bytesWritten;
-    /** Numbers of interfaces by link type. */
+    /** Interface number by link type. */
     private final Map<Integer, Integer> interfaces = new HashMap<>();
 
-    /** Ends of names: .pcap or .pcapng, and behind that none, .gz or .zst. */
+    /** The name ends with .pcap or .pcapng, optionally followed by .gz or .zst. */
     public CaptureWriter(Path file) throws IOException {
         this(openCompressed(file), file.getFileName().toString().contains(".pcapng"));
     }
@@ -46,13 +46,13 @@
                 : name.endsWith(".zst") ? new ZstdOutputStream(plain).setCloseFrameOnFlush(true) : plain;
     }
 
-    /** Writes a packet; all of a pcap file have the link type of the first one. */
+    /** Writes a packet; in a pcap file all packets need the link type of the first one. */
     public void write(Packet packet) throws IOException {
         if (linkType < 0) {
             begin(packet.link);
         } else if (linkType != packet.link) {
             if (!isPcapng) {
-                throw new IOException("packets of more than one link type go into a pcapng file only");
+                throw new IOException("a pcap file can't hold packets of more than one link type; use pcapng");
             }
             useInterface(packet.link);
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Begins the file where no packet has. */
+    /** Writes the file header; {@link #write} does so itself if this was not called. */
     public void begin(int linkType) throws IOException {
         if (isPcapng) {
             byte[] name = "honeygap".getBytes(StandardCharsets.US_ASCII);
@@ -83,7 +83,7 @@
             header.putInt(0x0a0d0d0a).putInt(28 + 4 + name.length + 4).putInt(0x1a2b3c4d).putShort((short) 1)
                     .putShort((short) 0).putLong(-1);
             put();
-            // Option 4: the program that wrote it.
+            // Option 4 (shb_userappl): the program that wrote the file.
             header.clear();
             header.putShort((short) 4).putShort((short) name.length).put(name).putInt(0)
                     .putInt(28 + 4 + name.length + 4);
@@ -104,7 +104,7 @@
             return;
         }
         header.clear();
-        // Option 9: times in units of 10 to the -9 s.
+        // Option 9 (if_tsresol): timestamps in nanoseconds (10 to the -9 s).
         header.putInt(1).putInt(32).putShort((short) linkType).putShort((short) 0).putInt(SNAP_LENGTH)
                 .putShort((short) 9).putShort((short) 1).putInt(9).putInt(0).putInt(32);
         put();
@@ -121,12 +121,12 @@
         bytesWritten += length;
     }
 
-    /** Bytes before compression. */
+    /** Bytes written so far, before compression. */
     public long bytesWritten() {
         return bytesWritten;
     }
 
-    /** All that was written can be read from now on, whatever comes. */
+    /** Flushes, so that everything written so far can be read even if the process is killed. */
     public void flush() throws IOException {
         out.flush();
     }
--- a/src/main/java/honeygap/capture/file/Packet.java
+++ b/src/main/java/honeygap/capture/file/Packet.java
@@ -1,19 +1,19 @@
 package honeygap.capture.file;
 
-/** One packet as it lies in a file; a reader fills the same one again and again. */
+/** A captured packet; mutable, so that a reader can reuse one instance for all packets. */
 public final class Packet {
 
-    /** Nanoseconds since 1970. */
+    /** Capture time in nanoseconds since the Unix epoch. */
     public long at;
-    /** Link type, by the public registry. */
+    /** Link type, from the public LINKTYPE registry. */
     public int link;
-    /** What was captured; the bytes behind {@link #length} are of an earlier packet. */
+    /** Captured bytes; those from {@link #length} on are left over from earlier packets. */
     public byte[] data = new byte[2048];
     public int length;
-    /** How long it was on the wire. */
+    /** Length on the wire. */
     public int originalLength;
-    /** Counted from 1. */
+    /** Number within the file, from 1. */
     public long number;
-    /** Where its record begins in the file, after decompression. */
+    /** Offset of its record in the decompressed file. */
     public long fileOffset;
 }
--- a/src/main/java/honeygap/capture/file/Spoilt.java
+++ b/src/main/java/honeygap/capture/file/Spoilt.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** A file that can't be read on: which, where, and what is wrong there. */
+/** Reports invalid content of a capture file, with the file's name, the byte offset and the fault. */
 public final class Spoilt extends IOException {
 
     private static final long serialVersionUID = 1;
 
-    /** Counted by this. */
+    /** Short name of the kind of fault, for counting. */
     public final String kind;
 
     public Spoilt(String file, long offset, String kind, String description) {
--- a/src/main/java/honeygap/capture/file/Strict.java
+++ b/src/main/java/honeygap/capture/file/Strict.java
@@ -12,23 +12,23 @@
 import java.util.Map;
 
 /**
- * Holds what was written by this program against the letter of the formats: blocks and their two lengths, times that
- * do not step back, IP and TCP checksums, and for each connection that each byte follows the one before. Written apart
- * from the writer and the reader, and sharing nothing with them.
+ * Strictly verifies pcapng files written by this program: block structure and both length fields, ascending
+ * timestamps, IP and TCP checksums, and contiguous TCP sequence numbers for each connection. Shares no code with the
+ * writer and the reader, so that a fault in them can't hide itself.
  */
 public final class Strict {
 
     private static final int MAX_FAULTS = 100;
 
     private final List<String> faults = new ArrayList<>();
-    /** The next sequence number by sender and receiver. */
+    /** Next expected TCP sequence number by sender and receiver. */
     private final Map<String, Long> nextSequence = new HashMap<>();
     private long packets;
     private long gaps;
     private long lastTimestampNs = Long.MIN_VALUE;
     private long offset;
 
-    /** Reads a plain pcapng file; gaps are holes that the recorder says it left. */
+    /** Reads and verifies an uncompressed pcapng file; sequence numbers that skip forward are gaps, not faults. */
     public Strict(InputStream uncompressed, boolean mayEndEarly) throws IOException {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(uncompressed))) {
             while (true) {
@@ -43,7 +43,7 @@
                 long blockType = type | littleEndian(headerRest, 0, 3) << 8;
                 long length = littleEndian(headerRest, 3, 4);
                 if (length < 12 || length % 4 != 0 || length > 1 << 20) {
-                    addFault("a block of length " + length);
+                    addFault("invalid block length " + length);
                     return;
                 }
                 byte[] body = in.readNBytes((int) length - 8);
@@ -51,7 +51,7 @@
                     throw new EOFException();
                 }
                 if (littleEndian(body, body.length - 4, 4) != length) {
-                    addFault("a block whose two lengths differ");
+                    addFault("the two length fields of a block differ");
                 }
                 checkBlock(blockType, body);
                 offset += length;
@@ -77,7 +77,7 @@
         return packets;
     }
 
-    /** Places where bytes of a connection are left out. */
+    /** Number of places where bytes of a connection are missing. */
     public long gaps() {
         return gaps;
     }
@@ -100,7 +100,7 @@
 
     private void checkBlock(long blockType, byte[] body) {
         if (offset == 0 && blockType != 0x0a0d0d0aL) {
-            addFault("no section at the begin");
+            addFault("the file does not start with a section header");
         }
         if (blockType != 6) {
             return;
@@ -108,7 +108,7 @@
         packets++;
         long timestampNs = littleEndian(body, 4, 4) << 32 | littleEndian(body, 8, 4);
         if (timestampNs < lastTimestampNs) {
-            addFault("time steps back by " + (lastTimestampNs - timestampNs) + " ns");
+            addFault("timestamp goes back by " + (lastTimestampNs - timestampNs) + " ns");
         }
         lastTimestampNs = timestampNs;
         int captured = (int) littleEndian(body, 12, 4);
@@ -116,7 +116,7 @@
             addFault("captured " + captured + " of " + littleEndian(body, 16, 4) + " bytes");
         }
         if (20 + (captured + 3) / 4 * 4 + 4 != body.length) {
-            addFault("a packet of " + captured + " bytes in a block for " + (body.length - 24));
+            addFault("packet of " + captured + " bytes in a block with room for " + (body.length - 24));
             return;
         }
         checkPacket(java.util.Arrays.copyOfRange(body, 20, 20 + captured));
@@ -138,21 +138,21 @@
         int version = ip.length == 0 ? 0 : ip[0] >> 4 & 15;
         int headerLength = version == 4 ? 20 : 40;
         if (version != 4 && version != 6 || ip.length < headerLength + 20) {
-            addFault("no packet of IP");
+            addFault("not an IP packet");
             return;
         }
         long length = version == 4 ? bigEndian(ip, 2, 2) : 40 + bigEndian(ip, 4, 2);
         if (length != ip.length) {
-            addFault("a packet of " + ip.length + " bytes that says " + length);
+            addFault("a packet of " + ip.length + " bytes with length field " + length);
             return;
         }
         if (version == 4 && !isValidChecksum(sum(ip, 0, 20))) {
-            addFault("a wrong checksum of IP");
+            addFault("wrong IP checksum");
         }
         int addresses = version == 4 ? 12 : 8;
         long pseudo = sum(ip, addresses, headerLength) + 6 + (ip.length - headerLength);
         if (!isValidChecksum(pseudo + sum(ip, headerLength, ip.length))) {
-            addFault("a wrong checksum of TCP");
+            addFault("wrong TCP checksum");
         }
         String sender = java.util.HexFormat.of().formatHex(ip, addresses, addresses + (headerLength - addresses) / 2)
                 + ":" + bigEndian(ip, headerLength, 2);
@@ -168,13 +168,13 @@
             if (ahead < 1L << 31) {
                 gaps++;
             } else {
-                addFault("sequence " + seq + " after " + next + " from " + sender);
+                addFault("sequence number " + seq + " after " + next + " from " + sender);
             }
         }
         Long acknowledged = nextSequence.get(receiver + sender);
         if ((flags & 16) != 0 && acknowledged != null && acknowledged != bigEndian(ip, headerLength + 8, 4)
                 && (acknowledged - bigEndian(ip, headerLength + 8, 4) & 0xffffffffL) < 1L << 31) {
-            addFault("acknowledges " + bigEndian(ip, headerLength + 8, 4) + " of " + acknowledged);
+            addFault("acknowledges " + bigEndian(ip, headerLength + 8, 4) + " where the other side is at " + acknowledged);
         }
         nextSequence.put(sender + receiver, seq + payloadLength + (isSyn || (flags & 1) != 0 ? 1 : 0) & 0xffffffffL);
         if ((flags & 4) != 0) {
--- a/src/main/java/honeygap/capture/file/Synthesis.java
+++ b/src/main/java/honeygap/capture/file/Synthesis.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 
 /**
- * Makes packets of what was said on connections: IP and TCP heads with true addresses, sequence numbers that go on
- * over what was left out, acknowledgements and checksums, split where a segment would be too long.
+ * Synthesizes IP packets from the byte streams of connections: real addresses, TCP sequence numbers that also advance
+ * over missing bytes, acknowledgements, checksums, and segmentation of long data.
  */
 public final class Synthesis {
 
-    /** Link type of packets that begin with IP. */
+    /** LINKTYPE_RAW: packets begin with the IP header. */
     public static final int RAW = 101;
 
     private static final int MAX_SEGMENT_BYTES = 1448;
     private static final int WINDOW_BYTES = 65_535;
 
-    /** Where packets go. */
+    /** Receives the packets; each is valid only during the call. */
     public interface Sink {
 
         void write(Packet packet) throws IOException;
@@ -27,7 +27,7 @@
     private static final class Flow {
         final Address client;
         final Address server;
-        /** The next sequence number of each side. */
+        /** Next sequence number of each side. */
         int clientSequence;
         int serverSequence;
         boolean isClosed;
@@ -53,7 +53,7 @@
         return flows.size();
     }
 
-    /** A connection comes up; whole where its beginning is to be seen, which the three first packets show. */
+    /** Opens a connection; writes the TCP handshake if its start was seen. */
     public void opened(long number, Address client, Address server, boolean isFromStart, long timestampNs) throws IOException {
         int seed = (int) (number * 0x9e3779b9L) ^ client.port() << 16 ^ server.port();
         Flow flow = new Flow(client, server, seed, seed * 31 + 17);
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Bytes that are not there: the sequence goes on behind them. */
+    /** Advances the sequence number over missing bytes. */
     public void hole(long number, boolean isClient, long length) {
         Flow flow = flows.get(number);
         if (flow != null && isClient) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Ends a connection, from the client's side or the server's, in order or at once. */
+    /** Closes a connection from the client's or the server's side, with a FIN exchange or a RST. */
     public void closed(long number, boolean isByClient, boolean isReset, long timestampNs) throws IOException {
         Flow flow = flows.remove(number);
         if (flow == null || flow.isClosed) {
--- a/src/main/java/honeygap/capture/file/ZstdFrameTracker.java
+++ b/src/main/java/honeygap/capture/file/ZstdFrameTracker.java
@@ -1,8 +1,8 @@
 package honeygap.capture.file;
 
 /**
- * Follows the frames of a zstd stream (RFC 8878) by their heads, to tell whether it ends where a frame does: the
- * library takes one that breaks off in a later frame for whole.
+ * Parses the frame and block headers of a zstd stream (RFC 8878) to tell whether it ends at a frame boundary: the zstd
+ * library reports no error for a stream that is truncated in a frame after the first.
  */
 final class ZstdFrameTracker {
 
@@ -12,14 +12,14 @@
     private enum Field { MAGIC, DESCRIPTOR, HEADER_REST, BLOCK_HEADER, BLOCK_CONTENT, CHECKSUM, SKIPPABLE_SIZE, SKIPPABLE_CONTENT, UNKNOWN }
 
     private Field field = Field.MAGIC;
-    /** Bytes of this part still to come, and its value as far as it has. */
+    /** Bytes of the current field still to come, and its little-endian value so far. */
     private long remaining = 4;
     private long value;
     private int shift;
     private boolean hasChecksum;
     private boolean isLastBlock;
 
-    /** Whether nothing of a frame has begun. */
+    /** Whether the stream so far ends between frames; also true for data that is not zstd. */
     boolean isAtFrameBoundary() {
         return field == Field.UNKNOWN || field == Field.MAGIC && remaining == 4;
     }
--- a/src/main/java/honeygap/capture/packet/Address.java
+++ b/src/main/java/honeygap/capture/packet/Address.java
@@ -1,13 +1,13 @@
 package honeygap.capture.packet;
 
-/** An address and a port: four or sixteen bytes as two numbers. */
+/** An IPv4 or IPv6 address with a port; the address bytes are held in two longs (IPv4 in the low one). */
 public record Address(boolean isIpv6, long high, long low, int port) implements Comparable<Address> {
 
     public static Address four(int address, int port) {
         return new Address(false, 0, address & 0xffffffffL, port);
     }
 
-    /** Reads what {@link #toString} writes: figures and a port. */
+    /** Converts a resolved socket address. */
     public static Address of(java.net.InetSocketAddress socket) {
         byte[] bytes = socket.getAddress().getAddress();
         java.nio.ByteBuffer buffer = java.nio.ByteBuffer.wrap(bytes);
--- a/src/main/java/honeygap/capture/packet/Decoder.java
+++ b/src/main/java/honeygap/capture/packet/Decoder.java
@@ -7,9 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * Finds the TCP segment in a packet: link, network and transport, each length held against what is there. What is
- * no TCP, or lies, is passed over and counted by kind. Fragments of IP are put together within bounds. Sources:
- * the public link-type registry, RFC 791, 8200, 4302, 9293.
+ * Decodes the link, network and transport headers of a packet to find its TCP segment, with each length field checked
+ * against the captured bytes. Packets that are not TCP or are malformed are skipped and counted by kind. IP fragments
+ * are reassembled within limits. Sources: the public link-type registry, RFC 791, 8200, 4302, 9293.
  */
 public final class Decoder {
 
@@ -21,15 +21,16 @@
     private static final int PROTOCOL_TCP = 6;
     private static final int MAX_FRAGMENTED_DATAGRAMS = 64;
     private static final int MAX_DATAGRAM_BYTES = 65_535;
-    /** Fragments that wait longer, in nanoseconds of the capture, are given up. */
+    /** Age in capture time after which an incomplete fragmented datagram is dropped. */
     private static final long FRAGMENT_TIMEOUT_NS = 30_000_000_000L;
 
-    /** Fragments of one packet of IP. */
+    /** The fragments of one IP datagram received so far. */
     private static final class FragmentedDatagram {
         final long firstFragmentNs;
         final byte[] data = new byte[MAX_DATAGRAM_BYTES];
-        /** Begin and end of what is there, in pieces that do not touch. */
+        /** Start and end of the received ranges, which neither overlap nor touch. */
         final TreeMap<Integer, Integer> ranges = new TreeMap<>();
+        /** Total length; negative until the last fragment has been received. */
         int length = -1;
 
         FragmentedDatagram(long firstFragmentNs) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /** Addresses, protocol and number of a packet in fragments. */
+    /** Identifies a fragmented datagram: addresses, identification and protocol. */
     private record FragmentKey(long high, long low, long high2, long low2, int number, int protocol) { }
 
     private final LinkedHashMap<FragmentKey, FragmentedDatagram> fragmented = new LinkedHashMap<>();
@@ -68,7 +69,7 @@
     private int end;
     private long packetTimestampNs;
 
-    /** Fills the segment; false where the packet holds none. */
+    /** Fills the segment; false if the packet holds none. */
     public boolean read(Packet packet, Segment segment) {
         data = packet.data;
         end = packet.length;
@@ -95,7 +96,7 @@
         return false;
     }
 
-    /** Packets passed over, by kind. */
+    /** Skipped packets, by kind. */
     public Map<String, Long> skipped() {
         return skipped;
     }
@@ -131,7 +132,7 @@
         return skip("cut off");
     }
 
-    /** The family comes first, in the byte order of whoever captured. */
+    /** The address family comes first, in the byte order of the capturing host. */
     private boolean decodeLoopback(Segment segment) {
         if (end < 4) {
             return skip("cut off");
@@ -167,7 +168,7 @@
         }
         int headerLength = 4 * (u8(offset) & 15);
         int totalLength = u16(offset + 2);
-        // A length of 0 is what offloading leaves: the packet is as long as what was captured.
+        // Segmentation offload leaves a total length of 0: the datagram is as long as what was captured.
         int datagramLength = totalLength == 0 ? end - offset : totalLength;
         if (headerLength < 20 || datagramLength < headerLength || offset + headerLength > end) {
             return skip("bad head of IP");
@@ -264,7 +265,7 @@
         segment.data = data;
         segment.start = Math.min(offset + headerLength, end);
         segment.sent = segmentLength - headerLength;
-        // Behind the packet there may be padding; before its end the capture may have stopped.
+        // Link padding may follow the datagram, or the snap length may have cut it short.
         segment.length = Math.max(0, Math.min(segment.sent, end - segment.start));
         if (segment.length < segment.sent) {
             skipped.merge("segments cut off", 1L, Long::sum);
--- a/src/main/java/honeygap/capture/packet/Segment.java
+++ b/src/main/java/honeygap/capture/packet/Segment.java
@@ -1,20 +1,22 @@
 package honeygap.capture.packet;
 
-/** What one packet says of a TCP connection; a decoder fills the same one again and again. */
+/** A TCP segment; mutable, so that a decoder can reuse one instance for all packets. */
 public final class Segment {
 
     public static final int FIN = 1, SYN = 2, RST = 4, PSH = 8, ACK = 16;
 
+    /** Capture time in nanoseconds since the Unix epoch. */
     public long at;
     public Address from;
     public Address to;
-    /** Sequence numbers as they came, 32 bits. */
+    /** Raw 32-bit sequence numbers. */
     public int seq;
     public int ack;
     public int flags;
     public byte[] data;
+    /** Index in {@link #data} of the first payload byte. */
     public int start;
-    /** Bytes of data that were captured, and that were sent. */
+    /** Payload bytes captured, and payload bytes sent on the wire. */
     public int length;
     public int sent;
 
--- a/src/main/java/honeygap/capture/stream/Pieces.java
+++ b/src/main/java/honeygap/capture/stream/Pieces.java
@@ -1,27 +1,28 @@
 package honeygap.capture.stream;
 
 /**
- * The bytes of one direction that came before those in front of them: a window of bytes that turns, and the ends of
- * the runs in it that do not touch, in order. A byte that is there stays; one that comes again is compared. Made for
- * runs that are few and mostly grow at their end: adding there moves nothing and allocates nothing.
+ * Buffers the bytes of one direction that arrived out of order: a circular window of bytes, and the sorted start and
+ * end offsets of its runs, which neither overlap nor touch. The first value received for a byte wins; retransmitted
+ * bytes are compared with it. Optimized for few runs that mostly grow at their end: appending neither moves data nor
+ * allocates.
  */
 public final class Pieces {
 
-    /** Where the window begins, counted from the first byte of the direction. */
+    /** Offset of the window's start in the direction's byte stream. */
     private long base;
     private byte[] window = new byte[1024];
     private final int maxWindowBytes;
-    /** Begin and end of each run, counted likewise. */
+    /** Start and end offset of each run, in pairs. */
     private long[] runs = new long[8];
     private int runCount;
     private int bufferedBytes;
 
-    /** The window is never longer than this, a power of two. */
+    /** The maximum window size is rounded down to a power of two, but at least 1024. */
     public Pieces(int maxWindowBytes) {
         this.maxWindowBytes = Integer.highestOneBit(Math.max(1024, maxWindowBytes));
     }
 
-    /** The next byte that is missing or not yet taken out. */
+    /** Offset of the next byte that is missing or not yet removed. */
     public long base() {
         return base;
     }
@@ -34,24 +35,24 @@
         return runCount;
     }
 
-    /** Whether a byte so far out may be held. */
+    /** Whether bytes up to this offset fit into the largest window. */
     public boolean fits(long end) {
         return end - base <= maxWindowBytes;
     }
 
-    /** Where the run nearest to the base begins; the base itself where there is nothing. */
+    /** Start offset of the first run; the base if nothing is buffered. */
     public long firstRunStart() {
         return runCount == 0 ? base : runs[0];
     }
 
-    /** Length of the run at the base, which can be taken out. */
+    /** Length of the run at the base, which can be removed. */
     public int ready() {
         return runCount > 0 && runs[0] == base ? (int) (runs[1] - base) : 0;
     }
 
     /**
-     * Holds bytes within reach and at or behind the base. How many of them were there already with another value:
-     * those keep the first one.
+     * Buffers bytes that fit and start at or after the base. Returns how many of them were already buffered with a
+     * different value; those keep the first one.
      */
     public int add(long offset, byte[] data, int start, int length) {
         if (length == 0) {
@@ -59,7 +60,7 @@
         }
         long end = offset + length;
         ensureCapacity(end);
-        // The first run that ends at or behind the begin of the new one.
+        // The first run that ends at or after the start of the new one.
         int first = 0;
         if (runCount > 0 && runs[2 * runCount - 1] < offset) {
             first = runCount;
@@ -145,7 +146,7 @@
         }
     }
 
-    /** Takes out the run at the base, all of {@link #ready}. */
+    /** Removes and returns the run at the base, {@link #ready} bytes. */
     public byte[] take() {
         int length = ready();
         byte[] bytes = new byte[length];
@@ -162,7 +163,7 @@
         return bytes;
     }
 
-    /** Goes on behind bytes that were handed on without being held, or are given up; none of them is held. */
+    /** Moves the base past bytes that were delivered unbuffered or abandoned as missing; none of them is buffered. */
     public void advanceTo(long to) {
         base = to;
     }
--- a/src/main/java/honeygap/capture/stream/Reassembly.java
+++ b/src/main/java/honeygap/capture/stream/Reassembly.java
@@ -15,33 +15,33 @@
 import java.util.TreeMap;
 
 /**
- * Decides what becomes of segments: which bytes are next in a direction, what is held until those before it come,
- * and when what is missing is given up. It has no I/O: segments only update what is known, {@link #next} says what
- * has come of them until there is nothing to say. Times are nanoseconds of the capture.
+ * Reassembles TCP segments into byte streams: delivers the bytes of each direction in order, buffers those that arrive
+ * early and decides when missing bytes are abandoned. Does no I/O: segments only update the state and queue events,
+ * {@link #next} delivers the events one by one. Times are nanoseconds of capture time.
  *
- * <p>Held bytes are bounded for a direction and in all. Beyond a direction's bound its own first gap is given up;
- * beyond the bound in all, the gap that has waited longest anywhere, since what has been missing for longest is
- * least likely to come. Connections beyond their bound: the one silent longest is closed.
+ * <p>Buffered bytes are limited for each direction and in total. Over a direction's limit its own first gap is
+ * abandoned; over the total limit, the gap that has waited longest in any direction, since the bytes missing longest
+ * are the least likely to arrive. Over the limit of connections, the one idle longest is closed.
  *
- * <p>The first segments of a connection wait until both its SYNs are there, for a tenth of a second at the most: they
- * may come shuffled. Data that acknowledges what has not come from the other side waits for it as long, so that an
- * answer is never handed on before its question. A gap whose bytes the other side has acknowledged was lost by the capture, not the network, and is
- * given up as soon.
+ * <p>The first segments of a connection wait until both SYNs have arrived, for a tenth of a second at most, since the
+ * capture may have reordered them. Data that acknowledges bytes not yet seen from the other side waits for them as
+ * long, so that a response is never delivered before its request. A gap whose bytes the other side has acknowledged
+ * was lost by the capture, not the network, and is abandoned after the same time.
  */
 public final class Reassembly {
 
-    /** How a connection ended. */
+    /** How a connection ended; CUT: still open at the end of the capture, CROWDED: over the limit of connections. */
     public enum End { CLOSED, RESET, REUSED, SILENT, CROWDED, CUT }
 
-    /** Hears, one thing at a call, what has come of the segments. */
+    /** Receives the events of the reassembly, one a call. */
     public interface Out {
 
         void opened(Flow flow, long at);
 
-        /** Bytes in order; the client's or the server's. */
+        /** The next bytes in order, sent by the client or by the server. */
         void data(Flow flow, boolean isClient, byte[] bytes, long at);
 
-        /** Bytes that are missing for good. */
+        /** Bytes that are missing and were abandoned. */
         void hole(Flow flow, boolean isClient, long length, long at);
 
         void closed(Flow flow, End how, long at);
@@ -53,17 +53,17 @@
         final Flow flow;
         final boolean isClient;
         final Pieces buffer = new Pieces(maxBufferedPerDirection);
-        /** The sequence number at offset 0, as 32 bits. */
+        /** The 32-bit sequence number of offset 0. */
         int initialSequence;
         boolean hasInitialSequence;
-        /** Since when the next byte is missing while later ones are held. */
+        /** Since when the next byte has been missing while later ones are buffered. */
         long gapSinceNs;
-        /** Since when the other side has what is missing here; under 0 where it has not. */
+        /** When the other side acknowledged the missing bytes; negative if it has not. */
         long ackedSinceNs = -1;
-        /** Data that acknowledges more than has come from the other side, and since when it waits. */
+        /** Data that acknowledges more than has been seen from the other side, and since when it waits. */
         final ArrayDeque<Segment> blocked = new ArrayDeque<>(0);
         long blockedSinceNs;
-        /** Where the last byte is; negative before that is known. */
+        /** Offset of the stream's end; negative while unknown. */
         long endOffset = -1;
 
         Direction(Flow flow, boolean isClient) {
@@ -76,7 +76,7 @@
             hasInitialSequence = true;
         }
 
-        /** Where a sequence number stands, from what is near: it turns over after 2^32. */
+        /** Stream offset of a sequence number, taken as the one nearest to the base since numbers wrap at 2^32. */
         long offset(int seq) {
             long base = buffer.base();
             return base + (seq - (initialSequence + (int) base));
@@ -87,15 +87,15 @@
         }
     }
 
-    /** A connection: its two ends, the client's first. */
+    /** A TCP connection. */
     public final class Flow {
 
         public final Address client;
         public final Address server;
         public final long number;
-        /** Whether its beginning was seen. */
+        /** Whether its SYN was seen. */
         public final boolean isWhole;
-        /** For whoever hears of it. */
+        /** For use by the listener. */
         public Object subject;
         private final Direction fromClient = new Direction(this, true);
         private final Direction fromServer = new Direction(this, false);
@@ -115,7 +115,7 @@
         }
     }
 
-    /** A connection of which not both SYNs are there yet, and what has come of it. */
+    /** A connection whose SYN or SYN-ACK is still missing, with the segments seen so far. */
     private static final class PendingConnection {
         final List<Segment> segments = new ArrayList<>();
         Segment syn;
@@ -123,7 +123,7 @@
         long bytes;
     }
 
-    /** The two ends, the lesser first. */
+    /** The two endpoints of a connection, the lower address first. */
     private record EndpointPair(Address lower, Address higher) { }
 
     private interface Event {
@@ -132,7 +132,7 @@
     }
 
     private static final int MAX_PENDING_SEGMENTS = 64;
-    /** So long first segments wait for SYNs, and an acknowledged gap for what was only shuffled. */
+    /** How long first segments wait for the SYNs, and acknowledged gaps for reordered segments. */
     private static final long REORDER_WAIT_NS = 100_000_000L;
 
     private final int maxBufferedPerDirection;
@@ -141,15 +141,15 @@
     private final long gapTimeoutNs;
     private final long idleTimeoutNs;
     private final LinkedHashMap<EndpointPair, Flow> flows = new LinkedHashMap<>(64, 0.75f, true);
-    /** Directions with a gap, the one that has waited longest first. */
+    /** Directions with a gap, the oldest gap first. */
     private final LinkedHashSet<Direction> gaps = new LinkedHashSet<>();
-    /** Those of them that the other side has acknowledged, in the order of that. */
+    /** Directions whose gap the other side has acknowledged, in order of the acknowledgement. */
     private final LinkedHashSet<Direction> acked = new LinkedHashSet<>();
-    /** Directions whose data waits for the other one, the one that has waited longest first. */
+    /** Directions whose data waits for the opposite one, the longest wait first. */
     private final LinkedHashSet<Direction> blocked = new LinkedHashSet<>();
     private final LinkedHashMap<EndpointPair, PendingConnection> pending = new LinkedHashMap<>();
     private long pendingBytes;
-    /** When what is handed on now was said. */
+    /** Capture time of the segment whose data is being delivered. */
     private long dataTimestampNs;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Set<Integer> serverPorts = new HashSet<>();
@@ -158,8 +158,12 @@
     private long openedCount;
     private long nowNs = Long.MIN_VALUE;
 
-    /** Bytes held a direction and in all, connections, how long a gap and a silent connection wait. */
-    public Reassembly(int maxBufferedPerDirection, long maxBufferedTotal, int maxFlows, long gapTimeoutNs, long idleTimeoutNs) {
+    /**
+     * Limits of buffered bytes for each direction and in total, and of connections; the times after which a gap is
+     * abandoned and an idle connection is closed.
+     */
+    public Reassembly(int maxBufferedPerDirection, long maxBufferedTotal, int maxFlows, long gapTimeoutNs,
+            long idleTimeoutNs) {
         this.maxBufferedPerDirection = maxBufferedPerDirection;
         this.maxBufferedTotal = maxBufferedTotal;
         this.maxFlows = maxFlows;
@@ -167,7 +171,7 @@
         this.idleTimeoutNs = idleTimeoutNs;
     }
 
-    /** With bounds for everyday files: 256 KiB a direction, 64 MiB in all, 100,000 connections, 3 s, 2 h. */
+    /** Uses the default limits: 256 KiB a direction, 64 MiB in total, 100,000 connections, 3 s, 2 h. */
     public Reassembly() {
         this(1 << 18, 64L << 20, 100_000, 3_000_000_000L, 7_200_000_000_000L);
     }
@@ -176,7 +180,7 @@
         counts.merge(kind, amount, Long::sum);
     }
 
-    /** What was out of the ordinary, by kind. */
+    /** Irregularities found, by kind. */
     public Map<String, Long> counts() {
         return counts;
     }
@@ -189,20 +193,21 @@
         return flows.size() + pending.size();
     }
 
-    /** A port at which servers listen, for connections whose beginning is not in the capture. */
+    /** Adds a server port, which tells the client from the server if a connection's start is not in the capture. */
     public void addServerPort(int port) {
         serverPorts.add(port);
     }
 
     public void take(Segment segment) {
-        // Clocks that step back do not make gaps wait for ever, nor end them at once.
+        // The time used for timeouts never goes back, so that a clock step neither delays nor expires gaps.
         if (segment.at < nowNs) {
             count("time went back", 1);
         }
         nowNs = Math.max(nowNs, segment.at);
         expire();
         boolean isFromLower = segment.from.compareTo(segment.to) <= 0;
-        EndpointPair endpoints = isFromLower ? new EndpointPair(segment.from, segment.to) : new EndpointPair(segment.to, segment.from);
+        EndpointPair endpoints = isFromLower ? new EndpointPair(segment.from, segment.to)
+                : new EndpointPair(segment.to, segment.from);
         Flow flow = flows.get(endpoints);
         if (flow != null && isInitialSyn(segment) && startsNewConnection(flow, segment)) {
             close(flow, endpoints, End.REUSED);
@@ -222,8 +227,9 @@
     private void addPending(EndpointPair endpoints, Segment segment) {
         PendingConnection connection = pending.get(endpoints);
         boolean isSyn = segment.has(Segment.SYN);
-        if (connection != null && isInitialSyn(segment) && connection.syn != null && connection.syn.seq != segment.seq) {
-            // Another connection between the same ports, before the first one had an answer.
+        if (connection != null && isInitialSyn(segment) && connection.syn != null
+                && connection.syn.seq != segment.seq) {
+            // A new connection between the same ports, before the first one got its SYN-ACK.
             startFlow(endpoints, connection);
             take(segment);
             return;
@@ -245,7 +251,8 @@
         } else if (isSyn) {
             connection.syn = copy;
         }
-        if (connection.syn != null && connection.synAck != null || connection.segments.size() >= MAX_PENDING_SEGMENTS || segment.has(Segment.RST)) {
+        if (connection.syn != null && connection.synAck != null || connection.segments.size() >= MAX_PENDING_SEGMENTS
+                || segment.has(Segment.RST)) {
             startFlow(endpoints, connection);
         }
         while (!pending.isEmpty() && (pendingBytes > maxBufferedTotal || flows.size() + pending.size() > maxFlows)) {
@@ -268,7 +275,7 @@
         return copy;
     }
 
-    /** What has come of a connection is taken now, in the order of its sequence numbers where SYNs are missing. */
+    /** Processes the waiting segments; a direction whose SYN is missing starts at its lowest sequence number. */
     private void startFlow(EndpointPair endpoints, PendingConnection connection) {
         pending.remove(endpoints);
         pendingBytes -= connection.bytes;
@@ -278,7 +285,8 @@
         for (Segment segment : connection.segments) {
             Direction direction = segment.from.equals(flow.client) ? flow.fromClient : flow.fromServer;
             int begin = segment.seq + (segment.has(Segment.SYN) ? 1 : 0);
-            if (!direction.hasInitialSequence || segment.has(Segment.SYN) || (direction.isClient ? connection.syn : connection.synAck) == null
+            if (!direction.hasInitialSequence || segment.has(Segment.SYN)
+                    || (direction.isClient ? connection.syn : connection.synAck) == null
                     && begin - direction.initialSequence < 0 && direction.initialSequence - begin < 1 << 24) {
                 direction.setInitialSequence(begin);
             }
@@ -343,27 +351,29 @@
         releaseBlocked(flow);
         if (segment.has(Segment.FIN)) {
             long end = direction.offset(segment.seq) + segment.sent;
-            direction.endOffset = direction.endOffset < 0 ? end : Math.min(direction.endOffset, Math.max(end, direction.buffer.base()));
+            direction.endOffset = direction.endOffset < 0 ? end
+                    : Math.min(direction.endOffset, Math.max(end, direction.buffer.base()));
         }
         if (flow.fromClient.isAtEnd() && flow.fromServer.isAtEnd()) {
             close(flow, endpoints, End.CLOSED);
         }
     }
 
-    /** Whether a segment acknowledges what has not come; the end counts as a byte and need not be seen. */
+    /** Whether a segment acknowledges bytes not yet seen; the FIN's sequence number is not counted. */
     private static boolean acknowledgesMissing(Direction opposite, Segment segment) {
         if (!segment.has(Segment.ACK)) {
             return false;
         }
         long acknowledged = opposite.offset(segment.ack);
-        return opposite.buffer.base() < (opposite.endOffset >= 0 ? Math.min(acknowledged, opposite.endOffset) : acknowledged);
+        return opposite.buffer.base()
+                < (opposite.endOffset >= 0 ? Math.min(acknowledged, opposite.endOffset) : acknowledged);
     }
 
     private Direction opposite(Direction direction) {
         return direction.isClient ? direction.flow.fromServer : direction.flow.fromClient;
     }
 
-    /** Hands on what has waited for the other direction, as far as that has come. */
+    /** Delivers data that waited for the opposite direction, as far as that has advanced. */
     private void releaseBlocked(Flow flow) {
         boolean more = !flow.fromClient.blocked.isEmpty() || !flow.fromServer.blocked.isEmpty();
         while (more) {
@@ -388,7 +398,7 @@
         return isReleased;
     }
 
-    /** What the first that waits there waits for will not come. */
+    /** Stops waiting for the bytes that the first blocked segment acknowledges, and delivers that segment. */
     private void forceBlocked(Direction direction) {
         Direction opposite = opposite(direction);
         Segment segment = direction.blocked.stream().min((a, b) -> a.seq - b.seq).orElseThrow();
@@ -398,7 +408,7 @@
             abandonGap(opposite, "gaps that were acknowledged");
         }
         if (acknowledged - opposite.buffer.base() == 1) {
-            // An end that was not seen.
+            // Only the FIN was not seen.
             opposite.endOffset = opposite.endOffset < 0 ? opposite.buffer.base() : opposite.endOffset;
         } else if (acknowledged - opposite.buffer.base() > 1 && acknowledged - opposite.buffer.base() < 1 << 30) {
             emitHole(opposite, acknowledged);
@@ -416,10 +426,11 @@
         releaseBlocked(direction.flow);
     }
 
-    /** A SYN that begins another connection between the same ports, not the same one once more. */
+    /** Whether a SYN starts a new connection between the same ports, rather than being a retransmission. */
     private static boolean startsNewConnection(Flow flow, Segment segment) {
         Direction direction = segment.from.equals(flow.client) ? flow.fromClient : flow.fromServer;
-        return !direction.isClient || direction.hasInitialSequence && direction.offset(segment.seq + 1) != 0 || flow.fromClient.isAtEnd();
+        return !direction.isClient || direction.hasInitialSequence && direction.offset(segment.seq + 1) != 0
+                || flow.fromClient.isAtEnd();
     }
 
     private Flow open(Segment segment, boolean isSyn) {
@@ -460,7 +471,7 @@
             offset = base;
         }
         if (offset == base && direction.buffer.bufferedBytes() == 0) {
-            // The usual case: nothing is held, and what comes is next.
+            // The common case: nothing is buffered and the segment is next in order.
             byte[] bytes = Arrays.copyOfRange(segment.data, start, start + length);
             direction.buffer.advanceTo(offset + length);
             emitData(direction, bytes);
@@ -472,12 +483,13 @@
                 abandonGap(direction, "gaps beyond the bound");
             }
             if (direction.buffer.base() > base) {
-                // What was held has gone out, perhaps past where this begins: looked at anew. Found by a property test.
+                // Abandoning a gap delivered buffered bytes, perhaps beyond the start of this segment, so its offset is
+                // stale: process it anew.
                 processData(direction, segment, seq);
                 return;
             }
             if (!direction.buffer.fits(offset + length)) {
-                // Nothing is held, and the segment lies further on than anything may be held.
+                // Nothing is buffered, and the segment lies beyond the largest window.
                 emitHole(direction, offset);
             }
             int before = direction.buffer.bufferedBytes();
@@ -494,7 +506,7 @@
         }
     }
 
-    /** What a capture cut off a segment never comes: a hole as soon as it is next. */
+    /** Bytes cut off by the snap length never arrive: they become a hole as soon as they are next in order. */
     private void skipUncaptured(Direction direction, Segment segment, long offset) {
         long end = direction.offset(segment.seq) + segment.sent;
         if (segment.length < segment.sent && direction.buffer.bufferedBytes() == 0 && direction.buffer.base() < end
@@ -535,7 +547,7 @@
         events.add(out -> out.hole(direction.flow, direction.isClient, length, timestampNs));
     }
 
-    /** What is missing before the first run that is held will not come. */
+    /** Abandons the missing bytes before the first buffered run. */
     private void abandonGap(Direction direction, String reason) {
         count(reason, 1);
         emitHole(direction, direction.buffer.firstRunStart());
@@ -595,7 +607,7 @@
         events.add(out -> out.closed(flow, how, timestampNs));
     }
 
-    /** Nothing more comes: what is open ends here. */
+    /** Ends the capture and closes all open connections. */
     public void end() {
         for (Map.Entry<EndpointPair, PendingConnection> entry : new ArrayList<>(pending.entrySet())) {
             startFlow(entry.getKey(), entry.getValue());
@@ -605,7 +617,7 @@
         }
     }
 
-    /** Says one thing; false when there is nothing to say. */
+    /** Delivers one event; false if there is none. */
     public boolean next(Out listener) {
         Event event = events.poll();
         if (event == null) {
--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/tape/Recorder.java
@@ -22,22 +22,22 @@
 import org.tinylog.Logger;
 
 /**
- * Writes what an agent sends and receives into capture files. The agent's loop only copies bytes into a ring and goes
- * on; what does not fit there is left out, counted, and a hole in the record. A thread of its own makes packets of
- * them, compresses and writes. A disk that is full or fails ends the record, not the agent.
+ * Records the traffic of an agent in capture files. The agent's event loop only copies bytes into a ring buffer and
+ * never waits; data that does not fit is dropped, counted, and shows as a hole in the recording. A separate thread
+ * turns the bytes into packets, compresses and writes them. A full or failing disk ends the recording, not the agent.
  */
 public final class Recorder implements Tap, Counters.Group, AutoCloseable {
 
     private static final int OPENED = 1, ACCEPTED = 2, RECEIVED = 3, SENT = 4, CLOSED = 5;
     private static final long IDLE_PARK_NS = 2_000_000;
     private static final long CLOSE_TIMEOUT_MS = 5_000;
-    /** All written so far can be read again after a kill. */
+    /** The interval of flushes, after which written data can be read even if the process is killed. */
     private static final long FLUSH_INTERVAL_NS = 500_000_000L;
 
-    /** One connection, as the writing thread knows it. */
+    /** State of a connection on the writer thread. */
     private static final class RecordedConnection {
         boolean isAccepted;
-        /** Bytes in place so far that came, and that went. */
+        /** Stream offsets reached so far in each direction. */
         long received;
         long sent;
         Redactor sentRedactor;
@@ -46,7 +46,7 @@
         Address remote;
     }
 
-    /** Where a connection stands for the loop: bytes that came and went, those left out as well. */
+    /** Stream offsets of a connection on the event loop, including dropped bytes. */
     private static final class StreamOffsets {
         long received;
         long sent;
@@ -82,8 +82,9 @@
     private int nextFileNumber;
 
     /**
-     * Files of the folder begin with the name; a new one is begun after so many bytes before compression, or so many
-     * nanoseconds, and the oldest goes when there are too many. A mask hides keys and values; it may be null.
+     * File names in the folder begin with the name. A new file is started after the given number of bytes (before
+     * compression) or nanoseconds, and the oldest is deleted if there are too many. The mask hides keys and values; it
+     * may be null.
      */
     public Recorder(Path folder, String name, long maxFileBytes, long maxFileAgeNs, int maxFiles, int ringBytes, Mask mask)
             throws IOException {
@@ -122,7 +123,7 @@
         offer(isAccepted ? ACCEPTED : OPENED, connection, ByteBuffer.wrap(addresses));
     }
 
-    /** Before the bytes stands how many came before them, so that what was left out shows as missing. */
+    /** Prefixes the bytes with their stream offset, so that the writer thread notices dropped data. */
     @Override
     public void received(long connection, ByteBuffer data) {
         StreamOffsets streamOffsets = offsets.get(connection);
@@ -185,11 +186,11 @@
     private void fail(Exception e) {
         hasFailed = true;
         failed.incrementAndGet();
-        Logger.warn("the recording has ended: {}", String.valueOf(e.getMessage()));
+        Logger.warn("recording stopped after a write failure: {}", String.valueOf(e.getMessage()));
         try {
             writer.close();
         } catch (IOException closeFailure) {
-            Logger.debug(closeFailure, "already closed");
+            Logger.debug(closeFailure, "closing the capture file failed too");
         }
     }
 
@@ -214,7 +215,7 @@
 
     private void record(int kind, long connection, long timestampNs, ByteBuffer content) {
         records.incrementAndGet();
-        // The clock does not step back; a record that came late to the ring is no earlier than the last.
+        // Timestamps never go back: a record that reached the ring late gets the time of the last one.
         lastTimestampNs = Math.max(lastTimestampNs, timestampNs);
         try {
             switch (kind) {
@@ -240,7 +241,8 @@
             recorded.receivedRedactor = new Redactor(mask, isAccepted, true);
         }
         connections.put(connection, recorded);
-        synthesizer.opened(connection, isAccepted ? recorded.remote : recorded.local, isAccepted ? recorded.local : recorded.remote, true, lastTimestampNs);
+        synthesizer.opened(connection, isAccepted ? recorded.remote : recorded.local,
+                isAccepted ? recorded.local : recorded.remote, true, lastTimestampNs);
     }
 
     private static Address address(String text) {
@@ -301,7 +303,7 @@
         counters.count("ended by a fault", failed.get());
     }
 
-    /** Writes what is in the ring and ends the last file. */
+    /** Writes the remaining records in the ring buffer and closes the last file. */
     @Override
     public void close() {
         isClosing = true;
--- a/src/main/java/honeygap/capture/tape/Ring.java
+++ b/src/main/java/honeygap/capture/tape/Ring.java
@@ -5,12 +5,12 @@
 import java.nio.ByteBuffer;
 
 /**
- * Bytes from one thread to another, in records, in room of a fixed size. Whoever puts in never waits: a record that
- * does not fit is left out. One thread puts, one takes.
+ * A fixed-size ring buffer that passes records of bytes from one producer thread to one consumer thread. The producer
+ * never waits: a record that does not fit is rejected.
  */
 public final class Ring {
 
-    /** Length, kind, connection, time. */
+    /** Length, kind, connection, timestamp. */
     private static final int RECORD_HEADER_BYTES = 4 + 4 + 8 + 8;
     private static final VarHandle TAKEN;
     private static final VarHandle PUT;
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Hears one record; the bytes are good until it comes back. */
+    /** Receives a record; the bytes are valid only during the call. */
     public interface Reader {
 
         void record(int kind, long connection, long at, ByteBuffer bytes);
@@ -33,22 +33,22 @@
     private final ByteBuffer buffer;
     private final int size;
     private final int mask;
-    /** Bytes ever put in and taken out. */
+    /** Total bytes written and read so far; accessed through the var handles. */
     @SuppressWarnings("unused")
     private volatile long put;
     @SuppressWarnings("unused")
     private volatile long taken;
-    /** What the putting thread last knew of the other. */
+    /** The producer's last view of {@link #taken}, which saves it most volatile reads. */
     private long cachedTaken;
 
-    /** Room for so many bytes, a power of two. */
+    /** The size is rounded down to a power of two, but at least 1024. */
     public Ring(int size) {
         this.size = Integer.highestOneBit(Math.max(1 << 10, size));
         mask = this.size - 1;
         buffer = ByteBuffer.allocate(this.size);
     }
 
-    /** Puts a record in; the buffers stay as they are. False where it does not fit. */
+    /** Appends a record and leaves the positions of the buffers unchanged; false if it does not fit. */
     public boolean offer(int kind, long connection, long timestampNs, ByteBuffer... parts) {
         int length = 0;
         for (ByteBuffer part : parts) {
@@ -57,7 +57,7 @@
         int recordBytes = RECORD_HEADER_BYTES + length + 7 & ~7;
         long start = (long) PUT.get(this);
         int index = (int) (start & mask);
-        // A record stands in one piece: the rest of the room is left out where it is too short for it.
+        // A record is stored contiguously: the end of the buffer is skipped if it is too short.
         int skipped = index + recordBytes > size ? size - index : 0;
         if (recordBytes > size || start + skipped + recordBytes - cachedTaken > size) {
             cachedTaken = (long) TAKEN.getAcquire(this);
@@ -84,7 +84,7 @@
         return true;
     }
 
-    /** Takes all records that are there out, in order; how many. */
+    /** Removes all available records in order; returns their number. */
     public int drain(Reader reader) {
         long position = (long) TAKEN.get(this);
         long end = (long) PUT.getAcquire(this);
