--- a/src/main/java/honeygap/capture/file/CaptureInput.java
+++ b/src/main/java/honeygap/capture/file/CaptureInput.java
@@ -113,7 +113,8 @@
                 isTruncated = true;
                 return false;
             }
-            throw isCompressed ? new Spoilt(name, bufferEndOffset, "compression", "invalid compressed data: " + e.getMessage()) : e;
+            throw isCompressed ? new Spoilt(name, bufferEndOffset, "compression",
+                        "invalid compressed data: " + e.getMessage()) : e;
         }
         if (count <= 0) {
             isTruncated |= isZstd && !raw.frames.isAtFrameBoundary();
@@ -123,7 +124,8 @@
         limit = count;
         bufferEndOffset += count;
         if (isCompressed && bufferEndOffset > EXPANSION_CHECK_BYTES && bufferEndOffset / MAX_EXPANSION > raw.count) {
-            throw new Spoilt(name, bufferEndOffset, "bomb", "decompresses to more than " + MAX_EXPANSION + " times its size");
+            throw new Spoilt(name, bufferEndOffset, "bomb",
+                    "decompresses to more than " + MAX_EXPANSION + " times its size");
         }
         return true;
     }
--- a/src/main/java/honeygap/capture/file/CaptureReader.java
+++ b/src/main/java/honeygap/capture/file/CaptureReader.java
@@ -26,7 +26,8 @@
     private static final int PCAP_MAGIC_NANOS = 0xa1b23c4d;
     private static final int SECTION_HEADER_BLOCK = 0x0a0d0d0a;
     private static final int BYTE_ORDER_MAGIC = 0x1a2b3c4d;
-    private static final int INTERFACE_BLOCK = 1, OBSOLETE_PACKET_BLOCK = 2, SIMPLE_PACKET_BLOCK = 3, ENHANCED_PACKET_BLOCK = 6;
+    private static final int INTERFACE_BLOCK = 1, OBSOLETE_PACKET_BLOCK = 2, SIMPLE_PACKET_BLOCK = 3,
+            ENHANCED_PACKET_BLOCK = 6;
     private static final int OPTION_TIME_RESOLUTION = 9, OPTION_TIME_OFFSET = 14;
 
     /** A pcapng interface description, or the values of a pcap file header. */
@@ -77,11 +78,14 @@
             return;
         }
         int littleEndian = Integer.reverseBytes(bigEndian);
-        if (bigEndian != PCAP_MAGIC_MICROS && bigEndian != PCAP_MAGIC_NANOS && littleEndian != PCAP_MAGIC_MICROS && littleEndian != PCAP_MAGIC_NANOS) {
+        if (bigEndian != PCAP_MAGIC_MICROS && bigEndian != PCAP_MAGIC_NANOS
+                && littleEndian != PCAP_MAGIC_MICROS && littleEndian != PCAP_MAGIC_NANOS) {
             throw new Spoilt(input.name, 0, "not a capture", "neither pcap nor pcapng");
         }
-        byteOrder = bigEndian == PCAP_MAGIC_MICROS || bigEndian == PCAP_MAGIC_NANOS ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN;
-        pcapInterface.ticksPerSecond = bigEndian == PCAP_MAGIC_NANOS || littleEndian == PCAP_MAGIC_NANOS ? 1_000_000_000 : 1_000_000;
+        byteOrder = bigEndian == PCAP_MAGIC_MICROS || bigEndian == PCAP_MAGIC_NANOS ? ByteOrder.BIG_ENDIAN
+                : ByteOrder.LITTLE_ENDIAN;
+        pcapInterface.ticksPerSecond = bigEndian == PCAP_MAGIC_NANOS || littleEndian == PCAP_MAGIC_NANOS
+                ? 1_000_000_000 : 1_000_000;
         if (input.read(buffer, 0, 20) < 20) {
             truncation = "the file header is cut off";
             isAtEnd = true;
@@ -153,7 +157,8 @@
             return false;
         }
         long fraction = header.getInt(4) & 0xffffffffL;
-        packet.at = timestampNs(pcapInterface, (header.getInt(0) & 0xffffffffL) * pcapInterface.ticksPerSecond + fraction);
+        packet.at = timestampNs(pcapInterface,
+                (header.getInt(0) & 0xffffffffL) * pcapInterface.ticksPerSecond + fraction);
         packet.link = pcapInterface.linkType;
         return true;
     }
@@ -175,7 +180,8 @@
     private static long timestampNs(InterfaceDescription description, long ticks) {
         long seconds = Math.floorDiv(ticks, description.ticksPerSecond);
         long fraction = Math.floorMod(ticks, description.ticksPerSecond);
-        long nanos = description.ticksPerSecond <= 1_000_000_000L ? fraction * (1_000_000_000L / description.ticksPerSecond)
+        long nanos = description.ticksPerSecond <= 1_000_000_000L
+                ? fraction * (1_000_000_000L / description.ticksPerSecond)
                 : (long) (fraction * (1e9 / description.ticksPerSecond));
         return (seconds + description.offsetSeconds) * 1_000_000_000L + nanos;
     }
@@ -245,7 +251,8 @@
             int length = wrap(4).getInt(0);
             checkLength(packet.fileOffset, length, 12);
             int remaining = length - 8;
-            if (type != INTERFACE_BLOCK && type != ENHANCED_PACKET_BLOCK && type != SIMPLE_PACKET_BLOCK && type != OBSOLETE_PACKET_BLOCK) {
+            if (type != INTERFACE_BLOCK && type != ENHANCED_PACKET_BLOCK && type != SIMPLE_PACKET_BLOCK
+                    && type != OBSOLETE_PACKET_BLOCK) {
                 if (!input.skip(remaining)) {
                     truncation = "a block is cut off";
                     return false;
@@ -269,7 +276,8 @@
 
     private void readInterface(long blockOffset, int length) throws Spoilt {
         if (length < 8 || interfaces.size() >= MAX_INTERFACES) {
-            throw new Spoilt(input.name, blockOffset, "interface", "incomplete interface description, or too many interfaces");
+            throw new Spoilt(input.name, blockOffset, "interface",
+                    "incomplete interface description, or too many interfaces");
         }
         ByteBuffer body = wrap(length);
         InterfaceDescription description = new InterfaceDescription();
@@ -294,7 +302,8 @@
             position += size + 3 & ~3;
         }
         if (Math.abs(description.offsetSeconds) > 1L << 33) {
-            throw new Spoilt(input.name, blockOffset, "option", "unsupported time offset of " + description.offsetSeconds + " s");
+            throw new Spoilt(input.name, blockOffset, "option",
+                    "unsupported time offset of " + description.offsetSeconds + " s");
         }
         interfaces.add(description);
     }
@@ -303,7 +312,8 @@
         int exponent = resolution & 0x7f;
         boolean isBinary = resolution > 0x7f;
         if (exponent > (isBinary ? 62 : 18)) {
-            throw new Spoilt(input.name, blockOffset, "option", "unsupported time resolution: 10 or 2 to the power of -" + exponent);
+            throw new Spoilt(input.name, blockOffset, "option",
+                    "unsupported time resolution: 10 or 2 to the power of -" + exponent);
         }
         long ticks = 1;
         for (int i = 0; i < exponent; i++) {
@@ -318,14 +328,17 @@
         if (length < headerLength) {
             throw new Spoilt(input.name, packet.fileOffset, "length", "a packet block of " + length + " bytes");
         }
-        int interfaceNumber = type == SIMPLE_PACKET_BLOCK ? 0 : type == ENHANCED_PACKET_BLOCK ? body.getInt(0) : body.getShort(0) & 0xffff;
+        int interfaceNumber = type == SIMPLE_PACKET_BLOCK ? 0
+                : type == ENHANCED_PACKET_BLOCK ? body.getInt(0) : body.getShort(0) & 0xffff;
         if (interfaceNumber < 0 || interfaceNumber >= interfaces.size()) {
-            throw new Spoilt(input.name, packet.fileOffset, "interface", "undefined interface " + (interfaceNumber & 0xffffffffL)
+            throw new Spoilt(input.name, packet.fileOffset, "interface",
+                    "undefined interface " + (interfaceNumber & 0xffffffffL)
                     + " in its section");
         }
         InterfaceDescription description = interfaces.get(interfaceNumber);
         int originalLength = body.getInt(type == SIMPLE_PACKET_BLOCK ? 0 : 16);
-        int captured = type == SIMPLE_PACKET_BLOCK ? Math.min(originalLength < 0 ? Integer.MAX_VALUE : originalLength, length - headerLength)
+        int captured = type == SIMPLE_PACKET_BLOCK
+                ? Math.min(originalLength < 0 ? Integer.MAX_VALUE : originalLength, length - headerLength)
                 : body.getInt(12);
         if (type == SIMPLE_PACKET_BLOCK && description.snapLength > 0) {
             captured = Math.min(captured, description.snapLength);
--- a/src/main/java/honeygap/capture/file/Strict.java
+++ b/src/main/java/honeygap/capture/file/Strict.java
@@ -156,7 +156,8 @@
         }
         String sender = java.util.HexFormat.of().formatHex(ip, addresses, addresses + (headerLength - addresses) / 2)
                 + ":" + bigEndian(ip, headerLength, 2);
-        String receiver = java.util.HexFormat.of().formatHex(ip, addresses + (headerLength - addresses) / 2, headerLength)
+        String receiver = java.util.HexFormat.of().formatHex(ip,
+                addresses + (headerLength - addresses) / 2, headerLength)
                 + ":" + bigEndian(ip, headerLength + 2, 2);
         int flags = ip[headerLength + 13];
         long seq = bigEndian(ip, headerLength + 4, 4);
@@ -174,7 +175,8 @@
         Long acknowledged = nextSequence.get(receiver + sender);
         if ((flags & 16) != 0 && acknowledged != null && acknowledged != bigEndian(ip, headerLength + 8, 4)
                 && (acknowledged - bigEndian(ip, headerLength + 8, 4) & 0xffffffffL) < 1L << 31) {
-            addFault("acknowledges " + bigEndian(ip, headerLength + 8, 4) + " where the other side is at " + acknowledged);
+            addFault("acknowledges " + bigEndian(ip, headerLength + 8, 4)
+                    + " where the other side is at " + acknowledged);
         }
         nextSequence.put(sender + receiver, seq + payloadLength + (isSyn || (flags & 1) != 0 ? 1 : 0) & 0xffffffffL);
         if ((flags & 4) != 0) {
--- a/src/main/java/honeygap/capture/file/Synthesis.java
+++ b/src/main/java/honeygap/capture/file/Synthesis.java
@@ -54,7 +54,8 @@
     }
 
     /** Opens a connection; writes the TCP handshake if its start was seen. */
-    public void opened(long number, Address client, Address server, boolean isFromStart, long timestampNs) throws IOException {
+    public void opened(long number, Address client, Address server, boolean isFromStart, long timestampNs)
+            throws IOException {
         int seed = (int) (number * 0x9e3779b9L) ^ client.port() << 16 ^ server.port();
         Flow flow = new Flow(client, server, seed, seed * 31 + 17);
         flows.put(number, flow);
@@ -67,7 +68,8 @@
         }
     }
 
-    public void data(long number, boolean isClient, byte[] bytes, int start, int length, long timestampNs) throws IOException {
+    public void data(long number, boolean isClient, byte[] bytes, int start, int length, long timestampNs)
+            throws IOException {
         Flow flow = flows.get(number);
         if (flow == null) {
             return;
@@ -75,8 +77,8 @@
         for (int done = 0; done < length;) {
             int segmentLength = Math.min(MAX_SEGMENT_BYTES, length - done);
             done += segmentLength;
-            write(flow, isClient, Segment.ACK | (done == length ? Segment.PSH : 0), bytes, start + done - segmentLength, segmentLength,
-                    timestampNs);
+            write(flow, isClient, Segment.ACK | (done == length ? Segment.PSH : 0), bytes,
+                    start + done - segmentLength, segmentLength, timestampNs);
             if (isClient) {
                 flow.clientSequence += segmentLength;
             } else {
@@ -146,7 +148,8 @@
         put16(ipHeaderLength, from.port());
         put16(ipHeaderLength + 2, to.port());
         put32(ipHeaderLength + 4, isClient ? flow.clientSequence : flow.serverSequence);
-        put32(ipHeaderLength + 8, (flags & Segment.ACK) == 0 ? 0 : isClient ? flow.serverSequence : flow.clientSequence);
+        put32(ipHeaderLength + 8, (flags & Segment.ACK) == 0 ? 0
+                : isClient ? flow.serverSequence : flow.clientSequence);
         data[ipHeaderLength + 12] = 0x50;
         data[ipHeaderLength + 13] = (byte) flags;
         put16(ipHeaderLength + 14, WINDOW_BYTES);
--- a/src/main/java/honeygap/capture/file/ZstdFrameTracker.java
+++ b/src/main/java/honeygap/capture/file/ZstdFrameTracker.java
@@ -9,7 +9,9 @@
     private static final int MAGIC = 0xfd2fb528;
     private static final int SKIPPABLE_MAGIC = 0x184d2a50;
 
-    private enum Field { MAGIC, DESCRIPTOR, HEADER_REST, BLOCK_HEADER, BLOCK_CONTENT, CHECKSUM, SKIPPABLE_SIZE, SKIPPABLE_CONTENT, UNKNOWN }
+    private enum Field {
+        MAGIC, DESCRIPTOR, HEADER_REST, BLOCK_HEADER, BLOCK_CONTENT, CHECKSUM, SKIPPABLE_SIZE, SKIPPABLE_CONTENT, UNKNOWN
+    }
 
     private Field field = Field.MAGIC;
     /** Bytes of the current field still to come, and its little-endian value so far. */
@@ -28,7 +30,8 @@
         int at = from;
         int end = from + length;
         while (at < end && field != Field.UNKNOWN) {
-            if (field == Field.BLOCK_CONTENT || field == Field.SKIPPABLE_CONTENT || field == Field.HEADER_REST || field == Field.CHECKSUM) {
+            if (field == Field.BLOCK_CONTENT || field == Field.SKIPPABLE_CONTENT || field == Field.HEADER_REST
+                    || field == Field.CHECKSUM) {
                 long step = Math.min(remaining, end - at);
                 at += (int) step;
                 remaining -= step;
--- a/src/main/java/honeygap/capture/packet/Decoder.java
+++ b/src/main/java/honeygap/capture/packet/Decoder.java
@@ -13,8 +13,8 @@
  */
 public final class Decoder {
 
-    private static final int ETHERNET = 1, NULL = 0, LOOP = 108, LINUX_SLL = 113, LINUX_SLL2 = 276, RAW = 101, RAW_12 = 12,
-            RAW_14 = 14, IPV4 = 228, IPV6 = 229;
+    private static final int ETHERNET = 1, NULL = 0, LOOP = 108, LINUX_SLL = 113, LINUX_SLL2 = 276,
+            RAW = 101, RAW_12 = 12, RAW_14 = 14, IPV4 = 228, IPV6 = 229;
     private static final int ETHERTYPE_IPV4 = 0x0800, ETHERTYPE_IPV6 = 0x86dd;
     private static final int MAX_VLAN_TAGS = 4;
     private static final int MAX_EXTENSION_HEADERS = 8;
@@ -56,7 +56,8 @@
         }
 
         boolean isComplete() {
-            return length >= 0 && ranges.size() == 1 && ranges.firstKey() == 0 && ranges.firstEntry().getValue() >= length;
+            return length >= 0 && ranges.size() == 1 && ranges.firstKey() == 0
+                    && ranges.firstEntry().getValue() >= length;
         }
     }
 
@@ -179,10 +180,13 @@
         Address to = Address.four(i32(offset + 16), 0);
         if ((fragment & 0x3fff) != 0) {
             FragmentKey id = new FragmentKey(0, from.low(), 0, to.low(), u16(offset + 4), protocol);
-            return addFragment(segment, id, from, to, offset + headerLength, datagramLength - headerLength, 8 * (fragment & 0x1fff),
+            return addFragment(segment, id, from, to, offset + headerLength,
+                    datagramLength - headerLength, 8 * (fragment & 0x1fff),
                     (fragment & 0x2000) == 0, protocol);
         }
-        return protocol == PROTOCOL_TCP ? decodeTcp(segment, from, to, offset + headerLength, datagramLength - headerLength) : skip("not TCP");
+        return protocol == PROTOCOL_TCP
+                ? decodeTcp(segment, from, to, offset + headerLength, datagramLength - headerLength)
+                : skip("not TCP");
     }
 
     private boolean decodeIpv6(Segment segment, int headerOffset) {
@@ -225,8 +229,8 @@
         return skip("too many extensions");
     }
 
-    private boolean addFragment(Segment segment, FragmentKey id, Address from, Address to, int dataOffset, int length, int offset,
-                             boolean isLast, int protocol) {
+    private boolean addFragment(Segment segment, FragmentKey id, Address from, Address to, int dataOffset, int length,
+                                int offset, boolean isLast, int protocol) {
         fragmented.values().removeIf(old -> packetTimestampNs - old.firstFragmentNs > FRAGMENT_TIMEOUT_NS);
         if (dataOffset + length > end || length <= 0 || offset + length > MAX_DATAGRAM_BYTES) {
             return skip("bad fragment");
--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/tape/Recorder.java
@@ -86,8 +86,8 @@
      * compression) or nanoseconds, and the oldest is deleted if there are too many. The mask hides keys and values; it
      * may be null.
      */
-    public Recorder(Path folder, String name, long maxFileBytes, long maxFileAgeNs, int maxFiles, int ringBytes, Mask mask)
-            throws IOException {
+    public Recorder(Path folder, String name, long maxFileBytes, long maxFileAgeNs, int maxFiles, int ringBytes,
+            Mask mask) throws IOException {
         this.folder = folder;
         this.name = name;
         this.maxFileBytes = maxFileBytes;
@@ -186,7 +186,7 @@
     private void fail(Exception e) {
         hasFailed = true;
         failed.incrementAndGet();
-        Logger.warn("recording stopped after a write failure: {}", String.valueOf(e.getMessage()));
+        Logger.warn("recording stopped after an error: {}", String.valueOf(e.getMessage()));
         try {
             writer.close();
         } catch (IOException closeFailure) {
