--- a/src/main/java/honeygap/capture/file/CaptureInput.java
+++ b/src/main/java/honeygap/capture/file/CaptureInput.java
@@ -50,18 +50,18 @@
 
         @Override
         public int read() throws IOException {
-            int one = super.read();
-            count += one < 0 ? 0 : 1;
-            frames.feed(new byte[] {(byte) one}, 0, one < 0 ? 0 : 1);
-            return one;
+            int value = super.read();
+            count += value < 0 ? 0 : 1;
+            frames.feed(new byte[] {(byte) value}, 0, value < 0 ? 0 : 1);
+            return value;
         }
 
         @Override
         public int read(byte[] bytes, int from, int length) throws IOException {
-            int many = super.read(bytes, from, length);
-            count += Math.max(0, many);
-            frames.feed(bytes, from, Math.max(0, many));
-            return many;
+            int bytesRead = super.read(bytes, from, length);
+            count += Math.max(0, bytesRead);
+            frames.feed(bytes, from, Math.max(0, bytesRead));
+            return bytesRead;
         }
     }
 
--- a/src/main/java/honeygap/capture/packet/Decoder.java
+++ b/src/main/java/honeygap/capture/packet/Decoder.java
@@ -37,8 +37,8 @@
             this.firstFragmentNs = firstFragmentNs;
         }
 
-        void add(byte[] from, int at, int offset, int length, boolean isLast) {
-            System.arraycopy(from, at, data, offset, length);
+        void add(byte[] from, int sourceIndex, int offset, int length, boolean isLast) {
+            System.arraycopy(from, sourceIndex, data, offset, length);
             int begin = offset;
             int end = offset + length;
             Map.Entry<Integer, Integer> before = ranges.floorEntry(begin);
@@ -102,20 +102,20 @@
         return skipped;
     }
 
-    private int u8(int at) {
-        return data[at] & 0xff;
+    private int u8(int offset) {
+        return data[offset] & 0xff;
     }
 
-    private int u16(int at) {
-        return (data[at] & 0xff) << 8 | data[at + 1] & 0xff;
+    private int u16(int offset) {
+        return (data[offset] & 0xff) << 8 | data[offset + 1] & 0xff;
     }
 
-    private int i32(int at) {
-        return u16(at) << 16 | u16(at + 2);
+    private int i32(int offset) {
+        return u16(offset) << 16 | u16(offset + 2);
     }
 
-    private long i64(int at) {
-        return (long) i32(at) << 32 | i32(at + 4) & 0xffffffffL;
+    private long i64(int offset) {
+        return (long) i32(offset) << 32 | i32(offset + 4) & 0xffffffffL;
     }
 
     private boolean decodeEthernet(Segment segment) {
@@ -197,32 +197,32 @@
         int next = u8(headerOffset + 6);
         Address from = new Address(true, i64(headerOffset + 8), i64(headerOffset + 16), 0);
         Address to = new Address(true, i64(headerOffset + 24), i64(headerOffset + 32), 0);
-        int at = headerOffset + 40;
-        int remaining = payloadLength == 0 ? end - at : payloadLength;
+        int offset = headerOffset + 40;
+        int remaining = payloadLength == 0 ? end - offset : payloadLength;
         for (int i = 0; i < MAX_EXTENSION_HEADERS; i++) {
             if (next == PROTOCOL_TCP) {
-                return decodeTcp(segment, from, to, at, remaining);
+                return decodeTcp(segment, from, to, offset, remaining);
             }
-            boolean isKnown = next == 0 || next == 43 || next == 60 || next == 44 || next == 51;
-            if (!isKnown) {
+            boolean isSkippable = next == 0 || next == 43 || next == 60 || next == 44 || next == 51;
+            if (!isSkippable) {
                 return skip("not TCP");
             }
-            if (at + 8 > end || remaining < 8) {
+            if (offset + 8 > end || remaining < 8) {
                 return skip("cut off");
             }
-            int length = next == 44 ? 8 : next == 51 ? 4 * (u8(at + 1) + 2) : 8 * (u8(at + 1) + 1);
+            int length = next == 44 ? 8 : next == 51 ? 4 * (u8(offset + 1) + 2) : 8 * (u8(offset + 1) + 1);
             if (next == 44) {
-                int offset = u16(at + 2);
-                if ((offset & 0xfff9) != 0) {
-                    FragmentKey id = new FragmentKey(from.high(), from.low(), to.high(), to.low(), i32(at + 4), u8(at));
-                    return addFragment(segment, id, from, to, at + 8, remaining - 8, offset & 0xfff8, (offset & 1) == 0,
-                            u8(at));
+                int fragmentField = u16(offset + 2);
+                if ((fragmentField & 0xfff9) != 0) {
+                    FragmentKey id = new FragmentKey(from.high(), from.low(), to.high(), to.low(), i32(offset + 4), u8(offset));
+                    return addFragment(segment, id, from, to, offset + 8, remaining - 8, fragmentField & 0xfff8, (fragmentField & 1) == 0,
+                            u8(offset));
                 }
             }
-            next = u8(at);
-            at += length;
+            next = u8(offset);
+            offset += length;
             remaining -= length;
-            if (remaining < 0 || at > end) {
+            if (remaining < 0 || offset > end) {
                 return skip("bad head of IP");
             }
         }
--- a/src/main/java/honeygap/capture/stream/Reassembly.java
+++ b/src/main/java/honeygap/capture/stream/Reassembly.java
@@ -36,15 +36,15 @@
     /** Receives the events of the reassembly, one a call. */
     public interface Out {
 
-        void opened(Flow flow, long at);
+        void opened(Flow flow, long timestampNs);
 
         /** The next bytes in order, sent by the client or by the server. */
-        void data(Flow flow, boolean isClient, byte[] bytes, long at);
+        void data(Flow flow, boolean isClient, byte[] bytes, long timestampNs);
 
         /** Bytes that are missing and were abandoned. */
-        void hole(Flow flow, boolean isClient, long length, long at);
+        void hole(Flow flow, boolean isClient, long length, long timestampNs);
 
-        void closed(Flow flow, End how, long at);
+        void closed(Flow flow, End end, long timestampNs);
     }
 
     /** One direction of a connection. */
@@ -444,8 +444,8 @@
         } else {
             count("joined midway", 1);
         }
-        long at = nowNs;
-        events.add(out -> out.opened(flow, at));
+        long timestampNs = nowNs;
+        events.add(out -> out.opened(flow, timestampNs));
         return flow;
     }
 
--- a/src/main/java/honeygap/capture/tape/Ring.java
+++ b/src/main/java/honeygap/capture/tape/Ring.java
@@ -27,7 +27,7 @@
     /** Receives a record; the bytes are valid only during the call. */
     public interface Reader {
 
-        void record(int kind, long connection, long at, ByteBuffer bytes);
+        void record(int kind, long connection, long timestampNs, ByteBuffer bytes);
     }
 
     private final ByteBuffer buffer;
--- a/src/test/java/honeygap/capture/StreamsTest.java
+++ b/src/test/java/honeygap/capture/StreamsTest.java
@@ -35,20 +35,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Segments made into streams, and streams into RPCs, whatever happens to the packets on the way. */
+/** Reassembly of TCP segments into streams and of streams into RPCs, with reordered, duplicated and lost packets. */
 class StreamsTest {
 
     private static final Address CLIENT = Address.four(0x0a000002, 40_000);
 
-    /** What came of segments: bytes by direction, with holes as marks, and the ends. */
-    private static final class Heard implements Reassembly.Out {
+    /** Logs the bytes of each direction, and the opening, holes and end of connections. */
+    private static final class EventLog implements Reassembly.Out {
 
         final Map<String, ByteArrayOutputStream> bytes = new TreeMap<>();
-        final StringBuilder words = new StringBuilder();
+        final StringBuilder events = new StringBuilder();
 
         @Override
         public void opened(Reassembly.Flow flow, long at) {
-            words.append("open ");
+            events.append("open ");
         }
 
         @Override
@@ -59,15 +59,15 @@
 
         @Override
         public void hole(Reassembly.Flow flow, boolean isClient, long length, long at) {
-            words.append("hole").append(length).append(' ');
+            events.append("hole").append(length).append(' ');
         }
 
         @Override
         public void closed(Reassembly.Flow flow, Reassembly.End how, long at) {
-            words.append(how).append(' ');
+            events.append(how).append(' ');
         }
 
-        String up() {
+        String clientStream() {
             return bytes.containsKey("1up") ? bytes.get("1up").toString(StandardCharsets.ISO_8859_1) : "";
         }
     }
@@ -90,8 +90,9 @@
     }
 
     /**
-     * Segments of one client, as place:data with marks: S begins, F ends, R resets, + so many seconds later. What
-     * the stream is, and what was said of it.
+     * Segments of one client as offset:data, or S for SYN, T for the SYN of another connection, F and R with an offset
+     * for FIN and RST, + to advance the time in seconds; then the expected stream and events. Runs also with sequence
+     * numbers that wrap.
      */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
@@ -102,105 +103,107 @@
         "S 0:ab R2|ab|open RESET", "S 0:ab 4:ef R6|abef|open hole2 RESET", "S 0:ab F2 2:zz|ab|open CUT",
         "S 0:ab +9000 0:|ab|open SILENT", "S 0:ab S 0:ab|ab|open CUT", "S 0:ab T 1000:cd|ab|open REUSED open CUT",
         "S 4:ef 1:bcd 0:a|abcdef|open CUT", "S 0:a 2:c 4:e 1:b 3:d|abcde|open CUT"})
-    void segments(String sends, String stream, String words) {
-        for (long zero : new long[] {1000, 0xfffffffdL}) {
+    void segments(String sends, String stream, String events) {
+        for (long initialSequence : new long[] {1000, 0xfffffffdL}) {
             Reassembly reassembly = new Reassembly();
-            Heard heard = new Heard();
+            EventLog log = new EventLog();
             long at = 0;
             for (String send : sends.split(" ")) {
                 Segment segment;
                 if (send.startsWith("S")) {
-                    segment = segment(true, zero - 1, "", Segment.SYN);
+                    segment = segment(true, initialSequence - 1, "", Segment.SYN);
                 } else if (send.startsWith("T")) {
-                    segment = segment(true, zero + 999, "", Segment.SYN);
+                    segment = segment(true, initialSequence + 999, "", Segment.SYN);
                 } else if (send.startsWith("F")) {
-                    segment = segment(true, zero + Integer.parseInt(send.substring(1)), "", Segment.FIN | Segment.ACK);
+                    segment = segment(true, initialSequence + Integer.parseInt(send.substring(1)), "",
+                            Segment.FIN | Segment.ACK);
                 } else if (send.startsWith("R")) {
-                    segment = segment(true, zero + Integer.parseInt(send.substring(1)), "", Segment.RST);
+                    segment = segment(true, initialSequence + Integer.parseInt(send.substring(1)), "", Segment.RST);
                 } else if (send.startsWith("+")) {
                     at += Long.parseLong(send.substring(1)) * 1_000_000_000L;
                     continue;
                 } else {
                     String[] parts = send.split(":", -1);
-                    segment = segment(true, zero + Integer.parseInt(parts[0]), parts[1], Segment.ACK);
+                    segment = segment(true, initialSequence + Integer.parseInt(parts[0]), parts[1], Segment.ACK);
                 }
                 segment.at = at;
                 reassembly.take(segment);
-                drain(reassembly, heard);
+                drain(reassembly, log);
             }
             reassembly.end();
-            drain(reassembly, heard);
-            assertEquals(stream, heard.up(), "from " + zero);
-            assertEquals(words + (words.endsWith("open") ? " CUT" : ""), heard.words.toString().strip());
+            drain(reassembly, log);
+            assertEquals(stream, log.clientStream(), "from " + initialSequence);
+            assertEquals(events + (events.endsWith("open") ? " CUT" : ""), log.events.toString().strip());
             assertEquals(0, reassembly.held());
             assertEquals(0, reassembly.flows());
         }
     }
 
-    /** Bounds: a direction's own first gap goes, then the oldest anywhere; the connection silent longest. */
+    /** Over the limits, a direction's first gap or the oldest gap is abandoned and the longest idle connection closed. */
     @Test
-    void bounds() {
+    void limits() {
         Reassembly reassembly = new Reassembly(1024, 3000, 3, 1L << 60, 1L << 60);
-        Heard heard = new Heard();
+        EventLog log = new EventLog();
         for (int i = 0; i < 5; i++) {
             Segment syn = segment(true, 0, "", Segment.SYN);
             syn.from = Address.four(1, 100 + i);
             reassembly.take(syn);
-            Segment answer = segment(false, 500, "", Segment.SYN | Segment.ACK);
-            answer.to = syn.from;
-            reassembly.take(answer);
+            Segment synAck = segment(false, 500, "", Segment.SYN | Segment.ACK);
+            synAck.to = syn.from;
+            reassembly.take(synAck);
             for (int at = 10; at < 3000; at += 500) {
                 Segment data = segment(true, at, "x".repeat(400), Segment.ACK);
                 data.from = syn.from;
                 reassembly.take(data);
-                assertTrue(reassembly.held() <= 3000, "held " + reassembly.held());
+                assertTrue(reassembly.held() <= 3000, "buffered " + reassembly.held());
             }
         }
-        drain(reassembly, heard);
+        drain(reassembly, log);
         assertEquals(3, reassembly.flows());
-        assertEquals(2, heard.words.toString().split("CROWDED", -1).length - 1);
+        assertEquals(2, log.events.toString().split("CROWDED", -1).length - 1);
         assertTrue(reassembly.counts().containsKey("gaps beyond the bound"));
     }
 
-    /** The store of pieces against plain bytes: the first value stays, runs never touch, all comes out in order. */
+    /** The reassembly buffer against a plain array: the first value wins, runs never touch, bytes leave in order. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void pieces(long seed) {
+    void reassemblyBuffer(long seed) {
         Random random = new Random(seed);
         byte[] plain = new byte[20_000];
-        boolean[] there = new boolean[plain.length];
-        Pieces pieces = new Pieces(8192);
-        int taken = 0;
-        for (int step = 0; step < 20_000 && taken < plain.length - 1; step++) {
-            int at = taken + random.nextInt(Math.min(3000, plain.length - taken));
+        boolean[] isBuffered = new boolean[plain.length];
+        Pieces buffer = new Pieces(8192);
+        int removed = 0;
+        for (int step = 0; step < 20_000 && removed < plain.length - 1; step++) {
+            int at = removed + random.nextInt(Math.min(3000, plain.length - removed));
             byte[] data = new byte[Math.min(plain.length - at, random.nextInt(200))];
             random.nextBytes(data);
             int differing = 0;
             for (int i = 0; i < data.length; i++) {
-                differing += there[at + i] && plain[at + i] != data[i] ? 1 : 0;
-                plain[at + i] = there[at + i] ? plain[at + i] : data[i];
-                there[at + i] = true;
+                differing += isBuffered[at + i] && plain[at + i] != data[i] ? 1 : 0;
+                plain[at + i] = isBuffered[at + i] ? plain[at + i] : data[i];
+                isBuffered[at + i] = true;
             }
-            assertTrue(pieces.fits(at + data.length));
-            assertEquals(differing, pieces.add(at, data, 0, data.length), "seed " + seed + ", step " + step);
-            if (pieces.ready() > 0 && random.nextInt(4) == 0) {
-                byte[] out = pieces.take();
-                assertArrayEquals(Arrays.copyOfRange(plain, taken, taken + out.length), out, "step " + step);
-                taken += out.length;
+            assertTrue(buffer.fits(at + data.length));
+            assertEquals(differing, buffer.add(at, data, 0, data.length), "seed " + seed + ", step " + step);
+            if (buffer.ready() > 0 && random.nextInt(4) == 0) {
+                byte[] out = buffer.take();
+                assertArrayEquals(Arrays.copyOfRange(plain, removed, removed + out.length), out, "step " + step);
+                removed += out.length;
             }
-            int held = 0;
+            int bufferedBytes = 0;
             int runs = 0;
-            for (int i = taken; i < plain.length; i++) {
-                held += there[i] ? 1 : 0;
-                runs += there[i] && (i == taken || !there[i - 1]) ? 1 : 0;
+            for (int i = removed; i < plain.length; i++) {
+                bufferedBytes += isBuffered[i] ? 1 : 0;
+                runs += isBuffered[i] && (i == removed || !isBuffered[i - 1]) ? 1 : 0;
             }
-            assertEquals(held + "/" + runs, pieces.bufferedBytes() + "/" + pieces.runCount(), "seed " + seed + ", step " + step);
+            assertEquals(bufferedBytes + "/" + runs, buffer.bufferedBytes() + "/" + buffer.runCount(),
+                    "seed " + seed + ", step " + step);
         }
     }
 
     static List<Spoken> rpcs(List<Packet> packets, Map<String, Long> counts) {
-        List<Spoken> all = new ArrayList<>();
-        Conversations conversations = new Conversations(all::add);
+        List<Spoken> exchanges = new ArrayList<>();
+        Conversations conversations = new Conversations(exchanges::add);
         Reassembly reassembly = new Reassembly();
         Decoder decoder = new Decoder();
         Segment segment = new Segment();
@@ -214,68 +217,70 @@
         drain(reassembly, conversations);
         counts.putAll(conversations.counts());
         counts.putAll(reassembly.counts());
-        return all;
+        return exchanges;
     }
 
-    private static Map<String, String> byId(List<Spoken> all) {
-        Map<String, String> words = new TreeMap<>();
-        all.forEach(one -> words.put(one.id, one.method + " " + one.key + " " + one.outcome + " " + one.code + " "
+    private static Map<String, String> byId(List<Spoken> exchanges) {
+        Map<String, String> descriptions = new TreeMap<>();
+        exchanges.forEach(one -> descriptions.put(one.id, one.method + " " + one.key + " "
+                + one.outcome + " " + one.code + " "
                 + new String(one.request, StandardCharsets.ISO_8859_1)
                 + new String(one.answer, StandardCharsets.ISO_8859_1)));
-        return words;
+        return descriptions;
     }
 
-    /** Shuffled within a window, every packet twice, times that step back: the same RPCs. */
+    /** Packets reordered within a window, duplicated, or with timestamps that go back give the same RPCs. */
     @ParameterizedTest
     @CsvSource({"1,4,false,false", "2,12,false,false", "3,4,true,false", "4,30,true,true"})
-    void shuffled(long seed, int window, boolean twice, boolean back) throws IOException {
+    void reorderedPackets(long seed, int window, boolean hasDuplicates, boolean stepsBack) throws IOException {
         List<Packet> packets = FilesTest.morning(seed, 2000, 0.5);
-        Map<String, String> wanted = byId(rpcs(packets, new HashMap<>()));
-        assertTrue(wanted.size() > 100);
+        Map<String, String> expected = byId(rpcs(packets, new HashMap<>()));
+        assertTrue(expected.size() > 100);
         Random random = new Random(seed);
-        List<Packet> mixed = new ArrayList<>();
-        List<Packet> near = new ArrayList<>();
+        List<Packet> reordered = new ArrayList<>();
+        List<Packet> batch = new ArrayList<>();
         for (Packet packet : packets) {
-            near.add(packet);
-            if (twice && random.nextBoolean()) {
-                near.add(packet);
+            batch.add(packet);
+            if (hasDuplicates && random.nextBoolean()) {
+                batch.add(packet);
             }
-            if (near.size() >= window) {
-                java.util.Collections.shuffle(near, random);
-                mixed.addAll(near);
-                near.clear();
+            if (batch.size() >= window) {
+                java.util.Collections.shuffle(batch, random);
+                reordered.addAll(batch);
+                batch.clear();
             }
         }
-        mixed.addAll(near);
-        if (back) {
-            for (Packet packet : mixed) {
+        reordered.addAll(batch);
+        if (stepsBack) {
+            for (Packet packet : reordered) {
                 packet.at -= random.nextInt(2_000_000);
             }
         }
-        Map<String, String> read = byId(rpcs(mixed, new HashMap<>()));
-        assertEquals(wanted, read, "seed " + seed);
+        Map<String, String> read = byId(rpcs(reordered, new HashMap<>()));
+        assertEquals(expected, read, "seed " + seed);
     }
 
-    /** One conversation, each packet of it split at every byte: the same RPC. */
+    /** A conversation with one message split at any byte into two packets gives the same RPC. */
     @Test
     void splitAnywhere() throws IOException {
         ByteBuffer query = Words.query("SELECT content FROM kv WHERE name = 'ab12' /* id=i1,c=look,t=a,d=50 */");
         ByteBuffer answer = honeygap.capture.make.Morning.row("0102");
-        byte[][] said = {bytes(Words.startup()), bytes(Words.welcome()), bytes(query), bytes(answer)};
-        for (int part = 0; part < said.length; part++) {
-            for (int split = 0; split <= said[part].length; split++) {
+        byte[][] messages = {bytes(Words.startup()), bytes(Words.welcome()), bytes(query), bytes(answer)};
+        for (int part = 0; part < messages.length; part++) {
+            for (int split = 0; split <= messages[part].length; split++) {
                 List<Packet> packets = new ArrayList<>();
                 Synthesis synthesis = new Synthesis(packet -> packets.add(FilesTest.copy(packet)));
                 synthesis.opened(1, CLIENT, FilesTest.SERVER, true, 5);
-                for (int i = 0; i < said.length; i++) {
+                for (int i = 0; i < messages.length; i++) {
                     int at = i == part ? split : 0;
-                    synthesis.data(1, i % 2 == 0, said[i], 0, at, 10 + i);
-                    synthesis.data(1, i % 2 == 0, said[i], at, said[i].length - at, 10 + i);
+                    synthesis.data(1, i % 2 == 0, messages[i], 0, at, 10 + i);
+                    synthesis.data(1, i % 2 == 0, messages[i], at, messages[i].length - at, 10 + i);
                 }
-                List<Spoken> all = rpcs(packets, new HashMap<>());
-                assertEquals(1, all.size(), "part " + part + " at " + split);
-                assertEquals("look ab12 served 1", all.get(0).method + " " + all.get(0).key + " " + all.get(0).outcome
-                        + " " + all.get(0).took);
+                List<Spoken> exchanges = rpcs(packets, new HashMap<>());
+                assertEquals(1, exchanges.size(), "part " + part + " at " + split);
+                assertEquals("look ab12 served 1", exchanges.get(0).method + " "
+                        + exchanges.get(0).key + " " + exchanges.get(0).outcome
+                        + " " + exchanges.get(0).took);
             }
         }
     }
@@ -286,41 +291,44 @@
         return bytes;
     }
 
-    /** Lost packets, a snap length, a start midway: what is read is right, what is torn says so, the rest comes back. */
+    /**
+     * With lost packets, a snap length or a capture that starts midway, each RPC is either read correctly or marked
+     * incomplete, and reading recovers after the loss.
+     */
     @ParameterizedTest
     @CsvSource({"1,lost", "2,lost", "3,snap", "4,midway", "5,lost"})
-    void losses(long seed, String what) throws IOException {
+    void lostPackets(long seed, String loss) throws IOException {
         List<Packet> packets = FilesTest.morning(seed, 100, 6);
-        Map<String, String> wanted = byId(rpcs(packets, new HashMap<>()));
+        Map<String, String> expected = byId(rpcs(packets, new HashMap<>()));
         Random random = new Random(seed);
-        List<Packet> left = new ArrayList<>(packets);
-        if (what.equals("lost")) {
-            left.removeIf(packet -> random.nextInt(100) == 0);
-        } else if (what.equals("snap")) {
-            left.forEach(packet -> packet.length = Math.min(packet.length, 130));
+        List<Packet> remaining = new ArrayList<>(packets);
+        if (loss.equals("lost")) {
+            remaining.removeIf(packet -> random.nextInt(100) == 0);
+        } else if (loss.equals("snap")) {
+            remaining.forEach(packet -> packet.length = Math.min(packet.length, 130));
         } else {
-            left.subList(0, packets.size() / 2).clear();
+            remaining.subList(0, packets.size() / 2).clear();
         }
         Map<String, Long> counts = new HashMap<>();
-        List<Spoken> all = rpcs(left, counts);
-        int right = 0;
-        for (Spoken one : all) {
+        List<Spoken> exchanges = rpcs(remaining, counts);
+        int correct = 0;
+        for (Spoken one : exchanges) {
             if (one.outcome == Spoken.Outcome.torn || one.outcome == Spoken.Outcome.open) {
                 continue;
             }
-            assertEquals(wanted.get(one.id), byId(List.of(one)).get(one.id), "seed " + seed);
-            right++;
+            assertEquals(expected.get(one.id), byId(List.of(one)).get(one.id), "seed " + seed);
+            correct++;
         }
-        int least = what.equals("lost") ? wanted.size() * 8 / 10 : what.equals("midway") ? wanted.size() * 4 / 10 : 0;
-        assertTrue(right >= least, "seed " + seed + ": " + right + " of " + wanted.size() + ", " + counts);
-        assertTrue(right < wanted.size());
+        int minimum = loss.equals("lost") ? expected.size() * 8 / 10 : loss.equals("midway") ? expected.size() * 4 / 10 : 0;
+        assertTrue(correct >= minimum, "seed " + seed + ": " + correct + " of " + expected.size() + ", " + counts);
+        assertTrue(correct < expected.size());
     }
 
-    /** Both directions in two files come together by time. */
+    /** The two directions captured in separate files are merged by time. */
     @Test
     void bothDirections(@org.junit.jupiter.api.io.TempDir java.nio.file.Path folder) throws IOException {
         List<Packet> packets = FilesTest.morning(6, 100, 2);
-        Map<String, String> wanted = byId(rpcs(packets, new HashMap<>()));
+        Map<String, String> expected = byId(rpcs(packets, new HashMap<>()));
         Decoder decoder = new Decoder();
         Segment segment = new Segment();
         List<Packet> up = new ArrayList<>();
@@ -329,18 +337,18 @@
             decoder.read(packet, segment);
             (segment.to.equals(FilesTest.SERVER) ? up : down).add(packet);
         }
-        java.nio.file.Path one = folder.resolve("up.pcap");
-        java.nio.file.Path other = folder.resolve("down.pcapng");
-        java.nio.file.Files.write(one, FilesTest.written(up, false));
-        java.nio.file.Files.write(other, FilesTest.written(down, true));
-        List<Spoken> all = new ArrayList<>();
-        try (Reading reading = new Reading(List.of(one, other))) {
-            reading.conversations(all::add, packet -> { });
+        java.nio.file.Path clientFile = folder.resolve("up.pcap");
+        java.nio.file.Path serverFile = folder.resolve("down.pcapng");
+        java.nio.file.Files.write(clientFile, FilesTest.written(up, false));
+        java.nio.file.Files.write(serverFile, FilesTest.written(down, true));
+        List<Spoken> exchanges = new ArrayList<>();
+        try (Reading reading = new Reading(List.of(clientFile, serverFile))) {
+            reading.conversations(exchanges::add, packet -> { });
         }
-        assertEquals(wanted, byId(all));
+        assertEquals(expected, byId(exchanges));
     }
 
-    /** What filters take, and where those that can't be read go wrong. */
+    /** Filters accept the expected exchanges; invalid expressions are rejected with the column of the error. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '\0', value = {
         "method == \"book\"|true", "method != \"book\" or not served|false", "took > 20ms and served|true",
@@ -350,27 +358,27 @@
         "method = \"book\"|8", "took > 20|8", "took > \"20ms\"|8", "took|1", "nothing == 1|1", "method == 5|11",
         "served and|11", "(served|8", "served)|7", "requestBytes > 3ms|16", "key ~ \"[\"|7", "served served|8",
         "method == \"open|11", "took > 5x|8", "and|1"})
-    void filters(String words, String what) {
-        Spoken spoken = new Spoken();
-        spoken.protocol = "pg";
-        spoken.client = CLIENT;
-        spoken.server = FilesTest.SERVER;
-        spoken.method = "book";
-        spoken.key = "ab12";
-        spoken.tenant = "a\"b";
-        spoken.took = 30_000_000;
-        spoken.connection = 7;
-        spoken.request = new byte[3];
-        spoken.outcome = Spoken.Outcome.served;
-        if (what.matches("\\d+")) {
-            Filter.Unread fault = assertThrows(Filter.Unread.class, () -> Filter.of(words));
-            assertEquals(Integer.parseInt(what), fault.column, fault.getMessage());
+    void filters(String expression, String expected) {
+        Spoken exchange = new Spoken();
+        exchange.protocol = "pg";
+        exchange.client = CLIENT;
+        exchange.server = FilesTest.SERVER;
+        exchange.method = "book";
+        exchange.key = "ab12";
+        exchange.tenant = "a\"b";
+        exchange.took = 30_000_000;
+        exchange.connection = 7;
+        exchange.request = new byte[3];
+        exchange.outcome = Spoken.Outcome.served;
+        if (expected.matches("\\d+")) {
+            Filter.Unread fault = assertThrows(Filter.Unread.class, () -> Filter.of(expression));
+            assertEquals(Integer.parseInt(expected), fault.column, fault.getMessage());
         } else {
-            assertEquals(what.equals("true"), Filter.of(words).test(spoken));
+            assertEquals(expected.equals("true"), Filter.of(expression).test(exchange));
         }
     }
 
-    /** Anonymised: as many RPCs of the same kinds and sizes, keys that stay keys, and nothing of the old ones. */
+    /** Anonymising keeps the number, kinds and sizes of RPCs and maps keys consistently; no original key remains. */
     @Test
     void anonymised() throws IOException {
         List<Packet> packets = FilesTest.morning(7, 100, 3);
@@ -393,36 +401,37 @@
         assertEquals(before.size(), after.size());
         Map<String, String> keys = new HashMap<>();
         Map<String, Spoken> byId = new HashMap<>();
-        after.forEach(one -> byId.put(one.id, one));
-        StringBuilder all = new StringBuilder();
-        hidden.forEach(packet -> all.append(new String(packet.data, StandardCharsets.ISO_8859_1)));
-        for (Spoken one : before) {
-            Spoken other = byId.get(one.id);
-            assertEquals(one.method + one.outcome + one.request.length + "/" + one.answer.length, other.method
-                    + other.outcome + other.request.length + "/" + other.answer.length);
-            assertTrue(keys.merge(one.key, other.key, (was, is) -> was.equals(is) ? is : "?") != "?", one.key);
-            assertTrue(other.key.matches("[0-9a-f]{16}") && !all.toString().contains(one.key), other.key);
+        after.forEach(original -> byId.put(original.id, original));
+        StringBuilder content = new StringBuilder();
+        hidden.forEach(packet -> content.append(new String(packet.data, StandardCharsets.ISO_8859_1)));
+        for (Spoken original : before) {
+            Spoken masked = byId.get(original.id);
+            assertEquals(original.method + original.outcome + original.request.length + "/" + original.answer.length,
+                    masked.method
+                    + masked.outcome + masked.request.length + "/" + masked.answer.length);
+            assertTrue(keys.merge(original.key, masked.key, (was, is) -> was.equals(is) ? is : "?") != "?", original.key);
+            assertTrue(masked.key.matches("[0-9a-f]{16}") && !content.toString().contains(original.key), masked.key);
         }
         assertEquals(keys.size(), keys.values().stream().distinct().count());
     }
 
-    /** JSON with values hidden stays JSON of the same length and names. */
+    /** JSON with masked values stays valid JSON with the same length and field names. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '\0', value = {
         "{\"context\":{\"targetingKey\":\"user-7\",\"age\":41,\"name\":\"R\u0101m \\u0915\\n\"}}|user-7 41 R\u0101m 0915",
         "{\"key\":\"flag-a\",\"value\":-10.5e3,\"reason\":\"SPLIT\",\"metadata\":{\"version\":\"12\"}}|-10.5e3",
         "[\"abc\",[1234,true,null],{\"x\":\"def\"}]|abc 1234 def"})
-    void hiddenJson(String words, String gone) throws Exception {
-        byte[] bytes = words.getBytes(StandardCharsets.UTF_8);
+    void maskedJson(String json, String maskedValues) throws Exception {
+        byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
         int length = bytes.length;
         new Mask(new byte[] {1, 2}).hideJson(bytes, 0, bytes.length);
         String hidden = new String(bytes, StandardCharsets.UTF_8);
         assertEquals(length, bytes.length);
-        for (String one : gone.split(" ")) {
-            assertTrue(!hidden.contains(one), hidden);
+        for (String value : maskedValues.split(" ")) {
+            assertTrue(!hidden.contains(value), hidden);
         }
-        for (String kept : new String[] {"targetingKey", "flag-a", "SPLIT", "\"12\"", "true,null"}) {
-            assertEquals(words.contains(kept), hidden.contains(kept), hidden);
+        for (String unmasked : new String[] {"targetingKey", "flag-a", "SPLIT", "\"12\"", "true,null"}) {
+            assertEquals(json.contains(unmasked), hidden.contains(unmasked), hidden);
         }
         try (com.fasterxml.jackson.core.JsonParser parser = new com.fasterxml.jackson.core.JsonFactory()
                 .createParser(bytes)) {
@@ -433,15 +442,15 @@
     }
 
     /**
-     * Behind a hole an answer in pieces is passed over, and what it was for ends there: neither its rest nor the
-     * next whole answer, whose statement was lost, is taken for its answer.
+     * After a hole, the rest of a partial response is skipped and its RPC ends: neither that rest nor the next complete
+     * response, whose request was lost, may be matched to it.
      */
     @ParameterizedTest
     @CsvSource({"D,true,'[1 torn, 2 torn]'", "C,true,'[1 torn, 2 torn]'", "'',false,'[1 torn, 2 failed]'"})
-    void restOfAnAnswer(String piece, boolean isPassedOver, String then) {
-        List<String> heard = new ArrayList<>();
+    void restOfAResponseAfterAHole(String rest, boolean isSkipped, String expected) {
+        List<String> outcomes = new ArrayList<>();
         PgConversation conversation = new PgConversation(false, Spoken::new,
-                one -> heard.add(one.id + " " + one.outcome), new HashMap<>());
+                one -> outcomes.add(one.id + " " + one.outcome), new HashMap<>());
         for (int id = 1; id <= 2; id++) {
             conversation.data(true, bytes("Q", "SELECT content FROM kv WHERE name = 'k' /* id=" + id
                     + ",c=look,t=acme,d=500 */\0"), id);
@@ -451,13 +460,13 @@
             }
         }
         byte[] ready = bytes("Z", "I");
-        if (isPassedOver) {
-            conversation.data(false, piece.equals("D") ? bytes("D", "\0\0")
+        if (isSkipped) {
+            conversation.data(false, rest.equals("D") ? bytes("D", "\0\0")
                     : join(bytes("C", "SELECT 1\0"), ready), 3);
         }
         conversation.data(false, join(bytes("E", "SERROR\0CXX000\0Mno\0\0"), ready), 4);
         conversation.over();
-        assertEquals(then, heard.toString());
+        assertEquals(expected, outcomes.toString());
     }
 
     private static byte[] join(byte[] first, byte[] last) {
