--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/tape/Recorder.java
@@ -68,9 +68,9 @@
     private final Thread thread;
     private final AtomicLong records = new AtomicLong();
     private final AtomicLong bytes = new AtomicLong();
-    private final AtomicLong leftOut = new AtomicLong();
-    private final AtomicLong bytesLeftOut = new AtomicLong();
-    private final AtomicLong failed = new AtomicLong();
+    private final AtomicLong droppedRecords = new AtomicLong();
+    private final AtomicLong droppedBytes = new AtomicLong();
+    private final AtomicLong failures = new AtomicLong();
     private final AtomicLong packets = new AtomicLong();
     private volatile boolean isClosing;
     private volatile boolean hasFailed;
@@ -109,9 +109,9 @@
 
     private void offer(int kind, long connection, ByteBuffer... parts) {
         if (!hasFailed && !ring.offer(kind, connection, nowNs(), parts)) {
-            leftOut.incrementAndGet();
+            droppedRecords.incrementAndGet();
             for (ByteBuffer part : parts) {
-                bytesLeftOut.addAndGet(part.remaining());
+                droppedBytes.addAndGet(part.remaining());
             }
         }
     }
@@ -185,7 +185,7 @@
 
     private void fail(Exception e) {
         hasFailed = true;
-        failed.incrementAndGet();
+        failures.incrementAndGet();
         Logger.warn("recording stopped after an error: {}", String.valueOf(e.getMessage()));
         try {
             writer.close();
@@ -231,11 +231,11 @@
     private void open(boolean isAccepted, long connection, ByteBuffer content) throws IOException {
         byte[] addresses = new byte[content.remaining()];
         content.get(addresses);
-        String[] ends = new String(addresses, java.nio.charset.StandardCharsets.US_ASCII).split("\n");
+        String[] endpoints = new String(addresses, java.nio.charset.StandardCharsets.US_ASCII).split("\n");
         RecordedConnection recorded = new RecordedConnection();
         recorded.isAccepted = isAccepted;
-        recorded.local = address(ends[0]);
-        recorded.remote = address(ends[1]);
+        recorded.local = address(endpoints[0]);
+        recorded.remote = address(endpoints[1]);
         if (mask != null) {
             recorded.sentRedactor = new Redactor(mask, !isAccepted, true);
             recorded.receivedRedactor = new Redactor(mask, isAccepted, true);
@@ -298,9 +298,9 @@
         counters.count("records", records.get());
         counters.count("bytes", bytes.get());
         counters.count("packets", packets.get());
-        counters.count("left out", leftOut.get());
-        counters.count("bytes left out", bytesLeftOut.get());
-        counters.count("ended by a fault", failed.get());
+        counters.count("left out", droppedRecords.get());
+        counters.count("bytes left out", droppedBytes.get());
+        counters.count("ended by a fault", failures.get());
     }
 
     /** Writes the remaining records in the ring buffer and closes the last file. */
--- a/src/test/java/honeygap/capture/FilesTest.java
+++ b/src/test/java/honeygap/capture/FilesTest.java
@@ -286,7 +286,8 @@
         assertTrue(new Decoder().read(plain, expected));
         Segment segment = new Segment();
         assertTrue(new Decoder().read(packet, segment));
-        assertEquals(expected.from + " " + expected.to + " " + expected.seq + " " + expected.length, segment.from + " "
+        assertEquals(expected.from + " " + expected.to + " " + expected.seq + " " + expected.length,
+                segment.from + " "
                 + segment.to + " " + segment.seq + " " + segment.length);
         packet.length = header.length + plain.length - 10;
         assertTrue(new Decoder().read(packet, segment));
