--- a/src/main/java/honeygap/capture/replay/Replayer.java
+++ b/src/main/java/honeygap/capture/replay/Replayer.java
@@ -1,9 +1,9 @@
 package honeygap.capture.replay;
 
 import honeygap.capture.message.Spoken;
-import honeygap.net.Gathered;
+import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
-import honeygap.net.Peer;
+import honeygap.net.ConnectionHandler;
 import honeygap.net.http.Answers;
 import honeygap.net.pg.Frames;
 import honeygap.net.pg.Words;
@@ -18,7 +18,7 @@
 import org.apache.mina.core.session.IoSession;
 
 /** Replays recorded RPCs against one address. A separate thread reads ahead; all network I/O is on an event loop. */
-public final class Replayer implements Loop.Core, Plan.Sender {
+public final class Replayer implements Loop.Stepper, Plan.Sender {
 
     /** Reads a recording once from its start and passes on its RPCs in order of time. */
     public interface Source {
@@ -87,7 +87,7 @@
         while (!finished.await(1, java.util.concurrent.TimeUnit.SECONDS)) {
             progress.run();
         }
-        loop.end();
+        loop.close();
         if (readFailure != null) {
             throw readFailure;
         }
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void now(long now) {
+    public void startIteration(long now) {
         startTick = startTick < 0 ? now : startTick;
         schedule.setNow((now - startTick) * NANOS_PER_TICK);
         // Schedules a bounded number of RPCs; the others wait in the queue, which is bounded too.
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public boolean next() {
+    public boolean step() {
         if (schedule.next(this)) {
             return true;
         }
@@ -137,7 +137,7 @@
         long nextTick = Math.min(startTick + schedule.nextDueNs() / NANOS_PER_TICK, loop.now() + 100);
         if (nextTick < wakeupTick || wakeupTick <= loop.now()) {
             wakeupTick = Math.max(loop.now() + 1, nextTick);
-            loop.at(wakeupTick, () -> wakeupTick = Long.MAX_VALUE);
+            loop.schedule(wakeupTick, () -> wakeupTick = Long.MAX_VALUE);
         }
         return false;
     }
@@ -166,7 +166,7 @@
     }
 
     /** A connection to the target with at most one RPC in flight. */
-    private abstract class ReplayConnection implements Peer {
+    private abstract class ReplayConnection implements ConnectionHandler {
 
         final Plan.RecordedConnection recordedConnection;
         IoSession session;
@@ -185,26 +185,26 @@
             this.dueNs = dueNs;
             report.rpcSent(replayTimeNs() - dueNs);
             long timeoutMs = Math.max(rpc.deadlineMs, 1_000) + TIMEOUT_MARGIN_MS;
-            timeout = loop.at(loop.now() + timeoutMs * 10, this::abort);
+            timeout = loop.schedule(loop.now() + timeoutMs * 10, this::abort);
             if (isReady) {
                 writeRequest();
             }
         }
 
         void writeRequest() {
-            session.write(new Gathered(rewriter.rewrite(rpc, round)));
+            session.write(new GatheringBuffer(rewriter.rewrite(rpc, round)));
         }
 
         void completeRpc(Spoken.Outcome outcome, byte[] response) {
             if (rpc != null) {
-                timeout.callOff();
+                timeout.cancel();
                 Spoken completed = rpc;
                 rpc = null;
                 boolean isComparable = compareValues && response != null && completed.outcome == Spoken.Outcome.served
                         && outcome == Spoken.Outcome.served;
                 report.rpcCompleted(completed, outcome, replayTimeNs() - dueNs,
                         isComparable ? Arrays.equals(completed.answer, response) : null);
-                loop.gather(() -> schedule.rpcCompleted(recordedConnection));
+                loop.defer(() -> schedule.rpcCompleted(recordedConnection));
             }
         }
 
@@ -261,7 +261,7 @@
             if (isClosed) {
                 session.closeNow();
             } else {
-                session.write(new Gathered(Words.startup()));
+                session.write(new GatheringBuffer(Words.startup()));
             }
         }
 
--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/tape/Recorder.java
@@ -7,7 +7,7 @@
 import honeygap.capture.redact.Mask;
 import honeygap.capture.redact.Redactor;
 import honeygap.net.Counters;
-import honeygap.net.Tap;
+import honeygap.net.TrafficListener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -26,7 +26,7 @@
  * never waits; data that does not fit is dropped, counted, and shows as a hole in the recording. A separate thread
  * turns the bytes into packets, compresses and writes them. A full or failing disk ends the recording, not the agent.
  */
-public final class Recorder implements Tap, Counters.Group, AutoCloseable {
+public final class Recorder implements TrafficListener, Counters.Group, AutoCloseable {
 
     private static final int OPENED = 1, ACCEPTED = 2, RECEIVED = 3, SENT = 4, CLOSED = 5;
     private static final long IDLE_PARK_NS = 2_000_000;
--- a/src/main/java/honeygap/cli/Configured.java
+++ b/src/main/java/honeygap/cli/Configured.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import honeygap.net.Agent;
-import honeygap.net.Events;
-import honeygap.net.Flags;
+import honeygap.net.EventLog;
+import honeygap.net.FlagProtocol;
 import honeygap.net.Loop;
 import honeygap.net.Protocol;
-import honeygap.net.Queries;
+import honeygap.net.PostgresProtocol;
 import honeygap.read.Fields;
 import honeygap.read.FlagSheet;
 import honeygap.read.Malformed;
@@ -85,22 +85,22 @@
             List<Protocol> protocols = new ArrayList<>();
             if (config != null) {
                 agentSettings = readConfig();
-                Queries queries = new Queries(loop, agentSettings);
+                PostgresProtocol queries = new PostgresProtocol(loop, agentSettings);
                 protocols.add(queries);
-                sources.add(() -> queries.reread(readConfig()));
+                sources.add(() -> queries.reload(readConfig()));
                 if (agentSettings.has("name")) {
-                    Events.agent(agentSettings.text("name"));
+                    EventLog.setAgent(agentSettings.text("name"));
                 }
             }
             file = flags;
             if (flags != null) {
                 flagSettings = FlagSheet.of(Template.read(flags));
                 if (config == null && !flagSettings.name.isEmpty()) {
-                    Events.agent(flagSettings.name);
+                    EventLog.setAgent(flagSettings.name);
                 }
-                Flags protocol = new Flags(loop, flagSettings, new SecureRandom().nextLong());
+                FlagProtocol protocol = new FlagProtocol(loop, flagSettings, new SecureRandom().nextLong());
                 protocols.add(protocol);
-                sources.add(() -> protocol.reread(FlagSheet.of(Template.read(flags))));
+                sources.add(() -> protocol.reload(FlagSheet.of(Template.read(flags))));
             }
             run(new Agent(loop, protocols), spec == null ? directOut : spec.commandLine().getOut());
             return 0;
--- a/src/main/java/honeygap/cli/JsonLinesWriter.java
+++ b/src/main/java/honeygap/cli/JsonLinesWriter.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import honeygap.net.Events;
+import honeygap.net.EventLog;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.StringWriter;
@@ -42,12 +42,12 @@
             generator.writeStringField("level", entry.getLevel().name());
             String className = entry.getClassName();
             generator.writeStringField("class", className.substring(className.lastIndexOf('.') + 1));
-            boolean hasCounters = entry.getContext() != null && entry.getContext().containsKey(Events.COUNTERS);
+            boolean hasCounters = entry.getContext() != null && entry.getContext().containsKey(EventLog.COUNTERS);
             generator.writeStringField("message", hasCounters ? "counters" : entry.getMessage());
             if (entry.getContext() != null) {
                 for (Map.Entry<String, String> contextEntry : entry.getContext().entrySet()) {
                     generator.writeFieldName(contextEntry.getKey());
-                    if (contextEntry.getKey().equals(Events.COUNTERS)) {
+                    if (contextEntry.getKey().equals(EventLog.COUNTERS)) {
                         generator.writeRawValue(contextEntry.getValue());
                     } else {
                         generator.writeString(contextEntry.getValue());
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import honeygap.net.Agent;
 import honeygap.net.Loop;
-import honeygap.net.Queries;
+import honeygap.net.PostgresProtocol;
 import honeygap.net.pg.Words;
 import honeygap.read.Fields;
 import honeygap.read.Malformed;
@@ -44,7 +44,7 @@
         InetSocketAddress anyLoopbackPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         InetSocketAddress applianceAddress = new StoreServer(anyLoopbackPort).address();
         Loop loop = new Loop();
-        Agent agent = new Agent(loop, List.of(new Queries(loop, agentSettings(applianceAddress.getPort()))));
+        Agent agent = new Agent(loop, List.of(new PostgresProtocol(loop, agentSettings(applianceAddress.getPort()))));
         agent.start();
         try (Socket client = new Socket(anyLoopbackPort.getAddress(), agent.address(0).getPort())) {
             client.setSoTimeout(READ_TIMEOUT_MS);
@@ -57,7 +57,7 @@
             }
         }
         int loaded = loadAgentClasses();
-        agent.end();
+        agent.close();
         spec.commandLine().getOut().println("rehearsed, " + loaded + " classes of the agent");
         return 0;
     }
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -71,15 +71,15 @@
             Mask mask = redactionSecretFile == null ? null : new Mask(Files.readAllBytes(redactionSecretFile));
             recorder = new Recorder(recordFolder, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RECORDER_BUFFER_BYTES,
                     mask);
-            loop.tap(recorder);
+            loop.setTrafficListener(recorder);
         }
     }
 
     @Override
     void run(Agent agent, PrintWriter out) throws IOException, Malformed, InterruptedException {
-        HangUp.setTask(() -> agent.reread(sources()));
+        HangUp.setTask(() -> agent.reload(sources()));
         if (recorder != null) {
-            agent.count("recording", recorder);
+            agent.addCounters("recording", recorder);
         }
         Door adminEndpoint = null;
         Sites sites = null;
@@ -91,13 +91,13 @@
             long generation = new SecureRandom().nextLong() & Long.MAX_VALUE | 1;
             // Files are read on a separate thread so that the event loop keeps serving.
             adminEndpoint = new Door(loop, agent, name, ledgerFile, token, generation,
-                    () -> new Thread(() -> agent.reread(sources()), "rereading").start());
-            agent.count("door", adminEndpoint);
+                    () -> new Thread(() -> agent.reload(sources()), "rereading").start());
+            agent.addCounters("door", adminEndpoint);
             if (sitesFile != null) {
                 // A restart supersedes earlier runs by the clock; the other members detect a clock that went back.
                 sites = new Sites(SitesSheet.of(Template.read(sitesFile), name), System.currentTimeMillis(), token);
                 adminEndpoint.aside(sites);
-                agent.count("sites", sites);
+                agent.addCounters("sites", sites);
             }
         } else if (sitesFile != null) {
             throw new Malformed("--sites needs --door: other processes connect to it");
@@ -105,7 +105,7 @@
         // Installed before the first client can connect, so that even an immediate SIGTERM leaves no client unanswered.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
-                agent.leave();
+                agent.shutDownGracefully();
                 if (recorder != null) {
                     recorder.close();
                 }
@@ -113,7 +113,7 @@
                 Thread.currentThread().interrupt();
             }
         }, "leaving"));
-        loop.startedAt(Start.STARTED_AT);
+        loop.setProgramStart(Start.STARTED_AT);
         agent.start();
         if (adminEndpoint != null) {
             int colon = adminAddress.lastIndexOf(':');
@@ -126,7 +126,7 @@
             Logger.info("the door is at {}", adminEndpoint.address());
             if (sites != null) {
                 sites.start(adminEndpoint.address());
-                agent.share(sites);
+                agent.shareLoad(sites);
             }
         }
         new CountDownLatch(1).await();
--- a/src/main/java/honeygap/net/Acceptor.java
+++ b/src/main/java/honeygap/net/Acceptor.java
@@ -69,7 +69,7 @@
         if (session != null) {
             notYetOpened.incrementAndGet();
             // The system's file descriptor is released only at the next select after the session has been closed.
-            session.getCloseFuture().addListener(closed -> loop.post(() -> loop.at(loop.now() + 1, slots::release)));
+            session.getCloseFuture().addListener(closed -> loop.post(() -> loop.schedule(loop.now() + 1, slots::release)));
         }
         return session;
     }
--- a/src/main/java/honeygap/net/Agent.java
+++ b/src/main/java/honeygap/net/Agent.java
@@ -55,7 +55,7 @@
             loop.post(() -> protocols.forEach(Protocol::start));
             loop.post(this::logCounters);
             loop.post(this::listenWhenReady);
-            loop.start(protocols.stream().flatMap(protocol -> protocol.steppers().stream()).toArray(Loop.Core[]::new));
+            loop.start(protocols.stream().flatMap(protocol -> protocol.steppers().stream()).toArray(Loop.Stepper[]::new));
         }
         awaitUninterrupted(readyToListen::await);
         synchronized (this) {
@@ -106,7 +106,7 @@
         if (protocols.stream().allMatch(Protocol::isReady)) {
             readyToListen.countDown();
         } else {
-            loop.at(loop.now() + POLL_INTERVAL, this::listenWhenReady);
+            loop.schedule(loop.now() + POLL_INTERVAL, this::listenWhenReady);
         }
     }
 
@@ -116,22 +116,22 @@
     }
 
     /** Stops at once and closes everything that is open. */
-    public void end() {
-        loop.end();
+    public void close() {
+        loop.close();
     }
 
     /** Publishes this agent's load to other agents and uses theirs; call it after the start. */
-    public void share(Shared sharing) {
+    public void shareLoad(LoadSharing sharing) {
         loop.post(() -> protocols.forEach(protocol -> protocol.shareLoad(sharing)));
     }
 
     /** Runs a task on the loop, in its next iteration; callable from any thread. */
-    public void onLoop(Runnable task) {
+    public void runOnLoop(Runnable task) {
         loop.post(task);
     }
 
     /** Adds a group of counters that does not belong to a protocol; call it before the start. */
-    public void count(String group, Counters.Group counts) {
+    public void addCounters(String group, Counters.Group counts) {
         otherCounters.put(group, counts);
     }
 
@@ -139,7 +139,7 @@
     public Counters counters() {
         Counters counters = new Counters().group("agent", group -> {
             group.count("faults", Loop.faultCount());
-            group.count("broken", Loop.broken());
+            group.count("broken", Loop.invariantViolations());
             group.count("rereads", reloads);
             group.count("not read", failedReloads);
             group.count("accept failures", loop.acceptFailures());
@@ -152,8 +152,8 @@
     }
 
     private void logCounters() {
-        Events.logCounters(counters());
-        loop.at(loop.now() + COUNTER_LOG_INTERVAL, this::logCounters);
+        EventLog.logCounters(counters());
+        loop.schedule(loop.now() + COUNTER_LOG_INTERVAL, this::logCounters);
     }
 
     /** A part of the configuration that can be reloaded. Reading it returns the change to apply on the loop. */
@@ -167,7 +167,7 @@
      * Reloads run one at a time: each signal has a thread of its own, and a reload that read an older file must not
      * be applied last.
      */
-    public void reread(List<Source> sources) {
+    public void reload(List<Source> sources) {
         // A lock of its own rather than this object's: slow reads must not delay a shutdown.
         synchronized (reloadLock) {
             readAndApply(sources);
@@ -193,7 +193,7 @@
     }
 
     /** Refuses clients and closes connections between RPCs, or accepts clients again; on the loop. */
-    public void drain(boolean isDrained) {
+    public void setDrained(boolean isDrained) {
         this.isDrained = isDrained;
         protocols.forEach(protocol -> protocol.setDrained(isDrained));
     }
@@ -203,7 +203,7 @@
     }
 
     /** The number of client connections of all protocols. */
-    public int clients() {
+    public int clientConnections() {
         return protocols.stream().mapToInt(Protocol::connectionCount).sum();
     }
 
@@ -211,7 +211,7 @@
      * Shuts down by schedule: returns when no accepted connection is open any more, at the latest at the end of the
      * schedule. Returns at once if the agent has not started.
      */
-    public void leave() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         long signalledAt = loop.clock();
         synchronized (this) {
             isShuttingDown = true;
@@ -237,7 +237,7 @@
      * blocked.
      */
     private void closeLoop() throws InterruptedException {
-        Thread closingThread = new Thread(loop::end, "closing");
+        Thread closingThread = new Thread(loop::close, "closing");
         closingThread.setDaemon(true);
         closingThread.start();
         closingThread.join(MAX_CLOSING_MS);
@@ -245,17 +245,17 @@
 
     private void shutDown(ShutdownSchedule schedule) {
         protocols.forEach(protocol -> protocol.shutDown(schedule));
-        loop.at(schedule.closesAt(), () -> {
-            Logger.info("shutdown: closing, {} connections open", clients());
+        loop.schedule(schedule.closesAt(), () -> {
+            Logger.info("shutdown: closing, {} connections open", clientConnections());
             protocols.forEach(Protocol::closeBetweenRpcs);
             // Wait for the next iteration: by then the connections accepted last have been opened.
-            loop.stopAccepting(schedule.answersBy(), () -> loop.at(loop.now() + POLL_INTERVAL, this::finishWhenIdle));
+            loop.stopAccepting(schedule.answersBy(), () -> loop.schedule(loop.now() + POLL_INTERVAL, this::finishWhenIdle));
         });
         // Not in the iteration in which the timer is due: if the loop was delayed, the last answers are written only
         // after that iteration.
-        loop.at(schedule.endsBy(), () -> loop.at(loop.now() + POLL_INTERVAL, () -> {
+        loop.schedule(schedule.endsBy(), () -> loop.schedule(loop.now() + POLL_INTERVAL, () -> {
             if (shutdownDone.getCount() > 0) {
-                Logger.warn("shutdown: ends with {} connections open", clients());
+                Logger.warn("shutdown: ends with {} connections open", clientConnections());
                 shutdownDone.countDown();
             }
         }));
@@ -266,11 +266,11 @@
      * has not opened yet.
      */
     private void finishWhenIdle() {
-        if (clients() == 0 && loop.acceptedNotOpened() == 0) {
+        if (clientConnections() == 0 && loop.acceptedNotOpened() == 0) {
             Logger.info("shutdown: ends, nothing open");
             shutdownDone.countDown();
         } else {
-            loop.at(loop.now() + POLL_INTERVAL, this::finishWhenIdle);
+            loop.schedule(loop.now() + POLL_INTERVAL, this::finishWhenIdle);
         }
     }
 }
--- a/src/main/java/honeygap/net/Call.java
+++ b/src/main/java/honeygap/net/Call.java
@@ -14,7 +14,7 @@
 
     private boolean answered;
     /** Answers the RPC at its deadline independently of the rules, so that a fault there does not lose the RPC. */
-    public Loop.Timer guard;
+    public Loop.Timer deadlineTimer;
 
     protected Call(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
                    boolean retry) {
@@ -22,8 +22,8 @@
     }
 
     /** Marks the RPC as answered; each RPC has exactly one final answer. */
-    protected final void once() {
-        Loop.holds(!answered);
+    protected final void markAnswered() {
+        Loop.checkInvariant(!answered);
         answered = true;
     }
 
@@ -32,7 +32,7 @@
     }
 
     /** Called when a pick of this RPC is sent to the appliance. */
-    public void picked(Appliance appliance) {
+    public void onPick(Appliance appliance) {
     }
 
     /** Final answer: pushed back. The client should wait this many tenths of a millisecond before it retries. */
--- a/src/main/java/honeygap/net/Peer.java
+++ b/src/main/java/honeygap/net/ConnectionHandler.java
@@ -4,7 +4,7 @@
 import org.apache.mina.core.session.IoSession;
 
 /** Handles the events of one connection. All methods are called on the loop's thread. */
-public interface Peer {
+public interface ConnectionHandler {
 
     /** The connection was established. */
     void opened(IoSession session);
--- a/src/main/java/honeygap/net/Front.java
+++ b/src/main/java/honeygap/net/Downstream.java
@@ -4,17 +4,17 @@
  * The downstream side of a protocol: reads RPCs from clients, passes them to the rules and writes their final answers
  * ({@link Call}).
  */
-public interface Front extends Counters.Group {
+public interface Downstream extends Counters.Group {
 
     /** Creates the handler of a connection that was just accepted. */
-    Peer comer();
+    ConnectionHandler newHandler();
 
     /** From now on closes each connection as soon as no RPC is open on it. */
-    void leave();
+    void closeBetweenRpcs();
 
     /** Refuses clients and closes connections between RPCs, or accepts clients again. */
-    void drain(boolean isDrained);
+    void setDrained(boolean isDrained);
 
     /** The number of open connections. */
-    int count();
+    int connectionCount();
 }
--- a/src/main/java/honeygap/net/Core.java
+++ b/src/main/java/honeygap/net/EngineAdapter.java
@@ -14,10 +14,10 @@
  * they concern, the upstream side that serves these, service discovery and the release desk. Each protocol of an
  * agent has an engine of its own.
  */
-public final class Core implements DecisionHandler, Loop.Core {
+public final class EngineAdapter implements DecisionHandler, Loop.Stepper {
 
     /** Client of the service discovery that lists the appliances. */
-    public interface Directory {
+    public interface ListSource {
 
         /** Opens a stream of changes to the list, replacing an open one. */
         void watch();
@@ -27,7 +27,7 @@
     }
 
     /** Receives the votes on trial builds. */
-    public interface Poll {
+    public interface VoteSink {
 
         void vote(Build build, int stage, int verdict);
     }
@@ -37,13 +37,13 @@
     private final int methods;
     private final String notePrefix;
     private final Map<Integer, Build> builds = new HashMap<>();
-    private Back upstream;
-    private Directory discovery;
-    private Poll voteSink;
+    private Upstream upstream;
+    private ListSource discovery;
+    private VoteSink voteSink;
     private long iterations;
 
     /** The name, if not empty, prefixes log messages of the rules. */
-    public Core(Loop loop, DecisionEngine rules, int methods, String name) {
+    public EngineAdapter(Loop loop, DecisionEngine rules, int methods, String name) {
         this.loop = loop;
         this.rules = rules;
         this.methods = methods;
@@ -51,7 +51,7 @@
     }
 
     /** Connects the engine to its collaborators; call it before the loop starts. */
-    public void attach(Back upstream, Directory discovery, Poll voteSink) {
+    public void attach(Upstream upstream, ListSource discovery, VoteSink voteSink) {
         this.upstream = upstream;
         this.discovery = discovery;
         this.voteSink = voteSink;
@@ -72,19 +72,19 @@
     }
 
     @Override
-    public void now(long now) {
+    public void startIteration(long now) {
         iterations++;
         rules.advanceClock(now);
     }
 
     @Override
-    public boolean next() {
+    public boolean step() {
         return rules.nextDecision(this);
     }
 
     @Override
     public void sendPick(Rpc rpc, Appliance appliance, long timeout) {
-        ((Call) rpc).picked(appliance);
+        ((Call) rpc).onPick(appliance);
         upstream.pick((Call) rpc, appliance, timeout);
     }
 
@@ -125,7 +125,7 @@
 
     @Override
     public void wakeAfter(long delay) {
-        loop.at(loop.now() + delay, rules::wakeUpReceived);
+        loop.schedule(loop.now() + delay, rules::wakeUpReceived);
     }
 
     @Override
--- a/src/main/java/honeygap/net/Events.java
+++ b/src/main/java/honeygap/net/EventLog.java
@@ -13,18 +13,18 @@
  * Structured log events: a readable line, and the ids as separate fields if the log is written as JSON. Ids are those
  * of an agent, an RPC, a pick (its index, from 0) and an appliance.
  */
-public final class Events {
+public final class EventLog {
 
     /** The log field that holds counters, as JSON. */
     public static final String COUNTERS = "counters";
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Events() {
+    private EventLog() {
     }
 
     /** Sets the agent's name for all log events of this thread and of threads that it starts later. */
-    public static void agent(String name) {
+    public static void setAgent(String name) {
         ThreadContext.put("agent", name);
     }
 
@@ -55,7 +55,7 @@
      * Logs that an RPC was refused or failed, with the reason; the appliance is that of its last pick, or -1 if it
      * had none.
      */
-    public static void givenUp(String rpc, String method, String reason, long appliance, long leftMs,
+    public static void logAbandonedRpc(String rpc, String method, String reason, long appliance, long leftMs,
                                 String detail) {
         Map<String, String> fields = Map.of("event", "given up", "rpc", rpc, "method", method, "reason", reason,
                 "appliance", String.valueOf(appliance), "left_ms", String.valueOf(leftMs));
--- a/src/main/java/honeygap/net/Flags.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -30,14 +30,14 @@
  * The feature-flag API of an agent. It runs on the agent's event loop with an engine, client side, connection pool,
  * discovery and rollout of its own.
  */
-public final class Flags implements Protocol {
+public final class FlagProtocol implements Protocol {
 
     private static final int BACKLOG = 1024;
 
     private final Loop loop;
     private final FlagSheet settings;
     private final DecisionEngine rules;
-    private final Core engine;
+    private final EngineAdapter engine;
     private final Exchange exchange;
     private final Askers flagClients;
     private final ConnectionPool connections;
@@ -47,11 +47,11 @@
     private final Ballots votes;
     private final Bulletin statusStream;
 
-    public Flags(Loop loop, FlagSheet settings, long seed) {
+    public FlagProtocol(Loop loop, FlagSheet settings, long seed) {
         this.loop = loop;
         this.settings = settings;
         rules = settings.rules(loop.clock(), seed);
-        engine = new Core(loop, rules, settings.methods.size(), "flags");
+        engine = new EngineAdapter(loop, rules, settings.methods.size(), "flags");
         Answers answerCache = new Answers(settings.sharing, settings.step, settings.allowances,
                 new Versions(settings.keys, settings.cells),
                 new Kept(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
@@ -76,8 +76,8 @@
     }
 
     @Override
-    public List<Loop.Core> steppers() {
-        List<Loop.Core> steppers = new ArrayList<>(List.of(exchange, engine));
+    public List<Loop.Stepper> steppers() {
+        List<Loop.Stepper> steppers = new ArrayList<>(List.of(exchange, engine));
         if (localRollout != null) {
             steppers.add(new LocalRolloutStepper());
         }
@@ -85,33 +85,33 @@
     }
 
     /** Applies the decisions of the local rollout, which replaces the release desk if none is configured. */
-    private final class LocalRolloutStepper implements Loop.Core, House.Out {
+    private final class LocalRolloutStepper implements Loop.Stepper, House.Out {
 
         @Override
-        public void now(long now) {
+        public void startIteration(long now) {
             localRollout.now(now);
         }
 
         @Override
-        public boolean next() {
+        public boolean step() {
             return localRollout.next(this);
         }
 
         @Override
         public void told(int build, int phase, int stage, double cap, boolean isConfirmed, long since) {
-            loop.gather(() -> rules.rolloutReported(engine.build(build), phase, stage, cap, isConfirmed, since, Pick.OK));
+            loop.defer(() -> rules.rolloutReported(engine.build(build), phase, stage, cap, isConfirmed, since, Pick.OK));
         }
 
         @Override
         public void list() {
             if (discovery == null) {
-                loop.gather(() -> staticList.tell(localRollout::admits, loop.now()));
+                loop.defer(() -> staticList.tell(localRollout::admits, loop.now()));
             }
         }
     }
 
     private void vote(Build build, int stage, int verdict) {
-        loop.gather(() -> localRollout.voted(build.number, stage, verdict));
+        loop.defer(() -> localRollout.voted(build.number, stage, verdict));
     }
 
     @Override
@@ -130,20 +130,20 @@
         if (localRollout != null) {
             localRollout.listed(builds);
         } else {
-            loop.gather(() -> staticList.tell(build -> true, loop.now()));
+            loop.defer(() -> staticList.tell(build -> true, loop.now()));
         }
     }
 
     @Override
     public InetSocketAddress listen() throws IOException {
-        return loop.listen(settings.listen, BACKLOG, flagClients.places(), flagClients::comer);
+        return loop.listen(settings.listen, BACKLOG, flagClients.places(), flagClients::newHandler);
     }
 
     /**
      * Reads discovery, desk and static servers from the new settings; all other settings stay until a restart.
      * Returns the change to apply on the loop.
      */
-    public Runnable reread(FlagSheet newSettings) {
+    public Runnable reload(FlagSheet newSettings) {
         return () -> applyReload(newSettings);
     }
 
@@ -165,23 +165,23 @@
 
     @Override
     public void shutDown(ShutdownSchedule schedule) {
-        loop.gather(() -> rules.shutdownStarted(schedule));
+        loop.defer(() -> rules.shutdownStarted(schedule));
         flagClients.shutDown(schedule);
     }
 
     @Override
     public void closeBetweenRpcs() {
-        flagClients.leave();
+        flagClients.closeBetweenRpcs();
     }
 
     @Override
     public void setDrained(boolean isDrained) {
-        flagClients.drain(isDrained);
+        flagClients.setDrained(isDrained);
     }
 
     @Override
     public int connectionCount() {
-        return flagClients.count();
+        return flagClients.connectionCount();
     }
 
     @Override
--- a/src/main/java/honeygap/net/Gathered.java
+++ b/src/main/java/honeygap/net/GatheringBuffer.java
@@ -8,17 +8,17 @@
 import org.apache.mina.core.session.IoSession;
 
 /** Several buffers that are sent in one gathering write, in order and without copying. */
-public final class Gathered extends IoBufferWrapper {
+public final class GatheringBuffer extends IoBufferWrapper {
 
     private final ByteBuffer[] slices;
     private int firstUnwritten;
 
-    public Gathered(ByteBuffer... slices) {
+    public GatheringBuffer(ByteBuffer... slices) {
         super(IoBuffer.allocate(0));
         this.slices = slices;
     }
 
-    int writeTo(GatheringByteChannel channel, Tap listener, IoSession session) throws IOException {
+    int writeTo(GatheringByteChannel channel, TrafficListener listener, IoSession session) throws IOException {
         if (listener != null) {
             return writeAndReport(channel, listener, IoEventDispatcher.connectionNumber(session));
         }
@@ -26,7 +26,7 @@
     }
 
     /** Writes, and passes duplicates of the written bytes to the traffic listener. */
-    private int writeAndReport(GatheringByteChannel channel, Tap listener, long connection) throws IOException {
+    private int writeAndReport(GatheringByteChannel channel, TrafficListener listener, long connection) throws IOException {
         ByteBuffer[] written = new ByteBuffer[slices.length - firstUnwritten];
         for (int i = 0; i < written.length; i++) {
             written[i] = slices[firstUnwritten + i].duplicate();
--- a/src/main/java/honeygap/net/IoEventDispatcher.java
+++ b/src/main/java/honeygap/net/IoEventDispatcher.java
@@ -16,10 +16,10 @@
     private static final AttributeKey CONNECTION_NUMBER = new AttributeKey(IoEventDispatcher.class, "number");
 
     private final Loop loop;
-    private final Supplier<Peer> handlerFactory;
+    private final Supplier<ConnectionHandler> handlerFactory;
 
     /** Sessions created without a handler get one from the factory. */
-    IoEventDispatcher(Loop loop, Supplier<Peer> handlerFactory) {
+    IoEventDispatcher(Loop loop, Supplier<ConnectionHandler> handlerFactory) {
         this.loop = loop;
         this.handlerFactory = handlerFactory;
     }
@@ -29,8 +29,8 @@
         return session.getAttribute(CONNECTION_NUMBER) instanceof Long number ? number : 0;
     }
 
-    private static Peer handler(IoSession session) {
-        return (Peer) session.getAttribute(HANDLER);
+    private static ConnectionHandler handler(IoSession session) {
+        return (ConnectionHandler) session.getAttribute(HANDLER);
     }
 
     @Override
@@ -86,7 +86,7 @@
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            Loop.fault(cause);
+            Loop.reportFault(cause);
         }
         session.closeNow();
     }
--- a/src/main/java/honeygap/net/LogBudget.java
+++ b/src/main/java/honeygap/net/LogRateLimiter.java
@@ -1,7 +1,7 @@
 package honeygap.net;
 
 /** Limits the log lines for one kind of event to a number per second; suppressed lines are counted. */
-public final class LogBudget {
+public final class LogRateLimiter {
 
     private static final long TENTHS_PER_SECOND = 10_000;
 
@@ -11,13 +11,13 @@
     private int linesInWindow;
     private long suppressed;
 
-    public LogBudget(Loop loop, int linesPerSecond) {
+    public LogRateLimiter(Loop loop, int linesPerSecond) {
         this.loop = loop;
         this.linesPerSecond = linesPerSecond;
     }
 
     /** Whether one more line may be logged now; counts it as logged or suppressed. */
-    public boolean allows() {
+    public boolean tryAcquire() {
         if (loop.now() >= windowStart + TENTHS_PER_SECOND) {
             windowStart = loop.now();
             linesInWindow = 0;
@@ -31,7 +31,7 @@
     }
 
     /** The number of lines suppressed so far. */
-    public long leftOut() {
+    public long suppressed() {
         return suppressed;
     }
 }
--- a/src/main/java/honeygap/net/Loop.java
+++ b/src/main/java/honeygap/net/Loop.java
@@ -38,13 +38,13 @@
      * A component that the loop drives: it is given the time once per iteration and takes one step at a time until it
      * has none left.
      */
-    public interface Core {
+    public interface Stepper {
 
         /** Begins an iteration at this time, in tenths of a millisecond. */
-        void now(long now);
+        void startIteration(long now);
 
         /** Takes one step; returns false if there is nothing left to do. */
-        boolean next();
+        boolean step();
     }
 
     /** A task scheduled for a time, unless it is cancelled. */
@@ -63,7 +63,7 @@
         }
 
         /** Cancels the timer; has no effect if it already ran. */
-        public void callOff() {
+        public void cancel() {
             if (task != null) {
                 task = null;
                 loop.cancelledTimers++;
@@ -79,7 +79,7 @@
     /** Faults caught since the process started: the first 100 are logged, and none ends the loop. */
     private static final AtomicLong FAULTS = new AtomicLong();
 
-    /** Violations of {@link #holds} since the process started. */
+    /** Violations of {@link #checkInvariant} since the process started. */
     private static final AtomicLong INVARIANT_VIOLATIONS = new AtomicLong();
 
     private static final long TENTHS_PER_MS = 10;
@@ -102,7 +102,7 @@
     private long nextTimerSequence;
     private int cancelledTimers;
     private long now;
-    private List<Core> steppers = List.of();
+    private List<Stepper> steppers = List.of();
     private volatile Thread thread;
     private volatile boolean isClosing;
     private volatile boolean isStopped;
@@ -110,7 +110,7 @@
     private long firstRpcMs;
     LoopProcessor processor;
     /** Receives a copy of the traffic on all connections; null if unused. */
-    Tap trafficListener;
+    TrafficListener trafficListener;
     long lastConnectionNumber;
 
     public Loop() {
@@ -125,7 +125,7 @@
         ExceptionMonitor.setInstance(new ExceptionMonitor() {
             @Override
             public void exceptionCaught(Throwable cause) {
-                fault(cause);
+                reportFault(cause);
             }
         });
         processorPool = new SimpleIoProcessorPool<>(LoopProcessor.class, this, 1, null);
@@ -148,14 +148,14 @@
     }
 
     /** Counts and logs an unexpected exception or error. */
-    public static void fault(Throwable cause) {
+    public static void reportFault(Throwable cause) {
         if (FAULTS.incrementAndGet() <= 100) {
             Logger.error(cause, "internal fault, continuing");
         }
     }
 
     /** Checks an invariant: a violation is counted, and fails an assertion where assertions are enabled. */
-    public static void holds(boolean condition) {
+    public static void checkInvariant(boolean condition) {
         if (!condition) {
             INVARIANT_VIOLATIONS.incrementAndGet();
         }
@@ -163,7 +163,7 @@
     }
 
     /** The number of invariant violations since the process started. */
-    public static long broken() {
+    public static long invariantViolations() {
         return INVARIANT_VIOLATIONS.get();
     }
 
@@ -183,7 +183,7 @@
     }
 
     /** Sets the start of the program, by {@link System#nanoTime}; by default it is the creation of the loop. */
-    public void startedAt(long nanos) {
+    public void setProgramStart(long nanos) {
         programStartNanos = nanos;
     }
 
@@ -193,7 +193,7 @@
     }
 
     /** Called when an RPC has been read. The first one is logged: it shows how long a restart takes. */
-    public void rpcTaken() {
+    public void onRpcAccepted() {
         if (firstRpcMs == 0) {
             firstRpcMs = Math.max(1, millisSinceStart());
             Logger.info("first RPC after {} ms", firstRpcMs);
@@ -206,12 +206,12 @@
     }
 
     /** Sets the listener for traffic on all connections opened from then on; call it before the start. */
-    public void tap(Tap listener) {
+    public void setTrafficListener(TrafficListener listener) {
         this.trafficListener = listener;
     }
 
     /** Starts the loop's thread, which drives these steppers. */
-    public void start(Core... steppers) {
+    public void start(Stepper... steppers) {
         this.steppers = List.of(steppers);
         Thread loopThread = new Thread(this, "loop");
         loopThread.setDaemon(true);
@@ -223,7 +223,7 @@
      * overlap.
      */
     public InetSocketAddress listen(InetSocketAddress address, int backlog, int maxConnections,
-                                    Supplier<Peer> handlerFactory) throws IOException {
+                                    Supplier<ConnectionHandler> handlerFactory) throws IOException {
         return listen(address, backlog, (executor, pool) -> new Acceptor(this, executor, pool, maxConnections),
                 handlerFactory);
     }
@@ -235,7 +235,7 @@
     }
 
     InetSocketAddress listen(InetSocketAddress address, int backlog, AcceptorFactory acceptorFactory,
-                             Supplier<Peer> handlerFactory) throws IOException {
+                             Supplier<ConnectionHandler> handlerFactory) throws IOException {
         Acceptor acceptor = acceptorFactory.create(this::runOnHelperThread, processorPool);
         acceptor.setHandler(new IoEventDispatcher(this, handlerFactory));
         acceptor.setReuseAddress(true);
@@ -271,7 +271,7 @@
      * Opens a connection; the handler is notified of success or failure. Cancel the returned future to abandon the
      * attempt.
      */
-    public ConnectFuture connect(InetSocketAddress address, Peer handler) {
+    public ConnectFuture connect(InetSocketAddress address, ConnectionHandler handler) {
         ConnectFuture future = connector.connect(address,
                 (session, connecting) -> session.setAttribute(IoEventDispatcher.HANDLER, handler));
         future.addListener(done -> {
@@ -307,7 +307,7 @@
      * Closes a connection after ending its output at once, so that an abandoned pick can no longer be sent when the
      * next one is.
      */
-    public void cut(IoSession session) {
+    public void closeAbruptly(IoSession session) {
         if (session.getAttribute(LoopProcessor.CHANNEL) instanceof SocketChannel channel) {
             try {
                 channel.shutdownOutput();
@@ -332,7 +332,7 @@
     }
 
     /** Reads the input that has arrived and was not read yet; empty if there is none or the connection was closed. */
-    public ByteBuffer unread(IoSession session) {
+    public ByteBuffer readPending(IoSession session) {
         ByteBuffer bytes = ByteBuffer.allocate(INITIAL_READ_BUFFER_BYTES);
         try {
             if (session.getAttribute(LoopProcessor.CHANNEL) instanceof SocketChannel channel) {
@@ -361,12 +361,12 @@
     }
 
     /** Queues input for processing in this or the next iteration; on the loop's thread only. */
-    public void gather(Runnable task) {
+    public void defer(Runnable task) {
         deferredTasks.add(task);
     }
 
     /** Schedules a task for a time on this loop's clock; on the loop's thread only. */
-    public Timer at(long time, Runnable task) {
+    public Timer schedule(long time, Runnable task) {
         // Each RPC cancels several timers long before they are due: they are purged here so that they don't pile up.
         if (cancelledTimers > MIN_CANCELLED_TO_PURGE && cancelledTimers > timers.size() / 2) {
             timers.removeIf(old -> old.task == null);
@@ -387,7 +387,7 @@
     }
 
     /** Closes all connections and stops the loop; must not be called on the loop's thread. */
-    public void end() {
+    public void close() {
         // Set first, so that an iteration during the close opens no connections. The thread runs until everything is
         // closed.
         isClosing = true;
@@ -408,7 +408,7 @@
                     processor.run();
                 }
             } catch (InterruptedException | RuntimeException | Error e) {
-                fault(e);
+                reportFault(e);
             }
         }
     }
@@ -422,8 +422,8 @@
         if (isClosing) {
             return;
         }
-        for (Core stepper : steppers) {
-            runGuarded(() -> stepper.now(now));
+        for (Stepper stepper : steppers) {
+            runGuarded(() -> stepper.startIteration(now));
         }
         boolean more = true;
         while (more) {
@@ -439,17 +439,17 @@
             for (Runnable task = deferredTasks.poll(); task != null; task = deferredTasks.poll()) {
                 runGuarded(task);
             }
-            for (Core stepper : steppers) {
+            for (Stepper stepper : steppers) {
                 runGuarded(() -> stepUntilDone(stepper));
             }
             more = !deferredTasks.isEmpty() || !postedTasks.isEmpty();
         }
     }
 
-    private static void stepUntilDone(Core stepper) {
+    private static void stepUntilDone(Stepper stepper) {
         boolean more = true;
         while (more) {
-            more = stepper.next();
+            more = stepper.step();
         }
     }
 
@@ -462,7 +462,7 @@
             task.run();
             return true;
         } catch (RuntimeException | Error e) {
-            fault(e);
+            reportFault(e);
             return false;
         }
     }
--- a/src/main/java/honeygap/net/LoopProcessor.java
+++ b/src/main/java/honeygap/net/LoopProcessor.java
@@ -66,7 +66,7 @@
 
     @Override
     protected int write(NioSession session, IoBuffer bytes, int length) throws IOException {
-        return bytes instanceof Gathered gathered
+        return bytes instanceof GatheringBuffer gathered
                 ? gathered.writeTo((GatheringByteChannel) session.getAttribute(CHANNEL), loop.trafficListener, session)
                 : super.write(session, bytes, length);
     }
--- a/src/main/java/honeygap/net/Queries.java
+++ b/src/main/java/honeygap/net/PostgresProtocol.java
@@ -25,7 +25,7 @@
  * Serves PostgreSQL's wire protocol to clients and appliances; discovery and the release desk are reached over
  * HTTP/1.1.
  */
-public final class Queries implements Protocol {
+public final class PostgresProtocol implements Protocol {
 
     /** File descriptors reserved for discovery, the desk and the Java runtime. */
     private static final int RESERVED_DESCRIPTORS = 64;
@@ -38,7 +38,7 @@
 
     private final Loop loop;
     private final DecisionEngine rules;
-    private final Core engine;
+    private final EngineAdapter engine;
     private final Clients clients;
     private final ConnectionPool connections;
     private final Registry discovery;
@@ -50,7 +50,7 @@
     private final WarmUp warmUp;
     private volatile long longestDeadline;
 
-    public Queries(Loop loop, Fields config) throws Malformed {
+    public PostgresProtocol(Loop loop, Fields config) throws Malformed {
         this.loop = loop;
         settings = config.object("settings");
         Fields desk = config.object("rollouts");
@@ -73,7 +73,7 @@
         for (Fields method : settings.objects("Classes")) {
             methodsByName.put(method.text("Name"), methods.get(index++));
         }
-        engine = new Core(loop, rules, methods.size(), "");
+        engine = new EngineAdapter(loop, rules, methods.size(), "");
         clients = new Clients(loop, rules, methodsByName, settings, maxConnections,
                 sockets / CLIENT_DESCRIPTOR_DIVISOR / 2);
         Fields ceilings = settings.part("Ceilings");
@@ -91,7 +91,7 @@
             discovery.known(config.object("known"));
         }
         if (desk.has("news")) {
-            loop.gather(rolloutStatus.first(desk.object("news")));
+            loop.defer(rolloutStatus.first(desk.object("news")));
         }
         warmUp = new WarmUp(settings);
     }
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public List<Loop.Core> steppers() {
+    public List<Loop.Stepper> steppers() {
         return List.of(engine);
     }
 
@@ -122,14 +122,14 @@
 
     @Override
     public InetSocketAddress listen() throws IOException {
-        return loop.listen(listenAddress, 2 * maxConnections, clients.places(), clients::comer);
+        return loop.listen(listenAddress, 2 * maxConnections, clients.places(), clients::newHandler);
     }
 
     /**
      * Reads the addresses of discovery and the desk from a reloaded configuration; all other settings stay until a
      * restart. Returns the change to apply on the loop.
      */
-    public Runnable reread(Fields config) throws Malformed {
+    public Runnable reload(Fields config) throws Malformed {
         InetSocketAddress discoveryAddress = config.address("discovery");
         InetSocketAddress deskAddress = config.object("rollouts").address("address");
         // The supervisor may derive its stop timeout from the old or the new file: the shorter deadline is within
@@ -145,10 +145,10 @@
     }
 
     @Override
-    public void shareLoad(Shared sharing) {
-        sharing.figures(discovery.out());
-        discovery.others(sharing.others());
-        loop.at(loop.now() + sharing.every(), () -> shareLoad(sharing));
+    public void shareLoad(LoadSharing sharing) {
+        sharing.publish(discovery.out());
+        discovery.others(sharing.othersInFlight());
+        loop.schedule(loop.now() + sharing.interval(), () -> shareLoad(sharing));
     }
 
     @Override
@@ -158,23 +158,23 @@
 
     @Override
     public void shutDown(ShutdownSchedule schedule) {
-        loop.gather(() -> rules.shutdownStarted(schedule));
+        loop.defer(() -> rules.shutdownStarted(schedule));
         clients.shutDown(schedule);
     }
 
     @Override
     public void closeBetweenRpcs() {
-        clients.leave();
+        clients.closeBetweenRpcs();
     }
 
     @Override
     public void setDrained(boolean isDrained) {
-        clients.drain(isDrained);
+        clients.setDrained(isDrained);
     }
 
     @Override
     public int connectionCount() {
-        return clients.count();
+        return clients.connectionCount();
     }
 
     @Override
--- a/src/main/java/honeygap/net/Protocol.java
+++ b/src/main/java/honeygap/net/Protocol.java
@@ -11,7 +11,7 @@
 public interface Protocol extends Counters.Group {
 
     /** The components that the loop drives. */
-    List<Loop.Core> steppers();
+    List<Loop.Stepper> steppers();
 
     /** Runs code paths in advance, before the loop starts. */
     default void warmUp() {
@@ -41,7 +41,7 @@
     void setDrained(boolean isDrained);
 
     /** Starts exchanging load figures with other agents; on the loop. */
-    default void shareLoad(Shared sharing) {
+    default void shareLoad(LoadSharing sharing) {
     }
 
     /** The number of client connections, including those that will be closed once their output is written. */
--- a/src/main/java/honeygap/net/Tap.java
+++ b/src/main/java/honeygap/net/TrafficListener.java
@@ -7,7 +7,7 @@
  * Receives the traffic on all connections of a loop. Called on the loop's thread, it must return quickly and must not
  * block. The buffers are valid until the call returns and must not be modified.
  */
-public interface Tap {
+public interface TrafficListener {
 
     /** A connection was opened; inbound if the remote side opened it. */
     void opened(long connection, SocketAddress local, SocketAddress remote, boolean isInbound);
--- a/src/main/java/honeygap/net/appliances/PostgresConnection.java
+++ b/src/main/java/honeygap/net/appliances/PostgresConnection.java
@@ -1,10 +1,10 @@
 package honeygap.net.appliances;
 
 import honeygap.fleet.Pick;
-import honeygap.net.Gathered;
+import honeygap.net.GatheringBuffer;
 import honeygap.net.links.UpstreamConnection;
 import honeygap.net.links.ConnectionPool;
-import honeygap.net.links.Remote;
+import honeygap.net.links.RemoteAppliance;
 import honeygap.net.pg.Frames;
 import honeygap.net.pg.Query;
 import honeygap.net.pg.Shapes;
@@ -34,19 +34,19 @@
     private final List<ByteBuffer> answerSlices = new ArrayList<>(3);
     private boolean rowSeen;
 
-    public PostgresConnection(ConnectionPool pool, Remote appliance) {
+    public PostgresConnection(ConnectionPool pool, RemoteAppliance appliance) {
         super(pool, appliance);
     }
 
     @Override
     protected void startProtocol() {
-        session.write(new Gathered(Words.startup()));
+        session.write(new GatheringBuffer(Words.startup()));
     }
 
     @Override
     protected void sendProbe() {
         expectedTypes = REQUEST_TYPES;
-        session.write(new Gathered(Words.query("SELECT 1")));
+        session.write(new GatheringBuffer(Words.query("SELECT 1")));
     }
 
     @Override
@@ -55,7 +55,7 @@
         rowSeen = false;
         expectedTypes = REQUEST_TYPES;
         Query query = (Query) call;
-        session.write(new Gathered(Words.query(query.before(), pool.millisLeft(timeoutAt), query.after())));
+        session.write(new GatheringBuffer(Words.query(query.before(), pool.millisLeft(timeoutAt), query.after())));
     }
 
     @Override
--- a/src/main/java/honeygap/net/askers/Askers.java
+++ b/src/main/java/honeygap/net/askers/Askers.java
@@ -2,9 +2,9 @@
 
 import honeygap.fleet.Method;
 import honeygap.net.Counters;
-import honeygap.net.Front;
+import honeygap.net.Downstream;
 import honeygap.net.Loop;
-import honeygap.net.Peer;
+import honeygap.net.ConnectionHandler;
 import honeygap.net.guests.Guests;
 import honeygap.net.http.Refusal;
 import honeygap.net.ofrep.Exchange;
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 
 /** All connections of flag clients to this agent. */
-public final class Askers implements Front {
+public final class Askers implements Downstream {
 
     /** A connection without an open evaluation for this long may be closed; tenths of a millisecond. */
     private static final long IDLE_TIMEOUT = 600_000;
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public Peer comer() {
+    public ConnectionHandler newHandler() {
         return new FlagClientConnection(this);
     }
 
@@ -89,7 +89,7 @@
 
     /** Starts the shutdown of the process by this schedule. */
     public void shutDown(ShutdownSchedule schedule) {
-        shutdownLog.signalled(schedule, connections.countByStage());
+        shutdownLog.onSignal(schedule, connections.countByStage());
         connections.shutDown(schedule, tick);
     }
 
@@ -103,17 +103,17 @@
     }
 
     @Override
-    public void leave() {
+    public void closeBetweenRpcs() {
         connections.closeBetweenRpcs();
     }
 
     @Override
-    public void drain(boolean isDrained) {
+    public void setDrained(boolean isDrained) {
         connections.drain(isDrained);
     }
 
     @Override
-    public int count() {
+    public int connectionCount() {
         return connections.count();
     }
 
--- a/src/main/java/honeygap/net/askers/FlagClientConnection.java
+++ b/src/main/java/honeygap/net/askers/FlagClientConnection.java
@@ -236,7 +236,7 @@
 
     /** Detaches the open evaluation after it was answered or its client disconnected. */
     private void closeEvaluation() {
-        openEvaluation.guard.callOff();
+        openEvaluation.guard.cancel();
         openEvaluation = null;
     }
 
--- a/src/main/java/honeygap/net/clients/Clients.java
+++ b/src/main/java/honeygap/net/clients/Clients.java
@@ -6,11 +6,11 @@
 import honeygap.fleet.Pick;
 import honeygap.fleet.Tenant;
 import honeygap.net.Counters;
-import honeygap.net.Events;
-import honeygap.net.Front;
-import honeygap.net.LogBudget;
+import honeygap.net.EventLog;
+import honeygap.net.Downstream;
+import honeygap.net.LogRateLimiter;
 import honeygap.net.Loop;
-import honeygap.net.Peer;
+import honeygap.net.ConnectionHandler;
 import honeygap.net.guests.Guests;
 import honeygap.net.pg.Query;
 import honeygap.net.pg.Statement;
@@ -25,7 +25,7 @@
 import java.util.Map;
 
 /** All PostgreSQL client connections of this agent and the RPCs accepted from them. */
-public final class Clients implements Front {
+public final class Clients implements Downstream {
 
     /** The protocol allows closing a connection that has had no open RPC for this long; tenths of a millisecond. */
     private static final long IDLE_TIMEOUT = 20_000;
@@ -51,7 +51,7 @@
     final Statement statement = new Statement();
     private final Map<Method, String> methodNames = new HashMap<>();
     private final ShutdownLog shutdownLog;
-    private final LogBudget failureLogBudget;
+    private final LogRateLimiter failureLogBudget;
     private final Map<AbandonReason, Long> failuresByReason = new EnumMap<>(AbandonReason.class);
 
     /**
@@ -69,7 +69,7 @@
         this.methods = methods;
         methods.forEach((name, method) -> methodNames.put(method, name));
         shutdownLog = new ShutdownLog(loop);
-        failureLogBudget = new LogBudget(loop, MAX_FAILURE_LINES_PER_SECOND);
+        failureLogBudget = new LogRateLimiter(loop, MAX_FAILURE_LINES_PER_SECOND);
         connections = new Guests(loop, maxConnections, idleCloseThreshold, IDLE_TIMEOUT, shutdownLog);
         tick = Math.max(1, info.tenths("TickNs"));
         maxOpenRpcs = info.part("Ceilings").index("MaxOpen", Integer.MAX_VALUE);
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public Peer comer() {
+    public ConnectionHandler newHandler() {
         return new PgClientConnection(this);
     }
 
@@ -99,7 +99,7 @@
             duplicateIdCount++;
             return null;
         }
-        loop.rpcTaken();
+        loop.onRpcAccepted();
         long now = loop.clock();
         // One tick earlier, because the client's timeout started when it sent and the response takes time to arrive.
         long deadline = now + Math.max(0, Math.min(statement.timeMs() * 10, method.deadline) - tick);
@@ -108,7 +108,7 @@
                 statement.before(), statement.after());
         openRpcs.put(call.id, call);
         recordShutdownEvent(ShutdownEvent.TAKEN, call, client);
-        call.guard = loop.at(deadline + 2 * tick, () -> loop.post(() -> abortIfUnanswered(call)));
+        call.deadlineTimer = loop.schedule(deadline + 2 * tick, () -> loop.post(() -> abortIfUnanswered(call)));
         return call;
     }
 
@@ -116,9 +116,9 @@
     void submit(Query call) {
         if (openRpcs.size() > maxOpenRpcs) {
             call.closed = true;
-            loop.gather(() -> call.pushBack(0));
+            loop.defer(() -> call.pushBack(0));
         } else {
-            loop.gather(() -> rules.rpcReceived(call));
+            loop.defer(() -> rules.rpcReceived(call));
         }
     }
 
@@ -140,9 +140,9 @@
             return;
         }
         failuresByReason.merge(call.abandonReason, 1L, Long::sum);
-        if (failureLogBudget.allows()) {
+        if (failureLogBudget.tryAcquire()) {
             Pick lastPick = call.picks.isEmpty() ? null : call.picks.get(call.picks.size() - 1);
-            Events.givenUp(call.id, methodNames.get(call.method), call.abandonReason.outerName,
+            EventLog.logAbandonedRpc(call.id, methodNames.get(call.method), call.abandonReason.outerName,
                     lastPick == null ? -1 : lastPick.appliance.id, (call.deadline - loop.clock()) / TENTHS_PER_MS,
                     "list confirmed " + rules.listAge() / TENTHS_PER_MS + " ms ago, " + rules.coveredAppliances() + " appliances known to serve");
         }
@@ -155,7 +155,7 @@
 
     /** Starts the shutdown of the process by this schedule. */
     public void shutDown(ShutdownSchedule schedule) {
-        shutdownLog.signalled(schedule, connections.countByStage());
+        shutdownLog.onSignal(schedule, connections.countByStage());
         connections.shutDown(schedule, tick);
     }
 
@@ -166,11 +166,11 @@
 
     /** Notifies the rules that the client of this RPC has disconnected. */
     void abandoned(Query call) {
-        loop.gather(() -> rules.clientDisconnected(call));
+        loop.defer(() -> rules.clientDisconnected(call));
     }
 
     void removeRpc(Query call) {
-        Loop.holds(openRpcs.remove(call.id, call));
+        Loop.checkInvariant(openRpcs.remove(call.id, call));
     }
 
     void countMalformed() {
@@ -186,17 +186,17 @@
     }
 
     @Override
-    public void leave() {
+    public void closeBetweenRpcs() {
         connections.closeBetweenRpcs();
     }
 
     @Override
-    public void drain(boolean isDrained) {
+    public void setDrained(boolean isDrained) {
         connections.drain(isDrained);
     }
 
     @Override
-    public int count() {
+    public int connectionCount() {
         return connections.count();
     }
 
@@ -215,6 +215,6 @@
         counters.count("pushed back", pushedBackCount);
         counters.count("rescued", abortedByGuardCount);
         failuresByReason.forEach((reason, count) -> counters.count("given up: " + reason.outerName, count));
-        counters.count("given up, lines left out", failureLogBudget.leftOut());
+        counters.count("given up, lines left out", failureLogBudget.suppressed());
     }
 }
--- a/src/main/java/honeygap/net/clients/PgClientConnection.java
+++ b/src/main/java/honeygap/net/clients/PgClientConnection.java
@@ -205,7 +205,7 @@
 
     /** Detaches the open RPC from this connection after it was answered or its client disconnected. */
     private void closeCall() {
-        call.guard.callOff();
+        call.deadlineTimer.cancel();
         call.detachHandler();
         clients.removeRpc(call);
         call = null;
--- a/src/main/java/honeygap/net/desk/Ballots.java
+++ b/src/main/java/honeygap/net/desk/Ballots.java
@@ -3,7 +3,7 @@
 import honeygap.DecisionEngine;
 import honeygap.fleet.Build;
 import honeygap.fleet.Pick;
-import honeygap.net.Core;
+import honeygap.net.EngineAdapter;
 import honeygap.net.Counters;
 import honeygap.net.Loop;
 import honeygap.net.http.Answers;
@@ -14,7 +14,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Submits votes to the release desk, one at a time, and reports the result of each to the rules. */
-public final class Ballots implements Core.Poll, Counters.Group {
+public final class Ballots implements EngineAdapter.VoteSink, Counters.Group {
 
     /** The names of the verdicts in the desk's protocol, by value. */
     private static final String[] VERDICTS = {"none", "on", "hold", "back"};
@@ -67,13 +67,13 @@
 
         PendingVote(Build build) {
             this.build = build;
-            timeout = loop.at(loop.now() + responseTimeout, () -> endedUnanswered(true));
+            timeout = loop.schedule(loop.now() + responseTimeout, () -> endedUnanswered(true));
             connection = new Connection(loop, address, this, (end, isSent) -> endedUnanswered(isSent));
         }
 
         void close() {
             isClosed = true;
-            timeout.callOff();
+            timeout.cancel();
             connection.close();
         }
 
@@ -88,7 +88,7 @@
         private void reportFailure(int outcome) {
             if (!isClosed) {
                 close();
-                loop.gather(() -> rules.rolloutReported(build, 0, 0, 0, true, loop.now(), outcome));
+                loop.defer(() -> rules.rolloutReported(build, 0, 0, 0, true, loop.now(), outcome));
             }
         }
 
@@ -113,7 +113,7 @@
                     Runnable statusUpdate = statusParser.parseVoteResponse(text);
                     if (!isClosed) {
                         close();
-                        loop.gather(statusUpdate);
+                        loop.defer(statusUpdate);
                     }
                 } catch (Malformed e) {
                     endedUnanswered(true);
--- a/src/main/java/honeygap/net/desk/Bulletin.java
+++ b/src/main/java/honeygap/net/desk/Bulletin.java
@@ -43,7 +43,7 @@
         pendingUpdate = null;
         stream = new Stream(loop, address, "/bulletin", silenceTimeout, silenceTimeout, this::readLine, end -> {
             failures++;
-            reconnectTimer = loop.at(loop.now() + (long) (jitter() * silenceTimeout / 4), this::listen);
+            reconnectTimer = loop.schedule(loop.now() + (long) (jitter() * silenceTimeout / 4), this::listen);
         });
     }
 
@@ -55,7 +55,7 @@
         }
         stream.close();
         if (reconnectTimer != null) {
-            reconnectTimer.callOff();
+            reconnectTimer.cancel();
         }
         listen();
     }
@@ -77,7 +77,7 @@
         try {
             if (text.isEmpty()) {
                 if (pendingUpdate != null) {
-                    loop.gather(pendingUpdate);
+                    loop.defer(pendingUpdate);
                 }
                 eventType = "";
                 pendingUpdate = null;
--- a/src/main/java/honeygap/net/door/Door.java
+++ b/src/main/java/honeygap/net/door/Door.java
@@ -203,7 +203,7 @@
         Counters counters = agent.counters();
         return json(out -> {
             out.writeBooleanField("drained", agent.isDrained());
-            out.writeNumberField("clients", agent.clients());
+            out.writeNumberField("clients", agent.clientConnections());
             out.writeObjectFieldStart("counters");
             for (Map.Entry<String, Map<String, Long>> group : counters.groups().entrySet()) {
                 out.writeObjectFieldStart(group.getKey());
@@ -252,9 +252,9 @@
     private Runnable effect(String action, String argument) throws Refusal {
         switch (action) {
             case "drain":
-                return () -> agent.drain(true);
+                return () -> agent.setDrained(true);
             case "undrain":
-                return () -> agent.drain(false);
+                return () -> agent.setDrained(false);
             case "update":
                 return reloadFiles;
             default:
--- a/src/main/java/honeygap/net/guests/Guest.java
+++ b/src/main/java/honeygap/net/guests/Guest.java
@@ -1,8 +1,8 @@
 package honeygap.net.guests;
 
-import honeygap.net.Gathered;
+import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
-import honeygap.net.Peer;
+import honeygap.net.ConnectionHandler;
 import honeygap.net.shutdown.ShutdownEvent;
 import java.nio.ByteBuffer;
 import java.util.Locale;
@@ -13,7 +13,7 @@
  * connections, and writes to it. RPCs are processed one at a time; each is answered completely before the next
  * one is read.
  */
-public abstract class Guest implements Peer {
+public abstract class Guest implements ConnectionHandler {
 
     /**
      * How long a connection may stay in one stage before it is sent an error or closed, counted from its accept
@@ -182,15 +182,15 @@
         stage = next;
         stageSince = loop.clock();
         if (stageTimer != null) {
-            stageTimer.callOff();
+            stageTimer.cancel();
             stageTimer = null;
         }
         if (next != Stage.REST && next != Stage.ANSWER) {
             // The second timer lets an agent that was itself suspended read the input received meanwhile.
             long start = next == Stage.UNREAD || hasReceivedRequest ? loop.clock() : earliestAcceptedAt;
-            stageTimer = loop.at(start + (next == Stage.HALF && hasReceivedRequest ? PARTIAL_REQUEST_TIMEOUT
+            stageTimer = loop.schedule(start + (next == Stage.HALF && hasReceivedRequest ? PARTIAL_REQUEST_TIMEOUT
                             : STAGE_TIMEOUT - 2 * STAGE_GRACE),
-                    () -> stageTimer = loop.at(loop.now() + STAGE_GRACE, this::stageTimedOut));
+                    () -> stageTimer = loop.schedule(loop.now() + STAGE_GRACE, this::stageTimedOut));
         }
         connections.updateAwaitingInput(this, next == Stage.START || next == Stage.HALF);
     }
@@ -230,7 +230,7 @@
      * during the close would be read and dropped. Returns whether the connection was closed.
      */
     final boolean closeIdle() {
-        ByteBuffer next = loop.unread(session);
+        ByteBuffer next = loop.readPending(session);
         if (next.hasRemaining()) {
             received(next);
             return false;
@@ -288,7 +288,7 @@
     protected final void write(ByteBuffer... parts) {
         if (!disconnected) {
             writing = true;
-            session.write(new Gathered(parts));
+            session.write(new GatheringBuffer(parts));
         }
     }
 
--- a/src/main/java/honeygap/net/guests/Guests.java
+++ b/src/main/java/honeygap/net/guests/Guests.java
@@ -148,7 +148,7 @@
      */
     public void shutDown(ShutdownSchedule schedule, long tick) {
         isShuttingDown = true;
-        loop.at(schedule.answersBy() + 2 * tick,
+        loop.schedule(schedule.answersBy() + 2 * tick,
                 () -> loop.post(() -> new ArrayList<>(connections).forEach(Guest::endForShutdown)));
     }
 
@@ -160,7 +160,7 @@
         } else if (idle.add(connection)) {
             connection.idleSince = loop.now();
             if (idleTimer == null) {
-                idleTimer = loop.at(loop.now() + idleTimeout, this::closeExpiredIdle);
+                idleTimer = loop.schedule(loop.now() + idleTimeout, this::closeExpiredIdle);
             }
             if (connections.size() > idleCloseThreshold) {
                 // Guards against clients that send one request per connection: they could open no more until others
@@ -184,7 +184,7 @@
         while (!idle.isEmpty()) {
             Guest longestIdle = idle.iterator().next();
             if (longestIdle.idleSince + idleTimeout > loop.now()) {
-                idleTimer = loop.at(longestIdle.idleSince + idleTimeout, this::closeExpiredIdle);
+                idleTimer = loop.schedule(longestIdle.idleSince + idleTimeout, this::closeExpiredIdle);
                 return;
             }
             closeIdle(longestIdle);
@@ -196,7 +196,7 @@
         if (connection.hadTimeForFirstRpc()) {
             closeIfInactive(connection);
         } else {
-            loop.at(connection.firstRpcDeadline(), () -> closeIfInactive(connection));
+            loop.schedule(connection.firstRpcDeadline(), () -> closeIfInactive(connection));
         }
     }
 
--- a/src/main/java/honeygap/net/http/Connection.java
+++ b/src/main/java/honeygap/net/http/Connection.java
@@ -1,8 +1,8 @@
 package honeygap.net.http;
 
-import honeygap.net.Gathered;
+import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
-import honeygap.net.Peer;
+import honeygap.net.ConnectionHandler;
 import honeygap.read.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -11,7 +11,7 @@
 import org.apache.mina.core.session.IoSession;
 
 /** A client connection to an HTTP/1.1 server: sends one request at a time and parses the responses. */
-public final class Connection implements Peer {
+public final class Connection implements ConnectionHandler {
 
     /** Notified of how the connection ended and whether the last request had been completely written. */
     public interface EndListener {
@@ -56,7 +56,7 @@
         if (session == null) {
             unsent = bytes;
         } else {
-            session.write(new Gathered(bytes));
+            session.write(new GatheringBuffer(bytes));
         }
     }
 
@@ -66,7 +66,7 @@
         if (ended) {
             session.closeNow();
         } else if (unsent != null) {
-            session.write(new Gathered(unsent));
+            session.write(new GatheringBuffer(unsent));
             unsent = null;
         }
     }
@@ -101,7 +101,7 @@
         try {
             parser.close();
         } catch (Malformed e) {
-            Loop.fault(e);
+            Loop.reportFault(e);
         }
         end(ConnectionEnd.CLOSED);
     }
@@ -120,7 +120,7 @@
         }
         ended = true;
         if (session != null) {
-            loop.cut(session);
+            loop.closeAbruptly(session);
         } else {
             connecting.cancel();
         }
--- a/src/main/java/honeygap/net/http/Stream.java
+++ b/src/main/java/honeygap/net/http/Stream.java
@@ -38,7 +38,7 @@
         this.silenceTimeout = silenceTimeout;
         this.listener = listener;
         lines = new Lines(lineHandler);
-        timeoutTimer = loop.at(loop.now() + headTimeout, () -> endWith(StreamEnd.Cause.NO_ANSWER));
+        timeoutTimer = loop.schedule(loop.now() + headTimeout, () -> endWith(StreamEnd.Cause.NO_ANSWER));
         connection = new Connection(loop, address, this, (end, requestWritten) -> endWith(cause(end)));
         connection.get(path);
     }
@@ -46,7 +46,7 @@
     /** Closes the stream without notifying the listener. */
     public void close() {
         ended = true;
-        timeoutTimer.callOff();
+        timeoutTimer.cancel();
         connection.close();
     }
 
@@ -87,8 +87,8 @@
     }
 
     private void restartSilenceTimer() {
-        timeoutTimer.callOff();
-        timeoutTimer = loop.at(loop.now() + silenceTimeout, () -> endWith(StreamEnd.Cause.SILENT));
+        timeoutTimer.cancel();
+        timeoutTimer = loop.schedule(loop.now() + silenceTimeout, () -> endWith(StreamEnd.Cause.SILENT));
     }
 
     @Override
--- a/src/main/java/honeygap/net/links/ConnectionPool.java
+++ b/src/main/java/honeygap/net/links/ConnectionPool.java
@@ -3,10 +3,10 @@
 import honeygap.DecisionEngine;
 import honeygap.fleet.Appliance;
 import honeygap.fleet.Pick;
-import honeygap.net.Back;
+import honeygap.net.Upstream;
 import honeygap.net.Call;
 import honeygap.net.Counters;
-import honeygap.net.Events;
+import honeygap.net.EventLog;
 import honeygap.net.Loop;
 import honeygap.net.OncePerSecond;
 import java.util.ArrayList;
@@ -16,14 +16,14 @@
 import java.util.function.BiFunction;
 
 /** The pool of connections to all appliances of one protocol. */
-public final class ConnectionPool implements Back {
+public final class ConnectionPool implements Upstream {
 
     /** This agent closes idle connections after this fraction of the appliances' own idle timeout. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
     final Loop loop;
     private final DecisionEngine rules;
-    private final BiFunction<ConnectionPool, Remote, UpstreamConnection> connectionFactory;
+    private final BiFunction<ConnectionPool, RemoteAppliance, UpstreamConnection> connectionFactory;
     final long tick;
     final long connectTimeout;
     final long idleTimeout;
@@ -40,7 +40,7 @@
      * appliances. The factory creates connections of the protocol.
      */
     public ConnectionPool(Loop loop, DecisionEngine rules,
-                          BiFunction<ConnectionPool, Remote, UpstreamConnection> connectionFactory, long tick,
+                          BiFunction<ConnectionPool, RemoteAppliance, UpstreamConnection> connectionFactory, long tick,
                           long connectTimeout, long applianceIdleTimeout, int maxConnections) {
         this.loop = loop;
         this.rules = rules;
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public Appliance appliance(long id) {
-        return new Remote(id);
+    public Appliance newAppliance(long id) {
+        return new RemoteAppliance(id);
     }
 
     /** Whole milliseconds left until a time, at least one. */
@@ -66,7 +66,7 @@
     @Override
     public void pick(Call call, Appliance appliance, long timeout) {
         int pickIndex = call.picks.size() - 1;
-        UpstreamConnection connection = acquire((Remote) appliance);
+        UpstreamConnection connection = acquire((RemoteAppliance) appliance);
         if (connection == null) {
             reportEnded(call, pickIndex, Pick.NOT_EXECUTED);
             return;
@@ -81,14 +81,14 @@
      */
     @Override
     public void probe(Appliance appliance) {
-        UpstreamConnection connection = acquire((Remote) appliance);
+        UpstreamConnection connection = acquire((RemoteAppliance) appliance);
         if (connection != null) {
             connection.probe();
             connection.connect(connectTimeout);
         }
     }
 
-    private UpstreamConnection acquire(Remote appliance) {
+    private UpstreamConnection acquire(RemoteAppliance appliance) {
         UpstreamConnection connection = pollIdle(appliance);
         while (connection != null && !connection.hasNoPendingInput()) {
             discardedWithInput++;
@@ -107,7 +107,7 @@
      * Prefers the most recently used connection whose pause after its last answer is over. Some appliances close a
      * connection, or send more, just after an answer: a request written then is lost and may have run.
      */
-    private static UpstreamConnection pollIdle(Remote appliance) {
+    private static UpstreamConnection pollIdle(RemoteAppliance appliance) {
         Iterator<UpstreamConnection> idle = appliance.idleConnections.descendingIterator();
         while (idle.hasNext()) {
             UpstreamConnection connection = idle.next();
@@ -137,8 +137,8 @@
     }
 
     @Override
-    public void dropIdle(Appliance appliance) {
-        for (UpstreamConnection connection : new ArrayList<>(((Remote) appliance).idleConnections)) {
+    public void closeIdle(Appliance appliance) {
+        for (UpstreamConnection connection : new ArrayList<>(((RemoteAppliance) appliance).idleConnections)) {
             connection.close(Pick.CANCELLED);
         }
     }
@@ -147,7 +147,7 @@
         if (!connection.isCurrent()) {
             // A connection to the previous process must not return to the pool: its picks would be attributed to the
             // new build.
-            loop.gather(() -> connection.close(Pick.CANCELLED));
+            loop.defer(() -> connection.close(Pick.CANCELLED));
         } else {
             connection.appliance().idleConnections.addLast(connection);
         }
@@ -162,14 +162,14 @@
         outcomeCounts[outcome]++;
         long lag = loop.clock() - call.picks.get(pickIndex).sentAt;
         boolean closed = call.closed || outcome == Pick.OK;
-        loop.gather(() -> rules.pickEnded(call, pickIndex, outcome, closed, lag));
+        loop.defer(() -> rules.pickEnded(call, pickIndex, outcome, closed, lag));
     }
 
     /** Counts an answer that could not be parsed and logs it at a limited rate, with the pick that it was for. */
-    void reportMalformed(Call call, int pick, Remote appliance, String cause) {
+    void reportMalformed(Call call, int pick, RemoteAppliance appliance, String cause) {
         malformedAnswers++;
         if (malformedLogLimiter.isDue()) {
-            Events.logPick(call == null ? "none" : call.id, call == null ? -1 : pick, appliance.id, appliance.address
+            EventLog.logPick(call == null ? "none" : call.id, call == null ? -1 : pick, appliance.id, appliance.address
                     + " sent a malformed answer: " + cause);
         }
     }
--- a/src/main/java/honeygap/net/links/UpstreamConnection.java
+++ b/src/main/java/honeygap/net/links/UpstreamConnection.java
@@ -4,7 +4,7 @@
 import honeygap.fleet.Pick;
 import honeygap.net.Call;
 import honeygap.net.Loop;
-import honeygap.net.Peer;
+import honeygap.net.ConnectionHandler;
 import honeygap.read.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -16,7 +16,7 @@
  * to the system, the pick may have run, whatever happens later; before that it has certainly not run. Subclasses
  * implement the protocol.
  */
-public abstract class UpstreamConnection implements Peer {
+public abstract class UpstreamConnection implements ConnectionHandler {
 
     /**
      * The pause after an answer, in tenths of a millisecond: a duplicate of the answer may arrive some milliseconds
@@ -25,7 +25,7 @@
     private static final long LATE_DUPLICATE = 200;
 
     protected final ConnectionPool pool;
-    protected final Remote appliance;
+    protected final RemoteAppliance appliance;
     protected IoSession session;
     /** The connection is established and the protocol's startup is complete. */
     protected boolean isReady;
@@ -44,7 +44,7 @@
     private Loop.Timer timer;
     private long idleSince;
 
-    protected UpstreamConnection(ConnectionPool pool, Remote appliance) {
+    protected UpstreamConnection(ConnectionPool pool, RemoteAppliance appliance) {
         this.pool = pool;
         this.appliance = appliance;
     }
@@ -67,7 +67,7 @@
     protected void onIdle() {
     }
 
-    final Remote appliance() {
+    final RemoteAppliance appliance() {
         return appliance;
     }
 
@@ -104,7 +104,7 @@
     /** Accepts a pick, to be sent as soon as the connection is ready. */
     final void execute(Call call, int pickIndex, long timeout) {
         // One pick at a time, never on a closed connection, nor for an RPC that has been answered.
-        Loop.holds(!isClosed && this.call == null && !isProbing && !call.isAnswered());
+        Loop.checkInvariant(!isClosed && this.call == null && !isProbing && !call.isAnswered());
         this.call = call;
         this.pickIndex = pickIndex;
         timeoutAt = pool.loop.now() + timeout;
@@ -265,9 +265,9 @@
     /** Sets what happens at a time unless another event replaces it first. */
     private void setTimeout(long time, Runnable action) {
         if (timer != null) {
-            timer.callOff();
+            timer.cancel();
         }
-        timer = pool.loop.at(time, action);
+        timer = pool.loop.schedule(time, action);
     }
 
     /** Closes the connection at once; a current pick ends with this outcome. */
@@ -276,9 +276,9 @@
             return;
         }
         isClosed = true;
-        timer.callOff();
+        timer.cancel();
         if (session != null) {
-            pool.loop.cut(session);
+            pool.loop.closeAbruptly(session);
         } else if (connectFuture != null) {
             connectFuture.cancel();
         }
--- a/src/main/java/honeygap/net/list/Named.java
+++ b/src/main/java/honeygap/net/list/Named.java
@@ -5,10 +5,10 @@
 import honeygap.fleet.Build;
 import honeygap.fleet.Fleet;
 import honeygap.fleet.Zone;
-import honeygap.net.Back;
-import honeygap.net.Core;
+import honeygap.net.Upstream;
+import honeygap.net.EngineAdapter;
 import honeygap.net.Counters;
-import honeygap.net.links.Remote;
+import honeygap.net.links.RemoteAppliance;
 import honeygap.read.FlagSheet;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,19 +20,19 @@
 import java.util.function.IntPredicate;
 
 /** The servers listed statically in the operator's configuration file, published to a decision module. */
-public final class Named implements Core.Directory, Counters.Group {
+public final class Named implements EngineAdapter.ListSource, Counters.Group {
 
     private final DecisionEngine rules;
-    private final Back back;
+    private final Upstream back;
     private final IntFunction<Build> builds;
-    private final Map<String, Remote> remotes = new HashMap<>();
+    private final Map<String, RemoteAppliance> remotes = new HashMap<>();
     private final Map<String, Zone> locations = new HashMap<>();
     private List<FlagSheet.Named> servers = List.of();
     private IntPredicate buildFilter = build -> true;
     private long nextId;
     private boolean isFirstList = true;
 
-    public Named(DecisionEngine rules, Back back, IntFunction<Build> builds) {
+    public Named(DecisionEngine rules, Upstream back, IntFunction<Build> builds) {
         this.rules = rules;
         this.back = back;
         this.builds = builds;
@@ -52,21 +52,21 @@
      */
     public void tell(IntPredicate buildFilter, long now) {
         this.buildFilter = buildFilter;
-        List<Remote> listed = new ArrayList<>();
+        List<RemoteAppliance> listed = new ArrayList<>();
         rules.listStarted(true, false);
         for (FlagSheet.Named server : servers) {
             if (!buildFilter.test(server.build())) {
                 continue;
             }
-            Remote remote = remotes.get(server.name());
+            RemoteAppliance remote = remotes.get(server.name());
             Build build = builds.apply(server.build());
             boolean isNew = remote == null;
             if (isNew) {
-                remote = (Remote) back.appliance(nextId++);
+                remote = (RemoteAppliance) back.newAppliance(nextId++);
                 remote.startedAt = isFirstList ? Fleet.LONG_AGO : now;
                 remotes.put(server.name(), remote);
             } else if (remote.build != build || !server.address().equals(remote.address)) {
-                back.dropIdle(remote);
+                back.closeIdle(remote);
                 remote.startedAt = now;
             }
             remote.address = server.address();
@@ -78,7 +78,7 @@
         isFirstList &= listed.isEmpty();
         remotes.values().forEach(remote -> {
             if (!listed.contains(remote) || remote.state != Appliance.UP) {
-                back.dropIdle(remote);
+                back.closeIdle(remote);
             }
         });
         remotes.values().removeIf(remote -> !listed.contains(remote));
--- a/src/main/java/honeygap/net/list/Registry.java
+++ b/src/main/java/honeygap/net/list/Registry.java
@@ -6,14 +6,14 @@
 import honeygap.fleet.Appliance;
 import honeygap.fleet.Build;
 import honeygap.fleet.Zone;
-import honeygap.net.Back;
-import honeygap.net.Core;
+import honeygap.net.Upstream;
+import honeygap.net.EngineAdapter;
 import honeygap.net.Counters;
 import honeygap.net.Loop;
 import honeygap.net.OncePerSecond;
 import honeygap.net.http.Stream;
 import honeygap.net.http.StreamEnd;
-import honeygap.net.links.Remote;
+import honeygap.net.links.RemoteAppliance;
 import honeygap.read.Fields;
 import honeygap.read.Malformed;
 import java.io.IOException;
@@ -33,7 +33,7 @@
  * Client of the discovery service: applies the initial list from disk, watches the list for changes and fetches the
  * complete list on demand.
  */
-public final class Registry implements Core.Directory, Counters.Group {
+public final class Registry implements EngineAdapter.ListSource, Counters.Group {
 
     /** Discovery sends a heartbeat this often while nothing changes, in tenths of a millisecond. */
     private static final long HEARTBEAT_INTERVAL = 20_000;
@@ -42,13 +42,13 @@
 
     private final Loop loop;
     private final DecisionEngine rules;
-    private final Back back;
+    private final Upstream back;
     private final IntFunction<Build> builds;
     private InetSocketAddress address;
     private final long responseTimeout;
     private final StartTimes startTimes;
     private final JsonFactory jsonFactory = new JsonFactory();
-    private final Map<String, Remote> remotes = new HashMap<>();
+    private final Map<String, RemoteAppliance> remotes = new HashMap<>();
     private final Map<String, Zone> locations = new HashMap<>();
     private long version;
     private long nextId;
@@ -67,7 +67,7 @@
     private long olderLists;
 
     /** The lease of the list is in tenths of a millisecond, or 0 if there is none; calls time out after half of it. */
-    public Registry(Loop loop, DecisionEngine rules, Back back, IntFunction<Build> builds, InetSocketAddress address,
+    public Registry(Loop loop, DecisionEngine rules, Upstream back, IntFunction<Build> builds, InetSocketAddress address,
             long leaseDuration) {
         this.loop = loop;
         this.rules = rules;
@@ -89,7 +89,7 @@
     public void move(InetSocketAddress address) {
         this.address = address;
         acceptsOlder = true;
-        loop.gather(rules::discoveryMoved);
+        loop.defer(rules::discoveryMoved);
         if (watch != null) {
             watch();
         }
@@ -165,13 +165,13 @@
             // The heartbeat may have arrived at any time since this loop iteration began, so the list is confirmed
             // only as of that time.
             long asOf = loop.now();
-            loop.gather(() -> rules.listUnchanged(asOf));
+            loop.defer(() -> rules.listUnchanged(asOf));
         }
     }
 
     /** Discovery has accepted the watch; changes and heartbeats follow on it. */
     private void watchAccepted() {
-        loop.gather(rules::listCallAccepted);
+        loop.defer(rules::listCallAccepted);
     }
 
     private void callFailed(StreamEnd end) {
@@ -180,7 +180,7 @@
         if (failureLog.isDue()) {
             Logger.info("call to discovery failed: {}; version {}, {} failures so far", end.kind(), version, failures);
         }
-        loop.gather(rules::listCallFailed);
+        loop.defer(rules::listCallFailed);
     }
 
     private Fields parse(byte[] bytes, int length) throws Malformed {
@@ -219,7 +219,7 @@
         acceptsOlder = false;
         if (!isFromDisk) {
             long asOf = loop.now();
-            loop.gather(() -> rules.listConfirmed(asOf));
+            loop.defer(() -> rules.listConfirmed(asOf));
         }
         publish(entries, unreadableNames, isFull && haveAllNames, isFromDisk);
     }
@@ -258,19 +258,19 @@
     }
 
     private void publish(List<ListEntry> entries, Set<String> unreadableNames, boolean isFull, boolean isFromDisk) {
-        loop.gather(() -> {
+        loop.defer(() -> {
             rules.listStarted(isFull, isFromDisk);
             entries.forEach(this::publish);
             for (String name : unreadableNames) {
-                Remote remote = remotes.get(name);
+                RemoteAppliance remote = remotes.get(name);
                 if (remote != null && remote.state != Appliance.REMOVED) {
                     rules.applianceListed(remote, remote.build, remote.zone, remote.cell, remote.state, remote.startedAt);
                 }
             }
             rules.listCompleted();
-            for (Remote remote : remotes.values()) {
+            for (RemoteAppliance remote : remotes.values()) {
                 if (remote.state != Appliance.UP) {
-                    back.dropIdle(remote);
+                    back.closeIdle(remote);
                 }
             }
             remotes.values().removeIf(remote -> remote.state == Appliance.REMOVED && remote.limit.inFlight == 0);
@@ -279,15 +279,15 @@
 
     private void publish(ListEntry entry) {
         boolean isKnown = remotes.containsKey(entry.name());
-        Remote remote = remotes.computeIfAbsent(entry.name(), name -> (Remote) back.appliance(nextId++));
+        RemoteAppliance remote = remotes.computeIfAbsent(entry.name(), name -> (RemoteAppliance) back.newAppliance(nextId++));
         // Compares the wall-clock times as listed: after a clock step the converted monotonic time differs, which would
         // look like a restart.
-        boolean hasStarted = !isKnown || remote.sinceMs != entry.startedAtMs();
+        boolean hasStarted = !isKnown || remote.processStartedMs != entry.startedAtMs();
         long startedAt = hasStarted ? startTimes.toMonotonic(entry.startedAtMs()) : remote.startedAt;
-        remote.sinceMs = entry.startedAtMs();
+        remote.processStartedMs = entry.startedAtMs();
         boolean hasMoved = entry.address() != null && !entry.address().equals(remote.address);
         if (hasMoved || hasStarted) {
-            back.dropIdle(remote);
+            back.closeIdle(remote);
         }
         remote.address = entry.address() != null ? entry.address() : remote.address;
         Zone location = locations.computeIfAbsent(entry.zone(), name -> new Zone());
--- a/src/main/java/honeygap/net/ofrep/Ask.java
+++ b/src/main/java/honeygap/net/ofrep/Ask.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void picked(Appliance appliance) {
+    public void onPick(Appliance appliance) {
         dispatcher.picked(this, appliance);
     }
 
@@ -38,7 +38,7 @@
         int outcome = dispatcher.responseReceived(this, appliance,
                 Bodies.parseResponse(status, body, request().flag, isTracking));
         if (outcome == Pick.OK) {
-            once();
+            markAnswered();
         }
         return outcome;
     }
@@ -50,13 +50,13 @@
 
     @Override
     public void pushBack(long retryAfter) {
-        once();
+        markAnswered();
         dispatcher.callFailed(this, true, retryAfter);
     }
 
     @Override
     public void abort() {
-        once();
+        markAnswered();
         dispatcher.callFailed(this, false, 0);
     }
 }
--- a/src/main/java/honeygap/net/ofrep/Exchange.java
+++ b/src/main/java/honeygap/net/ofrep/Exchange.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 
 /** Connects client evaluations with RPCs to flag servers: executes the decisions of {@code Answers}. */
-public final class Exchange implements Answers.Out, Loop.Core, Counters.Group {
+public final class Exchange implements Answers.Out, Loop.Stepper, Counters.Group {
 
     private static final int MAX_TENANTS = 10_000;
 
@@ -46,19 +46,19 @@
 
     /** Submits a client's evaluation; a timer aborts it two ticks after its deadline if it has not ended by then. */
     public void submit(PendingEvaluation evaluation, long tick) {
-        evaluation.guard = loop.at(evaluation.deadline + 2 * tick, () -> loop.post(() -> {
+        evaluation.guard = loop.schedule(evaluation.deadline + 2 * tick, () -> loop.post(() -> {
             if (!evaluation.isEnded()) {
                 abortedByGuardCount++;
                 answers.left(evaluation);
                 evaluation.abort();
             }
         }));
-        loop.gather(() -> answers.asked(evaluation));
+        loop.defer(() -> answers.asked(evaluation));
     }
 
     /** Abandons an evaluation whose client has disconnected or that the shutdown ends. */
     public void abandon(PendingEvaluation evaluation) {
-        loop.gather(() -> answers.left(evaluation));
+        loop.defer(() -> answers.left(evaluation));
     }
 
     /** A server asked for no requests during this many tenths of a millisecond. */
@@ -80,17 +80,17 @@
     }
 
     void callFailed(Ask call, boolean isPushedBack, long retryAfter) {
-        loop.gather(() -> answers.givenUp(call.shared, isPushedBack, retryAfter));
+        loop.defer(() -> answers.givenUp(call.shared, isPushedBack, retryAfter));
     }
 
     @Override
-    public void now(long now) {
+    public void startIteration(long now) {
         answers.now(now);
         limits.now(now);
     }
 
     @Override
-    public boolean next() {
+    public boolean step() {
         return answers.next(this);
     }
 
@@ -99,12 +99,12 @@
         String flag = shared.question.flag == null ? "" : shared.question.flag;
         Ask call = new Ask("f" + callCount++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
         shared.rpc = call;
-        loop.gather(() -> rules.rpcReceived(call));
+        loop.defer(() -> rules.rpcReceived(call));
     }
 
     @Override
     public void drop(Shared shared) {
-        loop.gather(() -> rules.clientDisconnected(shared.rpc));
+        loop.defer(() -> rules.clientDisconnected(shared.rpc));
     }
 
     @Override
@@ -124,7 +124,7 @@
 
     @Override
     public void wake(long delay) {
-        loop.at(loop.now() + delay, answers::woken);
+        loop.schedule(loop.now() + delay, answers::woken);
     }
 
     @Override
--- a/src/main/java/honeygap/net/pg/Query.java
+++ b/src/main/java/honeygap/net/pg/Query.java
@@ -57,7 +57,7 @@
 
     /** Final answer: ok, with the row received from the appliance. */
     public void answer(ByteBuffer... row) {
-        once();
+        markAnswered();
         if (responseHandler != null) {
             responseHandler.answer(row);
         }
@@ -65,7 +65,7 @@
 
     @Override
     public void pushBack(long retryAfter) {
-        once();
+        markAnswered();
         if (responseHandler != null) {
             responseHandler.pushBack((retryAfter + 9) / 10);
         }
@@ -73,7 +73,7 @@
 
     @Override
     public void abort() {
-        once();
+        markAnswered();
         if (responseHandler != null) {
             responseHandler.abort();
         }
--- a/src/main/java/honeygap/net/servers/FlagServerConnection.java
+++ b/src/main/java/honeygap/net/servers/FlagServerConnection.java
@@ -2,11 +2,11 @@
 
 import honeygap.flags.Served;
 import honeygap.fleet.Pick;
-import honeygap.net.Gathered;
+import honeygap.net.GatheringBuffer;
 import honeygap.net.http.Answers;
 import honeygap.net.links.UpstreamConnection;
 import honeygap.net.links.ConnectionPool;
-import honeygap.net.links.Remote;
+import honeygap.net.links.RemoteAppliance;
 import honeygap.net.ofrep.Ask;
 import honeygap.read.Malformed;
 import java.nio.ByteBuffer;
@@ -40,7 +40,7 @@
     private boolean isComplete;
 
     /** Answers longer than the limit are rejected. */
-    public FlagServerConnection(ConnectionPool pool, Remote appliance, int maxAnswerBytes) {
+    public FlagServerConnection(ConnectionPool pool, RemoteAppliance appliance, int maxAnswerBytes) {
         super(pool, appliance);
         this.maxAnswerBytes = maxAnswerBytes;
     }
@@ -67,7 +67,7 @@
         closesAfterAnswer = false;
         retryAfterHeader = null;
         dateHeader = null;
-        session.write(new Gathered(((Ask) call).request().parts(hostHeader)));
+        session.write(new GatheringBuffer(((Ask) call).request().parts(hostHeader)));
     }
 
     @Override
--- a/src/main/java/honeygap/net/shutdown/ShutdownLog.java
+++ b/src/main/java/honeygap/net/shutdown/ShutdownLog.java
@@ -1,7 +1,7 @@
 package honeygap.net.shutdown;
 
 import honeygap.net.Counters;
-import honeygap.net.LogBudget;
+import honeygap.net.LogRateLimiter;
 import honeygap.net.Loop;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.util.LinkedHashMap;
@@ -20,17 +20,17 @@
     private static final long TENTHS_PER_MS = 10;
 
     private final Loop loop;
-    private final LogBudget logLimiter;
+    private final LogRateLimiter logLimiter;
     private final Map<String, Long> counts = new LinkedHashMap<>();
     private ShutdownSchedule schedule;
 
     public ShutdownLog(Loop loop) {
         this.loop = loop;
-        logLimiter = new LogBudget(loop, LINES_PER_SECOND);
+        logLimiter = new LogRateLimiter(loop, LINES_PER_SECOND);
     }
 
     /** A shutdown was requested; the argument has the open connections by stage. */
-    public void signalled(ShutdownSchedule newSchedule, Map<String, Long> connections) {
+    public void onSignal(ShutdownSchedule newSchedule, Map<String, Long> connections) {
         schedule = newSchedule;
         Logger.info("shutdown: signal heard, connections by stage {}; closing after {} ms, answers by {} ms, end by {} ms",
                 connections, millisSinceSignal(newSchedule.closesAt()), millisSinceSignal(newSchedule.answersBy()),
@@ -74,7 +74,7 @@
     private boolean countAndCheckLimit(ShutdownEvent event) {
         String phase = schedule.phase(loop.clock()).name().toLowerCase(Locale.ROOT);
         counts.merge(event.label + " while " + phase, 1L, Long::sum);
-        return logLimiter.allows();
+        return logLimiter.tryAcquire();
     }
 
     private long millisSinceSignal(long time) {
@@ -85,6 +85,6 @@
     public void report(Counters counters) {
         counters.count("signalled", isSignalled() ? 1 : 0);
         counts.forEach(counters::count);
-        counters.count("lines left out", logLimiter.leftOut());
+        counters.count("lines left out", logLimiter.suppressed());
     }
 }
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -1,7 +1,7 @@
 package honeygap.share.host;
 
 import honeygap.net.Counters;
-import honeygap.net.Shared;
+import honeygap.net.LoadSharing;
 import honeygap.net.door.Aside;
 import honeygap.net.http.Refusal;
 import honeygap.read.Malformed;
@@ -46,7 +46,7 @@
  * The event loop offers its load figures to a bounded queue and reads published results, so it never waits for a lock
  * in this class. A thread holds at most one lock at a time.
  */
-public final class Sites implements Aside, Shared, Counters.Group, AutoCloseable {
+public final class Sites implements Aside, LoadSharing, Counters.Group, AutoCloseable {
 
     /** Table names: member announcements, peers suspected by each process, and picks in flight per appliance. */
     private static final String MEMBERS = "members", SUSPECTS = "suspects", LOAD = "load";
@@ -127,20 +127,20 @@
     }
 
     @Override
-    public long every() {
+    public long interval() {
         return settings.roundInterval;
     }
 
     /** Figures that do not fit into the queue are dropped and counted. */
     @Override
-    public void figures(Map<String, Integer> loads) {
+    public void publish(Map<String, Integer> loads) {
         if (!pendingLoads.offer(loads)) {
             droppedLoads.incrementAndGet();
         }
     }
 
     @Override
-    public Map<String, Double> others() {
+    public Map<String, Double> othersInFlight() {
         return remoteLoads;
     }
 
--- a/src/test/java/honeygap/bench/Forwarder.java
+++ b/src/test/java/honeygap/bench/Forwarder.java
@@ -1,8 +1,8 @@
 package honeygap.bench;
 
-import honeygap.net.Gathered;
+import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
-import honeygap.net.Peer;
+import honeygap.net.ConnectionHandler;
 import honeygap.net.http.Answers;
 import honeygap.net.http.Refusal;
 import honeygap.net.http.Requests;
@@ -44,7 +44,7 @@
         Thread.currentThread().join();
     }
 
-    private final class ClientConnection implements Peer {
+    private final class ClientConnection implements ConnectionHandler {
 
         private final Requests requestParser = new Requests(65_536);
         private IoSession session;
@@ -79,7 +79,7 @@
         }
 
         void respond(int status, byte[] body) {
-            session.write(new Gathered(ByteBuffer.wrap(("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length
+            session.write(new GatheringBuffer(ByteBuffer.wrap(("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length
                     + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII)), ByteBuffer.wrap(body)));
         }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    private final class ServerConnection implements Peer, Answers.Reader {
+    private final class ServerConnection implements ConnectionHandler, Answers.Reader {
 
         private final int serverIndex;
         private final Answers responseParser = new Answers(this);
@@ -110,14 +110,14 @@
             this.client = client;
             request = new ByteBuffer[] {ByteBuffer.wrap(head), ByteBuffer.wrap(requestBody)};
             if (session != null) {
-                session.write(new Gathered(request));
+                session.write(new GatheringBuffer(request));
             }
         }
 
         @Override
         public void opened(IoSession session) {
             this.session = session;
-            session.write(new Gathered(request));
+            session.write(new GatheringBuffer(request));
         }
 
         @Override
--- a/src/test/java/honeygap/capture/RoundTripTest.java
+++ b/src/test/java/honeygap/capture/RoundTripTest.java
@@ -22,9 +22,9 @@
 import honeygap.capture.tape.Ring;
 import honeygap.net.Agent;
 import honeygap.net.Counters;
-import honeygap.net.Flags;
+import honeygap.net.FlagProtocol;
 import honeygap.net.Loop;
-import honeygap.net.Queries;
+import honeygap.net.PostgresProtocol;
 import honeygap.read.Fields;
 import honeygap.read.FlagSheet;
 import honeygap.standin.FlagServer;
@@ -71,7 +71,7 @@
     @AfterEach
     void closeAll() throws IOException {
         if (agent != null) {
-            agent.end();
+            agent.close();
         }
         if (recorder != null) {
             recorder.close();
@@ -79,7 +79,7 @@
         for (StoreServer store : stores) {
             store.close();
         }
-        assertEquals(0, Loop.broken());
+        assertEquals(0, Loop.invariantViolations());
     }
 
     private void startAgent(Mask mask, int ringBytes, long maxFileBytes, int maxFiles) throws Exception {
@@ -106,8 +106,8 @@
         }
         Loop loop = new Loop();
         recorder = new Recorder(folder.resolve("recording"), "agent", maxFileBytes, 3600 * SECOND, maxFiles, ringBytes, mask);
-        loop.tap(recorder);
-        agent = new Agent(loop, List.of(new Queries(loop, settings)));
+        loop.setTrafficListener(recorder);
+        agent = new Agent(loop, List.of(new PostgresProtocol(loop, settings)));
         agent.start();
     }
 
@@ -159,7 +159,7 @@
         assertEquals(served + " " + served, report.sent() + " " + report.ended());
         assertTrue(selected > 100 && served < selected);
         assertEquals(0, report.different(), "responses are equal byte for byte");
-        agent.end();
+        agent.close();
         recorder.close();
         List<Spoken> recorded = read(recordedFiles());
         Map<String, Spoken> clientSide = new HashMap<>();
@@ -200,7 +200,7 @@
         for (int i = 0; i < 2; i++) {
             replay(file, true, "", 3, 1);
         }
-        agent.end();
+        agent.close();
         recorder.close();
         List<Path> files = recordedFiles();
         assertTrue(files.size() <= 3 && !files.get(0).toString().endsWith("000000.pcapng.zst"), files.toString());
@@ -215,7 +215,7 @@
     void readsTruncatedRecording() throws Exception {
         startAgent(null, 8 << 20, 1 << 30, 3);
         replay(generateCapture(13, 200, 4), true, "", 2, 1);
-        agent.end();
+        agent.close();
         recorder.close();
         byte[] whole = Files.readAllBytes(recordedFiles().get(0));
         long all = countPackets(recordedFiles().get(0));
@@ -262,7 +262,7 @@
         startAgent(isRedacted ? new Mask(new byte[] {1}) : null, 1024, 1 << 30, 3);
         Tally report = replay(generateCapture(14, 400, 3), true, "served", 4, 1);
         assertEquals(0, report.different(), "the agent's responses are not affected");
-        agent.end();
+        agent.close();
         recorder.close();
         Counters counters = new Counters().group("recording", recorder);
         Map<String, Long> counts = counters.groups().get("recording");
@@ -429,14 +429,14 @@
         Loop loop = new Loop();
         recorder = new Recorder(folder.resolve("recording"), "agent", 1 << 30, 3600 * SECOND, 3, 8 << 20,
                 isRedacted ? new Mask(new byte[] {9}) : null);
-        loop.tap(recorder);
+        loop.setTrafficListener(recorder);
         String json = "{'listen':'127.0.0.1:0','servers':[{'name':'s','address':'127.0.0.1:"
                 + server.address().getPort() + "'}]}";
         Fields settings;
         try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
             settings = Fields.document(parser);
         }
-        agent = new Agent(loop, List.of(new Flags(loop, FlagSheet.of(settings), 1)));
+        agent = new Agent(loop, List.of(new FlagProtocol(loop, FlagSheet.of(settings), 1)));
         agent.start();
         HttpClient http = HttpClient.newHttpClient();
         String base = "http://127.0.0.1:" + agent.address(0).getPort() + "/ofrep/v1/";
@@ -449,7 +449,7 @@
                                 + "\"}}")).build(), HttpResponse.BodyHandlers.ofString());
             }
         }
-        agent.end();
+        agent.close();
         recorder.close();
         server.close();
         Map<String, Integer> kinds = new java.util.TreeMap<>();
--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -7,7 +7,7 @@
 import honeygap.manage.host.Manager;
 import honeygap.manage.host.Selector;
 import honeygap.net.Agent;
-import honeygap.net.Flags;
+import honeygap.net.FlagProtocol;
 import honeygap.net.Loop;
 import honeygap.net.door.Door;
 import honeygap.read.FlagSheet;
@@ -62,7 +62,7 @@
 
         void start(long generation) throws Exception {
             Loop loop = new Loop();
-            Flags flags = new Flags(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0','servers':[{'name':'s',"
+            FlagProtocol flags = new FlagProtocol(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0','servers':[{'name':'s',"
                     + "'address':'127.0.0.1:9'}]}")), 1);
             agent = new Agent(loop, List.of(flags));
             adminEndpoint = new Door(loop, agent, "a" + number, folder.resolve("ledger" + number), "open", generation,
@@ -73,7 +73,7 @@
         }
 
         void stop() {
-            agent.end();
+            agent.close();
         }
 
         String ledger() throws Exception {
--- a/src/test/java/honeygap/net/AcceptorTest.java
+++ b/src/test/java/honeygap/net/AcceptorTest.java
@@ -24,11 +24,11 @@
     private static final String[] FAILURES = {"Too many open files in system", "Software caused connection abort",
         "No buffer space available", "Protocol error"};
 
-    private static final class Greeter implements Peer {
+    private static final class Greeter implements ConnectionHandler {
 
         @Override
         public void opened(IoSession session) {
-            session.write(new Gathered(ByteBuffer.wrap(new byte[] {'x'})));
+            session.write(new GatheringBuffer(ByteBuffer.wrap(new byte[] {'x'})));
         }
 
         @Override
@@ -72,7 +72,7 @@
         long tookMs = (System.nanoTime() - start) / 1_000_000;
         assertEquals(failures, loop.acceptFailures());
         assertTrue(tookMs < 1000, "served after " + tookMs + " ms");
-        loop.end();
+        loop.close();
     }
 
     /** Slots are released when connections close: more clients than slots, one after another, are all served. */
@@ -85,7 +85,7 @@
         for (int i = 0; i < 20; i++) {
             assertEquals('x', readByte(address), "client " + i);
         }
-        loop.end();
+        loop.close();
     }
 
     private static int readByte(InetSocketAddress address) throws IOException {
--- a/src/test/java/honeygap/net/AgentTest.java
+++ b/src/test/java/honeygap/net/AgentTest.java
@@ -33,14 +33,14 @@
         "assign,nocomplete ok,58000,1", "assign,badfields ok,58000,1", "read,tworows ok,ok:v1,2",
         "assign,silent ok,58000,1", "read,silent,58000,1"})
     void outcomes(String method, String scripts, String answer, int statements) throws Exception {
-        Fleet appliance = new Fleet(scripts);
+        FakeAppliance appliance = new FakeAppliance(scripts);
         start(appliance);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         long start = System.nanoTime();
-        assertEquals(answer, client.ask(method, 600));
+        assertEquals(answer, client.call(method, 600));
         assertTrue(System.nanoTime() - start < 650_000_000, "answered within the deadline and its tolerance");
-        assertEquals(statements, appliance.heard.size());
-        for (String statement : appliance.heard) {
+        assertEquals(statements, appliance.received.size());
+        for (String statement : appliance.received) {
             int time = Integer.parseInt(statement.replaceAll(".*,d=(\\d+),.*", "$1"));
             assertTrue(time > 0 && time <= 600, "time sent to the appliance: " + time);
             assertEquals(statement(method, 600).replace(",d=600", ""), statement.replaceAll(",d=\\d+", ""));
@@ -58,9 +58,9 @@
         "S W:SELECT content FROM kv WHERE name = 'k' /* id=1;c=read;d=x */ Q:read,50,42601|ok:v1",
         "S W:SELECT content FROM kv WHERE name = 'k' /* c=read;d=9 */ Q:read,50,42601|ok:v1"})
     void clientMessages(String sent, int size, String answers) throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
-        Caller client = new Caller();
+        TestClient client = new TestClient();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (String part : sent.split(" (?=[STEXPLGCHN]\\b|[QW]:)")) {
             String text = part.substring(Math.min(2, part.length())).replace(';', ',');
@@ -92,7 +92,7 @@
         for (String answer : answers.split("\\|", -1)) {
             assertEquals(answer, client.readAnswer());
         }
-        assertEquals(sent.contains("X") ? 0 : sent.split("Q:read", -1).length - 1, appliance.heard.size());
+        assertEquals(sent.contains("X") ? 0 : sent.split("Q:read", -1).length - 1, appliance.received.size());
     }
 
     /**
@@ -102,15 +102,15 @@
     @ParameterizedTest
     @CsvSource({"more ok,2", "morelater ok,2", "noise ok,2", "notice ok,1", "ok,1"})
     void inputAfterAnswer(String scripts, int connections) throws Exception {
-        Fleet appliance = new Fleet(scripts);
+        FakeAppliance appliance = new FakeAppliance(scripts);
         start(appliance);
-        Caller client = new Caller().hello();
-        assertEquals("ok:v1", client.ask("assign", 900));
+        TestClient client = new TestClient().handshake();
+        assertEquals("ok:v1", client.call("assign", 900));
         appliance.value = "v2";
         if (scripts.startsWith("morelater")) {
             appliance.released.await();
         }
-        assertEquals("ok:v2", client.ask("assign", 900));
+        assertEquals("ok:v2", client.call("assign", 900));
         assertEquals(connections, appliance.connections.get());
     }
 
@@ -121,16 +121,16 @@
     @ParameterizedTest
     @CsvSource({"0,0,0,3000", "5,0,0,3000", "1000,10,0,3000", "1000,200,0,3100", "1000,0,1,2100"})
     void idleClientTimeouts(int startupBytes, int queryBytes, int calls, int withinMs) throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
-        Caller client = new Caller();
+        TestClient client = new TestClient();
         long since = System.nanoTime();
         client.out.write(STARTUP, 0, Math.min(startupBytes, STARTUP.length));
         if (startupBytes > STARTUP.length) {
             client.readAnswer();
         }
         for (int i = 0; i < calls; i++) {
-            assertEquals("ok:v1", client.ask("read", 900));
+            assertEquals("ok:v1", client.call("read", 900));
             // The idle time begins with the answer, however long that took.
             since = System.nanoTime();
         }
@@ -140,33 +140,33 @@
         assertTrue(answer.endsWith("end"), answer);
         long tookMs = (System.nanoTime() - since) / 1_000_000;
         assertTrue(tookMs <= withinMs && tookMs >= 1900, "closed after ms: " + tookMs);
-        assertEquals(calls, appliance.heard.size());
+        assertEquals(calls, appliance.received.size());
     }
 
     /** A client may not use the id of an RPC that is open elsewhere, but may once that one is answered. */
     @Test
     void duplicateRpcId() throws Exception {
-        Fleet appliance = new Fleet("silent ok");
+        FakeAppliance appliance = new FakeAppliance("silent ok");
         start(appliance);
-        Caller first = new Caller().hello();
+        TestClient first = new TestClient().handshake();
         first.out.write(query(statement("assign", 700)));
-        while (appliance.heard.isEmpty()) {
+        while (appliance.received.isEmpty()) {
             Thread.onSpinWait();
         }
-        Caller second = new Caller().hello();
-        assertEquals("42601", second.ask("read", 700));
+        TestClient second = new TestClient().handshake();
+        assertEquals("42601", second.call("read", 700));
         assertEquals("58000", first.readAnswer());
-        assertEquals("ok:v1", second.ask("read", 700));
-        assertEquals(2, appliance.heard.size());
+        assertEquals("ok:v1", second.call("read", 700));
+        assertEquals(2, appliance.received.size());
     }
 
     /** Hundreds of pipelined commands of any kind are rejected, including the one being processed. */
     @ParameterizedTest
     @CsvSource({"E", "Q"})
     void tooManyCommands(String kind) throws Exception {
-        Fleet appliance = new Fleet("silent");
+        FakeAppliance appliance = new FakeAppliance("silent");
         start(appliance);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         byte[] one = kind.equals("E") ? query("") : query(statement("assign", 2000));
         byte[][] all = new byte[500][];
         Arrays.fill(all, one);
@@ -176,20 +176,20 @@
             answer = client.readAnswer();
         }
         assertEquals("08P01end", answer);
-        assertTrue(appliance.heard.size() <= 1);
+        assertTrue(appliance.received.size() <= 1);
     }
 
     /** Idle clients are closed, the longest idle first, before all client descriptors are in use. */
     @Test
     void idleClientsAreClosed() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
         start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 96);
-        Caller first = new Caller().hello();
-        assertEquals("ok:v1", first.ask("read", 900));
+        TestClient first = new TestClient().handshake();
+        assertEquals("ok:v1", first.call("read", 900));
         long start = System.nanoTime();
         for (int i = 0; i < 16; i++) {
-            assertEquals("ok:v1", new Caller().hello().ask("read", 900));
+            assertEquals("ok:v1", new TestClient().handshake().call("read", 900));
         }
         assertEquals("end", first.readAnswer());
         assertTrue(System.nanoTime() - start < 1_500_000_000, "closed before the idle timeout");
@@ -198,42 +198,42 @@
     /** With all connections taken by silent clients, each new client still gets a connection and is served. */
     @Test
     void silentClientsAreClosed() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
         start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 64 + 8);
         for (int i = 0; i < 20; i++) {
-            new Caller().out.write(STARTUP, 0, i % 5);
+            new TestClient().out.write(STARTUP, 0, i % 5);
         }
-        assertEquals("ok:v1", new Caller().hello().ask("read", 900));
+        assertEquals("ok:v1", new TestClient().handshake().call("read", 900));
     }
 
     /** No statement is sent for an RPC whose client left while the connection for its pick was being established. */
     @Test
     void clientLeavesWhileConnecting() throws Exception {
-        Fleet appliance = new Fleet("startupwaits ok");
+        FakeAppliance appliance = new FakeAppliance("startupwaits ok");
         start(appliance);
-        Caller leaving = new Caller().hello();
+        TestClient leaving = new TestClient().handshake();
         leaving.out.write(query(statement("read", 900)));
         while (appliance.connections.get() == 0) {
             Thread.onSpinWait();
         }
         leaving.close();
-        Caller next = new Caller().hello();
+        TestClient next = new TestClient().handshake();
         appliance.released.countDown();
         appliance.scripts[0] = "ok";
-        assertEquals("ok:v1", next.ask("assign", 900));
-        assertEquals(1, appliance.heard.size());
-        assertTrue(appliance.heard.peek().contains(",c=assign,"));
+        assertEquals("ok:v1", next.call("assign", 900));
+        assertEquals(1, appliance.received.size());
+        assertTrue(appliance.received.peek().contains(",c=assign,"));
     }
 
     /** Values of 64 KiB for a client that reads only after it has sent all requests. */
     @ParameterizedTest
     @CsvSource({"1", "60"})
     void slowReader(int count) throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         appliance.value = "x".repeat(65536);
         start(appliance);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         for (int i = 0; i < count; i++) {
             client.out.write(query(statement("read", 20_000)));
         }
@@ -246,24 +246,24 @@
     /** More clients than descriptors: the longest idle one is closed, busy ones are answered, others pushed back. */
     @Test
     void tooManyClients() throws Exception {
-        Fleet appliance = new Fleet("silent silent ok");
-        StandIn refusing = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("silent silent ok");
+        FakeServer refusing = new FakeServer("refused");
         start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 64 + 4);
-        Caller idle = new Caller().hello();
-        Caller first = new Caller().hello();
+        TestClient idle = new TestClient().handshake();
+        TestClient first = new TestClient().handshake();
         first.out.write(query(statement("assign", 2000)));
-        Caller second = new Caller().withId("9b20").hello();
+        TestClient second = new TestClient().withId("9b20").handshake();
         assertEquals("end", idle.readAnswer());
         second.out.write(query(statement(second.id, "assign", 2000)));
-        while (appliance.heard.size() < 2) {
+        while (appliance.received.size() < 2) {
             Thread.onSpinWait();
         }
-        Caller third = new Caller();
+        TestClient third = new TestClient();
         third.out.write(STARTUP);
         assertEquals("53300end", third.readAnswer());
         assertEquals("58000", first.readAnswer());
         assertEquals("58000", second.readAnswer());
-        assertEquals("ok:v1", second.ask("assign", 2000));
+        assertEquals("ok:v1", second.call("assign", 2000));
     }
 
     /** The list in all its states, split at any point: the agent learns where to send RPCs and where not to. */
@@ -272,13 +272,13 @@
         "SNAPSHOT,ok:v1", "503 SNAPSHOT,ok:v1", "reset SNAPSHOT,ok:v1", "silent SNAPSHOT,ok:v1", "GARBAGE SNAPSHOT,ok:v1",
         "HEARTBEAT-CHANGE,ok:v1", "HALF SNAPSHOT,ok:v1", "DRAIN,53300+", "DELETED,53300+", "UNCHUNKED,ok:v1"})
     void list(String scripts, String answer) throws Exception {
-        Fleet appliance = new Fleet("ok");
-        Fleet previous = new Fleet("ok");
-        StandIn dead = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeAppliance previous = new FakeAppliance("ok");
+        FakeServer dead = new FakeServer("refused");
         String entry = entry("s-1", appliance, "SERVING", 1);
         String snapshot = "{'index':42,'snapshot':true,'endpoints':[" + entry + "]}\n";
         String change = "{'index':43,'snapshot':false,'endpoints':[%s]}\n";
-        StandIn list = new StandIn(scripts) {
+        FakeServer list = new FakeServer(scripts) {
             @Override
             byte[] answer(String script) {
                 String body = switch (script) {
@@ -304,18 +304,18 @@
         };
         boolean isRemoved = answer.startsWith("53300");
         start(entry("s-1", isRemoved ? previous : dead, "SERVING", 1), "'RegistryMode':'ask',", list, dead, 1024);
-        assertEquals(answer, askUntil(answer));
-        assertTrue(list.heard.size() >= scripts.split(" ").length);
+        assertEquals(answer, callUntil(answer));
+        assertTrue(list.received.size() >= scripts.split(" ").length);
     }
 
     /** A reload changes the addresses of discovery and the desk; a malformed configuration changes nothing. */
     @ParameterizedTest
     @CsvSource({"moved,ok:v1", "half,53300+", "nodesk,53300+", "half moved,ok:v1", "moved moved,ok:v1"})
     void reload(String files, String answer) throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
-        StandIn desk = new StandIn("silent");
-        StandIn list = new StandIn("SNAPSHOT") {
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
+        FakeServer desk = new FakeServer("silent");
+        FakeServer list = new FakeServer("SNAPSHOT") {
             @Override
             byte[] answer(String script) {
                 return ("HTTP/1.1 200 OK\r\n\r\n{'index':42,'snapshot':true,'endpoints':["
@@ -326,14 +326,14 @@
         start(entry("s-1", refusing, "SERVING", 1), "'RegistryMode':'ask',", refusing, refusing, 1024);
         for (String file : files.split(" ")) {
             String config = "{'discovery':'" + list.address() + "'";
-            agent.reread(List.of(() -> queries.reread(fields(config + (file.equals("half") ? ""
+            agent.reload(List.of(() -> queries.reload(fields(config + (file.equals("half") ? ""
                     : file.equals("nodesk") ? "}" : ",'rollouts':{'address':'" + desk.address() + "'}}")))));
         }
-        assertEquals(answer, askUntil(answer));
+        assertEquals(answer, callUntil(answer));
         boolean isMoved = files.endsWith("moved");
         assertEquals(isMoved, list.connections.get() > 0);
         if (isMoved) {
-            while (desk.heard.isEmpty()) {
+            while (desk.received.isEmpty()) {
                 Thread.onSpinWait();
             }
         }
@@ -345,9 +345,9 @@
         "200 200,1", "200:too_many_calls:400 200,2", "200:unavailable:500 200,2", "200:out_of_date:400 200,1",
         "200:bad_request:400 200,2", "reset 200,2", "silent 200,2", "UNREADABLE 200,2", "PART 200,2"})
     void votes(String scripts, int times) throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
-        StandIn desk = new StandIn(scripts) {
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
+        FakeServer desk = new FakeServer(scripts) {
             @Override
             String readRequest(DataInputStream in) throws IOException {
                 String head = super.readRequest(in);
@@ -375,19 +375,19 @@
         start(entry("s-1", appliance, "SERVING", 1) + "," + entry("s-2", appliance, "SERVING", 2), "", refusing, desk,
                 1024);
         for (int i = 0; i < times; i++) {
-            assertEquals("Action=RecordOpinion&Revision=2&Wave=0&Decision=on", desk.heard.poll(5,
+            assertEquals("Action=RecordOpinion&Revision=2&Wave=0&Decision=on", desk.received.poll(5,
                     TimeUnit.SECONDS));
         }
-        assertNull(desk.heard.poll(500, TimeUnit.MILLISECONDS));
+        assertNull(desk.received.poll(500, TimeUnit.MILLISECONDS));
     }
 
     /** A rolled-back build gets no picks, whether the status stream connects at once or after a failure. */
     @ParameterizedTest
     @CsvSource({"STATUS", "reset STATUS", "HTTP/1.1_500_x~Content-Length:_0~~ STATUS", "silent STATUS"})
     void rolloutStatus(String scripts) throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
-        StandIn desk = new StandIn(scripts) {
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
+        FakeServer desk = new FakeServer(scripts) {
             @Override
             byte[] answer(String script) {
                 return super.answer(script.equals("STATUS") ? "HTTP/1.1_200_OK~Transfer-Encoding:_chunked~~"
@@ -397,28 +397,28 @@
             }
         };
         start(entry("s-2", appliance, "SERVING", 2), "", refusing, desk, 1024);
-        assertEquals("53300+", askUntil("53300+"));
+        assertEquals("53300+", callUntil("53300+"));
     }
 
     /** During a shutdown the agent answers open and new RPCs and ends when no connection is open. */
     @Test
     void gracefulShutdown() throws Exception {
-        Fleet appliance = new Fleet("silent ok");
+        FakeAppliance appliance = new FakeAppliance("silent ok");
         start(appliance);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         client.out.write(query(statement("assign", 1200)));
         CompletableFuture<Void> shutdown = CompletableFuture.runAsync(() -> {
             try {
-                agent.leave();
+                agent.shutDownGracefully();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
-        Caller late = new Caller().withId("9b20").hello();
-        while (appliance.heard.isEmpty()) {
+        TestClient late = new TestClient().withId("9b20").handshake();
+        while (appliance.received.isEmpty()) {
             Thread.onSpinWait();
         }
-        assertEquals("ok:v1", late.ask("read", 1000));
+        assertEquals("ok:v1", late.call("read", 1000));
         assertEquals("58000", client.readAnswer());
         assertEquals("end", client.readAnswer());
         assertEquals("end", late.readAnswer());
--- a/src/test/java/honeygap/net/FlagStressTest.java
+++ b/src/test/java/honeygap/net/FlagStressTest.java
@@ -203,7 +203,7 @@
             servers.add(new Server(i, i == SERVERS - 1 ? 2 : 1));
         }
         Loop loop = new Loop();
-        Flags flags = new Flags(loop, settings(servers), SEED);
+        FlagProtocol flags = new FlagProtocol(loop, settings(servers), SEED);
         Agent agent = new Agent(loop, List.of(flags));
         agent.start();
         AtomicInteger remaining = new AtomicInteger(EVALUATIONS);
@@ -220,15 +220,15 @@
         }
         injectFaults(agent, flags, servers, done);
         checkRules();
-        assertEquals(0, Loop.broken());
-        agent.end();
+        assertEquals(0, Loop.invariantViolations());
+        agent.close();
         for (Server server : servers) {
             server.close();
         }
     }
 
     /** Drains, removes and restarts servers, and gives single servers a newer or an older flag set. */
-    private void injectFaults(Agent agent, Flags flags, List<Server> servers, CountDownLatch done) throws Exception {
+    private void injectFaults(Agent agent, FlagProtocol flags, List<Server> servers, CountDownLatch done) throws Exception {
         Random random = new Random(SEED);
         Map<Server, Long> outageStarts = new HashMap<>();
         while (!done.await(7, TimeUnit.MILLISECONDS)) {
@@ -264,11 +264,11 @@
     }
 
     /** Reloads the settings and returns once the agent has applied them. */
-    private static void reloadAndWait(Agent agent, Flags flags, List<Server> servers) throws Exception {
+    private static void reloadAndWait(Agent agent, FlagProtocol flags, List<Server> servers) throws Exception {
         FlagSheet settings = settings(servers);
-        agent.reread(List.of(() -> flags.reread(settings)));
+        agent.reload(List.of(() -> flags.reload(settings)));
         CountDownLatch processed = new CountDownLatch(1);
-        agent.onLoop(() -> agent.onLoop(() -> agent.onLoop(processed::countDown)));
+        agent.runOnLoop(() -> agent.runOnLoop(() -> agent.runOnLoop(processed::countDown)));
         processed.await();
     }
 
--- a/src/test/java/honeygap/net/FlagsTest.java
+++ b/src/test/java/honeygap/net/FlagsTest.java
@@ -39,13 +39,13 @@
 
     private final List<AutoCloseable> openPeers = java.util.Collections.synchronizedList(new ArrayList<>());
     private Agent agent;
-    private Flags flags;
+    private FlagProtocol flags;
 
     @AfterEach
     void close() throws Exception {
-        assertEquals(0, Loop.broken());
+        assertEquals(0, Loop.invariantViolations());
         if (agent != null) {
-            agent.end();
+            agent.close();
         }
         for (AutoCloseable peer : List.copyOf(openPeers)) {
             peer.close();
@@ -267,7 +267,7 @@
 
     private void start(String settings, String... servers) throws IOException, Malformed {
         Loop loop = new Loop();
-        flags = new Flags(loop, configuration(settings, servers), 7);
+        flags = new FlagProtocol(loop, configuration(settings, servers), 7);
         agent = new Agent(loop, List.of(flags));
         agent.start();
     }
@@ -285,7 +285,7 @@
 
     private Map<String, Map<String, Long>> counters() throws Exception {
         CompletableFuture<Map<String, Map<String, Long>>> all = new CompletableFuture<>();
-        agent.onLoop(() -> all.complete(agent.counters().groups()));
+        agent.runOnLoop(() -> all.complete(agent.counters().groups()));
         return all.get();
     }
 
@@ -346,7 +346,7 @@
             }
         });
         first.requests.take();
-        agent.reread(List.of(() -> flags.reread(configuration("", server("s1", first.address(), 1, "draining"),
+        agent.reload(List.of(() -> flags.reload(configuration("", server("s1", first.address(), 1, "draining"),
                 server("s2", second.address(), 1, "up")))));
         while (counter("flag servers", "servers") < 2) {
             Thread.onSpinWait();
@@ -438,7 +438,7 @@
         assertEquals("200", caller.evaluateOne("z", "k").substring(0, 3));
         assertEquals("200", caller.evaluateAll("k", "").substring(0, 3));
         if (failure.equals("draining")) {
-            agent.reread(List.of(() -> flags.reread(configuration("", server("s", server.address(), 1, "draining")))));
+            agent.reload(List.of(() -> flags.reload(configuration("", server("s", server.address(), 1, "draining")))));
         } else {
             server.play(failure);
         }
@@ -459,7 +459,7 @@
         }
         // Servers are available again, but cold: answers are fresh.
         server.play("ok:6:2");
-        agent.reread(List.of(() -> flags.reread(configuration("", server("s", server.address(), 2, "up")))));
+        agent.reload(List.of(() -> flags.reload(configuration("", server("s", server.address(), 2, "up")))));
         if (!failure.startsWith("429")) {
             String response = caller.evaluateOne("a", "k");
             while (!response.contains("\"version\":\"6\"")) {
@@ -493,7 +493,7 @@
         for (int i = 0; i < 50; i++) {
             assertEquals("200", caller.evaluateOne("a", "k" + i).substring(0, 3));
         }
-        agent.reread(List.of(() -> flags.reread(configuration("", server("s1", good.address(), 1, "up"),
+        agent.reload(List.of(() -> flags.reload(configuration("", server("s1", good.address(), 1, "up"),
                 server("s2", good.address(), 1, "up"), server("s3", bad.address(), 2, "up")))));
         int requestCount = 0;
         while (counter("flag build", "phase") != 3) {
@@ -664,7 +664,7 @@
                 .getBytes(StandardCharsets.US_ASCII));
         Caller idle = new Caller();
         long startNs = System.nanoTime();
-        agent.leave();
+        agent.shutDownGracefully();
         long tookMs = (System.nanoTime() - startNs) / 1_000_000;
         assertTrue(tookMs < 3700, "shut down after " + tookMs + " ms");
         String response = waiting.readResponse();
@@ -710,7 +710,7 @@
             in.read();
         });
         Loop loop = new Loop();
-        flags = new Flags(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + SHORT_DEADLINES + "'list':{'address':'127.0.0.1:"
+        flags = new FlagProtocol(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + SHORT_DEADLINES + "'list':{'address':'127.0.0.1:"
                 + list.getLocalPort() + "'},'rollout':{'desk':{'address':'127.0.0.1:" + desk.getLocalPort()
                 + "'},'caps':[0.5],'soak':'1h'}}")), 7);
         agent = new Agent(loop, List.of(flags));
@@ -752,7 +752,7 @@
     @Test
     void malformedFileIsIgnored() throws Exception {
         ScriptedServer server = start("ok");
-        agent.reread(List.of(() -> flags.reread(FlagSheet.of(fields("{'listen':5}")))));
+        agent.reload(List.of(() -> flags.reload(FlagSheet.of(fields("{'listen':5}")))));
         while (counter("agent", "not read") == 0) {
             Thread.onSpinWait();
         }
--- a/src/test/java/honeygap/net/ListLeaseTest.java
+++ b/src/test/java/honeygap/net/ListLeaseTest.java
@@ -20,20 +20,20 @@
     /** The list in the configuration may predate any drain, so it is not used until discovery has confirmed it. */
     @Test
     void storedListIsUnusedUntilConfirmed() throws Exception {
-        Fleet fleet = new Fleet("ok");
-        start(entry("s-1", fleet, "SERVING", 1), SETTINGS, new StandIn("silent"), new StandIn("refused"), 1024);
-        Caller caller = new Caller().hello();
-        assertEquals("53300+", caller.ask("assign", 2000));
-        assertEquals(0, fleet.heard.size());
+        FakeAppliance fleet = new FakeAppliance("ok");
+        start(entry("s-1", fleet, "SERVING", 1), SETTINGS, new FakeServer("silent"), new FakeServer("refused"), 1024);
+        TestClient caller = new TestClient().handshake();
+        assertEquals("53300+", caller.call("assign", 2000));
+        assertEquals(0, fleet.received.size());
     }
 
     @Test
     void confirmedListIsUsed() throws Exception {
-        Fleet fleet = new Fleet("ok");
-        Lister list = new Lister();
-        list.tell(42, false);
-        start(entry("s-1", fleet, "SERVING", 1), SETTINGS, list, new StandIn("refused"), 1024);
-        assertEquals("ok:v1", askUntil("ok:v1"));
+        FakeAppliance fleet = new FakeAppliance("ok");
+        FakeDiscovery list = new FakeDiscovery();
+        list.publish(42, false);
+        start(entry("s-1", fleet, "SERVING", 1), SETTINGS, list, new FakeServer("refused"), 1024);
+        assertEquals("ok:v1", callUntil("ok:v1"));
     }
 
     /**
@@ -42,33 +42,33 @@
      */
     @Test
     void unconfirmedAppliancesAreDroppedAfterLease() throws Exception {
-        Fleet used = new Fleet("ok");
-        Fleet unused = new Fleet("ok");
-        Lister list = new Lister();
-        list.tell(42, false);
-        start(entry("s-1", used, "SERVING", 1), SETTINGS, list, new StandIn("refused"), 1024);
-        assertEquals("ok:v1", askUntil("ok:v1"));
-        list.tell(43, false, entry("s-2", unused, "SERVING", 1));
-        await("list", "version", 43);
+        FakeAppliance used = new FakeAppliance("ok");
+        FakeAppliance unused = new FakeAppliance("ok");
+        FakeDiscovery list = new FakeDiscovery();
+        list.publish(42, false);
+        start(entry("s-1", used, "SERVING", 1), SETTINGS, list, new FakeServer("refused"), 1024);
+        assertEquals("ok:v1", callUntil("ok:v1"));
+        list.publish(43, false, entry("s-2", unused, "SERVING", 1));
+        awaitCounter("list", "version", 43);
         list.close();
-        await("list", "failures", 1);
+        awaitCounter("list", "failures", 1);
         long lostAtMs = nowMs();
-        Caller caller = new Caller().hello();
+        TestClient caller = new TestClient().handshake();
         int sentWithinLease = 0;
         while (nowMs() < lostAtMs + 3 * LEASE_MS) {
             // Both receive RPCs until the lease ends, and from then on only the one that has answered last.
-            String response = caller.ask("assign", 500);
+            String response = caller.call("assign", 500);
             assertTrue(response.startsWith("ok") || response.startsWith("53300"), response);
             if (nowMs() < lostAtMs + LEASE_MS) {
-                sentWithinLease = unused.heard.size();
+                sentWithinLease = unused.received.size();
             }
             Thread.sleep(5);
         }
         assertTrue(sentWithinLease > 0);
         // Its answers have extended its use beyond the lease; after a lease period without RPCs it is no longer used.
-        int before = used.heard.size() + unused.heard.size();
+        int before = used.received.size() + unused.received.size();
         Thread.sleep(LEASE_MS + 200);
-        assertEquals("53300+", caller.ask("assign", 2000));
-        assertEquals(before, used.heard.size() + unused.heard.size());
+        assertEquals("53300+", caller.call("assign", 2000));
+        assertEquals(before, used.received.size() + unused.received.size());
     }
 }
--- a/src/test/java/honeygap/net/LoopTest.java
+++ b/src/test/java/honeygap/net/LoopTest.java
@@ -28,13 +28,13 @@
         long faults = Loop.faultCount();
         Loop loop = new Loop();
         AtomicInteger connections = new AtomicInteger();
-        loop.start(new Loop.Core() {
+        loop.start(new Loop.Stepper() {
             @Override
-            public void now(long now) {
+            public void startIteration(long now) {
             }
 
             @Override
-            public boolean next() {
+            public boolean step() {
                 return false;
             }
         });
@@ -45,12 +45,12 @@
         assertTrue(timerFires(loop), "a timer after the only connection");
         assertEquals('x', echo(address));
         assertEquals(faults + 1, Loop.faultCount());
-        loop.end();
+        loop.close();
     }
 
     private static boolean timerFires(Loop loop) throws InterruptedException {
         CountDownLatch fired = new CountDownLatch(1);
-        loop.post(() -> loop.at(loop.now() + 10, fired::countDown));
+        loop.post(() -> loop.schedule(loop.now() + 10, fired::countDown));
         return fired.await(10, TimeUnit.SECONDS);
     }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    private static final class Echo implements Peer {
+    private static final class Echo implements ConnectionHandler {
 
         private final Class<? extends Throwable> fault;
         private IoSession session;
@@ -90,7 +90,7 @@
             if (fault == OutOfMemoryError.class) {
                 throw new OutOfMemoryError("for the test");
             }
-            session.write(new Gathered(bytes));
+            session.write(new GatheringBuffer(bytes));
         }
 
         @Override
--- a/src/test/java/honeygap/net/Loopback.java
+++ b/src/test/java/honeygap/net/Loopback.java
@@ -38,13 +38,13 @@
     final List<AutoCloseable> resources = new ArrayList<>();
     Agent agent;
     Loop loop;
-    Queries queries;
+    PostgresProtocol queries;
 
     @AfterEach
     void close() throws Exception {
-        assertEquals(0, Loop.broken());
+        assertEquals(0, Loop.invariantViolations());
         if (agent != null) {
-            agent.end();
+            agent.close();
         }
         for (AutoCloseable peer : resources) {
             peer.close();
@@ -52,16 +52,16 @@
     }
 
     /** A server that plays one script per connection, or per statement or call; the last script is repeated. */
-    class StandIn implements AutoCloseable {
+    class FakeServer implements AutoCloseable {
 
         final String[] scripts;
         final AtomicInteger scriptsPlayed = new AtomicInteger();
         final AtomicInteger connections = new AtomicInteger();
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> received = new LinkedBlockingQueue<>();
         final ServerSocket server;
         private final List<Socket> sockets = new ArrayList<>();
 
-        StandIn(String scripts) throws IOException {
+        FakeServer(String scripts) throws IOException {
             this.scripts = scripts.split(" ");
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             resources.add(this);
@@ -84,7 +84,7 @@
         void play(Socket socket, DataInputStream in, OutputStream out) throws IOException {
             String head = readRequest(in);
             String script = nextScript();
-            heard.add(head.substring(head.lastIndexOf('\n') + 1));
+            received.add(head.substring(head.lastIndexOf('\n') + 1));
             switch (script) {
                 case "silent":
                     in.read();
@@ -162,14 +162,14 @@
     }
 
     /** A fake appliance that plays one script per statement; the startup scripts apply to the whole connection. */
-    final class Fleet extends StandIn {
+    final class FakeAppliance extends FakeServer {
 
         volatile String value = "v1";
         /** Sends a duplicate of the last answer. */
         volatile IoTask sendDuplicate;
         final CountDownLatch released = new CountDownLatch(1);
 
-        Fleet(String scripts) throws IOException {
+        FakeAppliance(String scripts) throws IOException {
             super(scripts);
         }
 
@@ -195,7 +195,7 @@
             out.write(message('Z', "I"));
             while (true) {
                 in.readByte();
-                heard.add(new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8).replace("\0",
+                received.add(new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8).replace("\0",
                         ""));
                 byte[] row = row(value);
                 switch (nextScript()) {
@@ -311,14 +311,14 @@
     }
 
     /** A client that renders answers as text. */
-    final class Caller implements AutoCloseable {
+    final class TestClient implements AutoCloseable {
 
         final Socket socket;
         final DataInputStream in;
         final OutputStream out;
         String id = "9b1f";
 
-        Caller() throws IOException {
+        TestClient() throws IOException {
             socket = new Socket(agent.address(0).getAddress(), agent.address(0).getPort());
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(10_000);
@@ -351,18 +351,18 @@
             }
         }
 
-        Caller withId(String id) {
+        TestClient withId(String id) {
             this.id = id;
             return this;
         }
 
-        Caller hello() throws IOException {
+        TestClient handshake() throws IOException {
             out.write(STARTUP);
             readAnswer();
             return this;
         }
 
-        String ask(String method, int deadlineMs) throws IOException {
+        String call(String method, int deadlineMs) throws IOException {
             out.write(query(statement(id, method, deadlineMs)));
             return readAnswer();
         }
@@ -394,7 +394,7 @@
                 + ",k=5c0f */";
     }
 
-    static String entry(String name, StandIn server, String status, int build) {
+    static String entry(String name, FakeServer server, String status, int build) {
         return "{'name':'" + name + "','address':'" + server.address() + "','zone':'a','group':3,'status':'"
                 + status
                 + "','since_ms':0,'release':" + build + "}";
@@ -403,13 +403,13 @@
     /** Reads a counter of the agent, on its loop. */
     long counter(String group, String name) throws Exception {
         CompletableFuture<Long> value = new CompletableFuture<>();
-        agent.onLoop(() -> value.complete(agent.counters().groups().getOrDefault(group, Map.of())
+        agent.runOnLoop(() -> value.complete(agent.counters().groups().getOrDefault(group, Map.of())
                 .getOrDefault(name, 0L)));
         return value.get(10, TimeUnit.SECONDS);
     }
 
     /** Waits until a counter has reached a value; the test's timeout bounds the wait. */
-    void await(String group, String name, long atLeast) throws Exception {
+    void awaitCounter(String group, String name, long atLeast) throws Exception {
         while (counter(group, name) < atLeast) {
             Thread.onSpinWait();
         }
@@ -424,7 +424,7 @@
 
         /** The task is run on the loop just before it resumes. */
         LoopPause(Runnable beforeResume) throws InterruptedException {
-            agent.onLoop(() -> {
+            agent.runOnLoop(() -> {
                 paused.countDown();
                 try {
                     resume.await();
@@ -445,7 +445,7 @@
 
     /** Passes all received bytes to the listener, on the loop; call it before the start. */
     void onRead(Consumer<String> listener) {
-        loop.tap(new Tap() {
+        loop.setTrafficListener(new TrafficListener() {
             @Override
             public void opened(long connection, SocketAddress local, SocketAddress remote, boolean isInbound) {
                 // All connections are observed.
@@ -469,14 +469,14 @@
     }
 
     /** A fake discovery service: messages go to the latest watch. */
-    final class Lister extends StandIn {
+    final class FakeDiscovery extends FakeServer {
 
         final LinkedBlockingDeque<String> messages = new LinkedBlockingDeque<>();
         private final AtomicInteger watches = new AtomicInteger();
         /** Heartbeats sent. */
         final AtomicInteger heartbeats = new AtomicInteger();
 
-        Lister() throws IOException {
+        FakeDiscovery() throws IOException {
             super("open");
         }
 
@@ -484,7 +484,7 @@
         void play(Socket socket, DataInputStream in, OutputStream out) throws IOException {
             String head = readRequest(in);
             int watch = watches.incrementAndGet();
-            heard.add(head.substring(0, head.indexOf("\r")));
+            received.add(head.substring(0, head.indexOf("\r")));
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             while (watch == watches.get()) {
                 String message;
@@ -507,20 +507,20 @@
         }
 
         /** Publishes a document as one line. */
-        void tell(int index, boolean isSnapshot, String... entries) {
+        void publish(int index, boolean isSnapshot, String... entries) {
             messages.add("{'index':" + index + ",'snapshot':" + isSnapshot + ",'endpoints':["
                     + String.join(",", entries) + "]}\n");
         }
     }
 
-    void start(String known, String settings, StandIn list, StandIn desk, int descriptors)
+    void start(String known, String settings, FakeServer list, FakeServer desk, int descriptors)
             throws IOException, Malformed {
         configure(known, settings, list, desk, descriptors);
         agent.start();
     }
 
     /** Creates the agent without starting it. */
-    void configure(String known, String settings, StandIn list, StandIn desk, int descriptors)
+    void configure(String known, String settings, FakeServer list, FakeServer desk, int descriptors)
             throws IOException, Malformed {
         String config = "{'listen':'127.0.0.1:0','discovery':'" + list.address()
                 + "','seed':'8c1f30d27a5be964',"
@@ -538,7 +538,7 @@
                 + "'FamilyInfo':{'VoteStandsNs':10000000000,'CallTimeoutNs':300000000,'VotesPerS':30,"
                 + "'Caps':[1,1],'Waves':[0.5,1],'WindowNs':2000000000,'Uncounted':1}}}";
         loop = new Loop();
-        queries = new Queries(loop, fields(config));
+        queries = new PostgresProtocol(loop, fields(config));
         agent = new Agent(loop, List.of(queries));
     }
 
@@ -548,18 +548,18 @@
         }
     }
 
-    void start(StandIn appliance) throws IOException, Malformed {
-        StandIn refusing = new StandIn("refused");
+    void start(FakeServer appliance) throws IOException, Malformed {
+        FakeServer refusing = new FakeServer("refused");
         start(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 1024);
     }
 
     /** Calls repeatedly until the answer is as expected, for at most 10 s; returns the last answer. */
-    String askUntil(String answer) throws IOException {
-        Caller client = new Caller().hello();
+    String callUntil(String answer) throws IOException {
+        TestClient client = new TestClient().handshake();
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         String received = "";
         while (!received.equals(answer) && System.nanoTime() < deadline) {
-            received = client.ask("assign", 1000);
+            received = client.call("assign", 1000);
         }
         return received;
     }
--- a/src/test/java/honeygap/net/RaceConditionTest.java
+++ b/src/test/java/honeygap/net/RaceConditionTest.java
@@ -35,62 +35,62 @@
     @ParameterizedTest
     @CsvSource({"DRAINING,53300,0", "DELETED,53300,0", "moved,ok:v2,1", "SERVING,ok:v1,0"})
     void listChangesWhileConnecting(String change, String answer, int atOther) throws Exception {
-        Fleet appliance = new Fleet("startupwaits ok");
-        Fleet other = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("startupwaits ok");
+        FakeAppliance other = new FakeAppliance("ok");
         other.value = "v2";
-        Lister list = new Lister();
-        StandIn refusing = new StandIn("refused");
+        FakeDiscovery list = new FakeDiscovery();
+        FakeServer refusing = new FakeServer("refused");
         start(entry("s-1", appliance, "SERVING", 1), ASK_MODE + "'Ceilings':{'MaxAttempts':2,'RetryAfter':true,"
                 + "'ConnectTimeoutNs':2000000000},", list, refusing, 1024);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         client.out.write(query(statement("assign", 2500)));
         while (appliance.connections.get() == 0) {
             Thread.onSpinWait();
         }
         boolean isMoved = change.equals("moved");
-        list.tell(43, false, entry("s-1", isMoved ? other : appliance, isMoved ? "SERVING" : change, isMoved ? 2 : 1));
-        await("list", "version", 43);
+        list.publish(43, false, entry("s-1", isMoved ? other : appliance, isMoved ? "SERVING" : change, isMoved ? 2 : 1));
+        awaitCounter("list", "version", 43);
         appliance.scripts[0] = "ok";
         appliance.released.countDown();
         assertEquals(answer, client.readAnswer());
-        assertEquals(atOther, other.heard.size());
-        assertEquals(change.equals("SERVING") ? 1 : 0, appliance.heard.size());
+        assertEquals(atOther, other.received.size());
+        assertEquals(change.equals("SERVING") ? 1 : 0, appliance.received.size());
     }
 
     /** An appliance moves to another address with another build while an RPC is open at the previous process. */
     @Test
     void poolOfPreviousProcess() throws Exception {
-        Fleet before = new Fleet("delayed ok");
-        Fleet after = new Fleet("ok");
+        FakeAppliance before = new FakeAppliance("delayed ok");
+        FakeAppliance after = new FakeAppliance("ok");
         after.value = "v2";
-        Lister list = new Lister();
-        StandIn refusing = new StandIn("refused");
+        FakeDiscovery list = new FakeDiscovery();
+        FakeServer refusing = new FakeServer("refused");
         start(entry("s-1", before, "SERVING", 1), ASK_MODE, list, refusing, 1024);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         client.out.write(query(statement("assign", 2500)));
-        while (before.heard.isEmpty()) {
+        while (before.received.isEmpty()) {
             Thread.onSpinWait();
         }
-        list.tell(43, false, entry("s-1", after, "SERVING", 2));
-        await("list", "version", 43);
+        list.publish(43, false, entry("s-1", after, "SERVING", 2));
+        awaitCounter("list", "version", 43);
         before.released.countDown();
         assertEquals("ok:v1", client.readAnswer());
-        assertEquals("ok:v2", client.ask("assign", 900));
-        assertEquals(1, before.heard.size());
+        assertEquals("ok:v2", client.call("assign", 900));
+        assertEquals(1, before.received.size());
     }
 
     /** A duplicate answer some milliseconds late, after the next RPC was read, is not taken for the next answer. */
     @Test
     void duplicateAnswer() throws Exception {
-        Fleet appliance = new Fleet("duplicate delayed");
-        StandIn refusing = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("duplicate delayed");
+        FakeServer refusing = new FakeServer("refused");
         // The pause after an answer is two ticks of the agent; long ticks make the order of events deterministic.
         start(entry("s-1", appliance, "SERVING", 1), "'TickNs':400000000,", refusing, refusing, 1024);
-        Caller client = new Caller().hello();
-        assertEquals("ok:v1", client.ask("assign", 2900));
+        TestClient client = new TestClient().handshake();
+        assertEquals("ok:v1", client.call("assign", 2900));
         appliance.value = "v2";
         client.out.write(query(statement("next", "assign", 2900)));
-        await("clients", "open RPCs", 1);
+        awaitCounter("clients", "open RPCs", 1);
         appliance.sendDuplicate.run();
         appliance.released.countDown();
         assertEquals("ok:v2", client.readAnswer());
@@ -99,8 +99,8 @@
     /** The appliance closes an idle connection while the next RPC is being read: the RPC uses another connection. */
     @Test
     void idleConnectionClosed() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
         configure(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 1024);
         onRead(text -> {
             if (text.contains("id=next,")) {
@@ -108,14 +108,14 @@
             }
         });
         agent.start();
-        Caller client = new Caller().hello();
-        assertEquals("ok:v1", client.ask("assign", 900));
+        TestClient client = new TestClient().handshake();
+        assertEquals("ok:v1", client.call("assign", 900));
         // Until the pause after the answer is over the connection would not be reused anyway.
         long pauseEnd = System.nanoTime() + 20_000_000;
         while (System.nanoTime() < pauseEnd) {
             Thread.onSpinWait();
         }
-        assertEquals("ok:v1", client.withId("next").ask("assign", 900));
+        assertEquals("ok:v1", client.withId("next").call("assign", 900));
         assertEquals(2, appliance.connections.get());
     }
 
@@ -126,23 +126,23 @@
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void connectNeverCompletes(boolean clientStays) throws Exception {
-        Fleet healthy = new Fleet("ok");
+        FakeAppliance healthy = new FakeAppliance("ok");
         ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         resources.add(unresponsive);
         // Fills the accept queue of one entry, to which the system adds another: further connects get no response.
         for (int i = 0; i < 2; i++) {
             resources.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
         }
-        StandIn refusing = new StandIn("refused");
-        Lister list = new Lister();
+        FakeServer refusing = new FakeServer("refused");
+        FakeDiscovery list = new FakeDiscovery();
         String unresponsiveEntry = entry("s-1", healthy, "SERVING", 1).replace(healthy.address(),
                 "127.0.0.1:" + unresponsive.getLocalPort());
         start(unresponsiveEntry, ASK_MODE + "'Ceilings':{'MaxAttempts':2,'RetryAfter':true,'ConnectTimeoutNs':5000000000},",
                 list, refusing, 1024);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         long start = System.nanoTime();
         client.out.write(query(statement("assign", 600)));
-        await("links", "opened", 1);
+        awaitCounter("links", "opened", 1);
         if (clientStays) {
             // At its deadline and never sent: no time is left to ask the client to retry.
             assertEquals("58000", client.readAnswer());
@@ -150,9 +150,9 @@
         } else {
             client.close();
         }
-        list.tell(43, false, entry("s-2", healthy, "SERVING", 1), unresponsiveEntry.replace("SERVING", "DRAINING"));
-        await("list", "version", 43);
-        assertEquals("ok:v1", askUntil("ok:v1"));
+        list.publish(43, false, entry("s-2", healthy, "SERVING", 1), unresponsiveEntry.replace("SERVING", "DRAINING"));
+        awaitCounter("list", "version", 43);
+        assertEquals("ok:v1", callUntil("ok:v1"));
         assertEquals(0, counter("clients", "open RPCs"));
     }
 
@@ -162,8 +162,8 @@
         "push,MIDDLE LINE", "ask,EMPTY LINE", "push,THOUSANDS", "ask,THOUSANDS-INDENTED", "push,reset LINE",
         "push,503 LINE", "ask,CUT reset LINE"})
     void listFormats(String mode, String scripts) throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
         String document = "{'index':42,'snapshot':true,'endpoints':[" + entry("s-1", appliance, "SERVING", 1) + "]}";
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < 5000; i++) {
@@ -171,12 +171,12 @@
         }
         String thousands = document.replace("[", "[" + entries);
         String indented = indented(document);
-        StandIn list = new StandIn(scripts) {
+        FakeServer list = new FakeServer(scripts) {
             @Override
             void play(Socket socket, DataInputStream in, OutputStream out) throws IOException {
                 readRequest(in);
                 String script = nextScript();
-                heard.add(script);
+                received.add(script);
                 if (script.equals("reset") || script.equals("503")) {
                     out.write((script.equals("reset") ? "" : "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
@@ -202,8 +202,8 @@
             }
         };
         start(entry("s-1", refusing, "SERVING", 1), mode.equals("ask") ? ASK_MODE : PUSH_MODE, list, refusing, 1024);
-        assertEquals("ok:v1", askUntil("ok:v1"));
-        assertEquals(List.of(commaSeparated(scripts.replace(' ', ','))), new ArrayList<>(list.heard));
+        assertEquals("ok:v1", callUntil("ok:v1"));
+        assertEquals(List.of(commaSeparated(scripts.replace(' ', ','))), new ArrayList<>(list.received));
     }
 
     private static String indented(String document) {
@@ -216,53 +216,53 @@
     @ParameterizedTest
     @CsvSource({"ask", "push"})
     void heartbeatsOnly(String mode) throws Exception {
-        Fleet appliance = new Fleet("ok");
-        Lister list = new Lister();
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeDiscovery list = new FakeDiscovery();
         start(entry("s-1", appliance, "SERVING", 1), "'RegistryMode':'" + mode + "','Rules':{'MustAskInNs':400000000},",
-                list, new StandIn("refused"), 1024);
+                list, new FakeServer("refused"), 1024);
         while (list.heartbeats.get() < 3) {
             Thread.onSpinWait();
         }
-        assertEquals(1, list.heard.size());
-        list.tell(43, false, entry("s-1", appliance, "DRAINING", 1));
-        await("list", "version", 43);
+        assertEquals(1, list.received.size());
+        list.publish(43, false, entry("s-1", appliance, "DRAINING", 1));
+        awaitCounter("list", "version", 43);
         assertEquals(0, counter("list", "failures"));
     }
 
     /** A snapshot older than the changes does not restore a drained appliance; a second such snapshot is accepted. */
     @Test
     void outdatedSnapshot() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
-        Lister list = new Lister();
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
+        FakeDiscovery list = new FakeDiscovery();
         start(entry("s-1", appliance, "SERVING", 1), ASK_MODE, list, refusing, 1024);
-        list.tell(43, false, entry("s-1", appliance, "DRAINING", 1));
-        await("list", "version", 43);
-        list.tell(42, true, entry("s-1", appliance, "SERVING", 1));
-        await("list", "older", 1);
+        list.publish(43, false, entry("s-1", appliance, "DRAINING", 1));
+        awaitCounter("list", "version", 43);
+        list.publish(42, true, entry("s-1", appliance, "SERVING", 1));
+        awaitCounter("list", "older", 1);
         assertEquals(43, counter("list", "version"));
         // The agent has requested the list again.
-        while (list.heard.size() < 2) {
+        while (list.received.size() < 2) {
             Thread.onSpinWait();
         }
-        assertEquals("53300+", new Caller().hello().ask("assign", 900));
-        list.tell(42, true, entry("s-1", appliance, "SERVING", 1));
-        assertEquals("ok:v1", askUntil("ok:v1"));
+        assertEquals("53300+", new TestClient().handshake().call("assign", 900));
+        list.publish(42, true, entry("s-1", appliance, "SERVING", 1));
+        assertEquals("ok:v1", callUntil("ok:v1"));
         assertEquals(42, counter("list", "version"));
     }
 
     /** A drain in an outdated snapshot is applied, though nothing else in it is. */
     @Test
     void drainInOutdatedSnapshot() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
-        Lister list = new Lister();
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
+        FakeDiscovery list = new FakeDiscovery();
         start(entry("s-1", appliance, "SERVING", 1), ASK_MODE, list, refusing, 1024);
-        list.tell(43, false, entry("s-2", appliance, "DRAINING", 1));
-        await("list", "version", 43);
-        list.tell(42, true, entry("s-1", appliance, "DRAINING", 1), entry("s-2", appliance, "SERVING", 1));
-        await("list", "older", 1);
-        assertEquals("53300+", new Caller().hello().ask("assign", 900));
+        list.publish(43, false, entry("s-2", appliance, "DRAINING", 1));
+        awaitCounter("list", "version", 43);
+        list.publish(42, true, entry("s-1", appliance, "DRAINING", 1), entry("s-2", appliance, "SERVING", 1));
+        awaitCounter("list", "older", 1);
+        assertEquals("53300+", new TestClient().handshake().call("assign", 900));
         assertEquals(43, counter("list", "version"));
     }
 
@@ -275,23 +275,23 @@
         "'status':'SERVING','group':'x'", "'since_ms':'soon','status':'SERVING'", "'release':[],'status':'SERVING'"})
     void malformedEntry(String fields) throws Exception {
         for (boolean isSnapshot : new boolean[] {false, true}) {
-            Fleet draining = new Fleet("ok");
-            Fleet serving = new Fleet("ok");
+            FakeAppliance draining = new FakeAppliance("ok");
+            FakeAppliance serving = new FakeAppliance("ok");
             serving.value = "v2";
-            StandIn refusing = new StandIn("refused");
-            Lister list = new Lister();
+            FakeServer refusing = new FakeServer("refused");
+            FakeDiscovery list = new FakeDiscovery();
             start(entry("s-1", draining, "SERVING", 1) + "," + entry("s-2", serving, "SERVING", 1), ASK_MODE,
                 list, refusing, 1024);
-            list.tell(43, isSnapshot, "{'name':'s-2','address':'" + serving.address() + "'," + fields + "}",
+            list.publish(43, isSnapshot, "{'name':'s-2','address':'" + serving.address() + "'," + fields + "}",
                     entry("s-1", draining, "DRAINING", 1));
-            await("list", "version", 43);
-            Caller client = new Caller().hello();
+            awaitCounter("list", "version", 43);
+            TestClient client = new TestClient().handshake();
             for (int i = 0; i < 10; i++) {
-                assertEquals("ok:v2", client.ask("assign", 900), fields + ", snapshot: " + isSnapshot);
+                assertEquals("ok:v2", client.call("assign", 900), fields + ", snapshot: " + isSnapshot);
             }
             assertEquals(1, counter("list", "unreadable entries"));
             assertEquals(0, counter("list", "failures"));
-            agent.end();
+            agent.close();
         }
     }
 
@@ -301,18 +301,18 @@
      */
     @Test
     void entryWithoutName() throws Exception {
-        Fleet draining = new Fleet("ok");
-        Fleet serving = new Fleet("ok");
+        FakeAppliance draining = new FakeAppliance("ok");
+        FakeAppliance serving = new FakeAppliance("ok");
         serving.value = "v2";
-        StandIn refusing = new StandIn("refused");
-        Lister list = new Lister();
+        FakeServer refusing = new FakeServer("refused");
+        FakeDiscovery list = new FakeDiscovery();
         start(entry("s-1", draining, "SERVING", 1) + "," + entry("s-2", serving, "SERVING", 1), ASK_MODE,
                 list, refusing, 1024);
-        list.tell(43, true, "7", entry("s-1", draining, "DRAINING", 1));
-        await("list", "version", 43);
-        Caller client = new Caller().hello();
+        list.publish(43, true, "7", entry("s-1", draining, "DRAINING", 1));
+        awaitCounter("list", "version", 43);
+        TestClient client = new TestClient().handshake();
         for (int i = 0; i < 10; i++) {
-            assertEquals("ok:v2", client.ask("assign", 900));
+            assertEquals("ok:v2", client.call("assign", 900));
         }
     }
 
@@ -321,8 +321,8 @@
     @CsvSource({"refused,failed: unreachable", "reset,failed: closed", "503,failed: status 503",
         "garbage,failed: unreadable"})
     void failedCallsByKind(String script, String counter) throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn list = new StandIn(script) {
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer list = new FakeServer(script) {
             @Override
             void play(Socket socket, DataInputStream in, OutputStream out) throws IOException {
                 readRequest(in);
@@ -334,7 +334,7 @@
                 socket.close();
             }
         };
-        start(entry("s-1", appliance, "SERVING", 1), PUSH_MODE, list, new StandIn("refused"), 1024);
+        start(entry("s-1", appliance, "SERVING", 1), PUSH_MODE, list, new FakeServer("refused"), 1024);
         while (counter("list", counter) == 0) {
             Thread.onSpinWait();
         }
@@ -347,23 +347,23 @@
      */
     @Test
     void changesDuringReload() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        Fleet other = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeAppliance other = new FakeAppliance("ok");
         other.value = "v2";
-        StandIn refusing = new StandIn("refused");
-        Lister oldList = new Lister();
-        Lister newList = new Lister();
+        FakeServer refusing = new FakeServer("refused");
+        FakeDiscovery oldList = new FakeDiscovery();
+        FakeDiscovery newList = new FakeDiscovery();
         start(entry("s-1", appliance, "SERVING", 1), ASK_MODE, oldList, refusing, 1024);
-        oldList.tell(43, false, entry("s-1", appliance, "DRAINING", 1));
-        await("list", "version", 43);
+        oldList.publish(43, false, entry("s-1", appliance, "DRAINING", 1));
+        awaitCounter("list", "version", 43);
         LoopPause pause = new LoopPause(() -> { });
-        agent.reread(List.of(() -> queries.reread(fields("{'discovery':'" + newList.address()
+        agent.reload(List.of(() -> queries.reload(fields("{'discovery':'" + newList.address()
                 + "','rollouts':{'address':'" + refusing.address() + "'}}"))));
-        oldList.tell(50, false, entry("s-1", appliance, "SERVING", 1));
-        newList.tell(7, true, entry("s-1", other, "SERVING", 1));
+        oldList.publish(50, false, entry("s-1", appliance, "SERVING", 1));
+        newList.publish(7, true, entry("s-1", other, "SERVING", 1));
         pause.close();
-        assertEquals("ok:v2", askUntil("ok:v2"));
+        assertEquals("ok:v2", callUntil("ok:v2"));
         assertEquals(7, counter("list", "version"));
-        assertTrue(newList.heard.peek().contains("index="), "requests the changes");
+        assertTrue(newList.received.peek().contains("index="), "requests the changes");
     }
 }
--- a/src/test/java/honeygap/net/SdkTest.java
+++ b/src/test/java/honeygap/net/SdkTest.java
@@ -46,7 +46,7 @@
                     Fields.document(parser));
         }
         Loop loop = new Loop();
-        Flags flags = new Flags(loop, FlagSheet.of(FlagsTest.fields("{'listen':'127.0.0.1:0','servers':["
+        FlagProtocol flags = new FlagProtocol(loop, FlagSheet.of(FlagsTest.fields("{'listen':'127.0.0.1:0','servers':["
                 + FlagsTest.server("s", "127.0.0.1:" + server.address().getPort(), 1, "up") + "]}")), 7);
         agent = new Agent(loop, List.of(flags));
         agent.start();
@@ -60,7 +60,7 @@
     @AfterEach
     void tearDown() {
         OpenFeatureAPI.getInstance().shutdown();
-        agent.end();
+        agent.close();
         server.close();
     }
 
--- a/src/test/java/honeygap/net/ShutdownTest.java
+++ b/src/test/java/honeygap/net/ShutdownTest.java
@@ -22,9 +22,9 @@
     private CompletableFuture<Integer> shutdown;
 
     /** Begins a shutdown; returns once the agent closes idle connections. */
-    private void shutDownUntilClosing(Fleet appliance) throws Exception {
-        Caller idle = new Caller().withId("resting").hello();
-        assertEquals("ok:v1", idle.ask("read", 900));
+    private void shutDownUntilClosing(FakeAppliance appliance) throws Exception {
+        TestClient idle = new TestClient().withId("resting").handshake();
+        assertEquals("ok:v1", idle.call("read", 900));
         beginShutdown(appliance);
         assertEquals("end", idle.readAnswer());
     }
@@ -32,14 +32,14 @@
     /**
      * Begins a shutdown; its result is the number of statements that the appliance had received when the agent ended.
      */
-    private void beginShutdown(Fleet appliance) {
+    private void beginShutdown(FakeAppliance appliance) {
         shutdown = CompletableFuture.supplyAsync(() -> {
             try {
-                agent.leave();
+                agent.shutDownGracefully();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            return appliance.heard.size();
+            return appliance.received.size();
         });
     }
 
@@ -47,22 +47,22 @@
     @ParameterizedTest
     @CsvSource({"1,0", "3,0", "3,30", "0,5", "0,90"})
     void pipelinedRpcs(int complete, int partialBytes) throws Exception {
-        Fleet appliance = new Fleet("ok delayed ok");
+        FakeAppliance appliance = new FakeAppliance("ok delayed ok");
         start(appliance);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         byte[] next = query(statement("next", "assign", 2900));
         if (complete == 0) {
             appliance.released.countDown();
         }
-        Caller idle = new Caller().withId("resting").hello();
-        assertEquals("ok:v1", idle.ask("read", 900));
+        TestClient idle = new TestClient().withId("resting").handshake();
+        assertEquals("ok:v1", idle.call("read", 900));
         List<byte[]> all = new ArrayList<>();
         for (int i = 0; i < complete; i++) {
             all.add(query(statement("in" + i, "assign", 2900)));
         }
         all.add(Arrays.copyOf(next, partialBytes));
         client.out.write(join(all.toArray(byte[][]::new)));
-        while (complete > 0 && appliance.heard.size() < 2) {
+        while (complete > 0 && appliance.received.size() < 2) {
             Thread.onSpinWait();
         }
         beginShutdown(appliance);
@@ -82,10 +82,10 @@
     /** An RPC that has arrived but is unread when its connection is to be closed is answered first. */
     @Test
     void rpcArrivesBeforeClose() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
-        Caller client = new Caller().hello();
-        assertEquals("ok:v1", client.ask("assign", 900));
+        TestClient client = new TestClient().handshake();
+        assertEquals("ok:v1", client.call("assign", 900));
         LoopPause pause = new LoopPause(queries::closeBetweenRpcs);
         client.out.write(query(statement("late", "assign", 900)));
         pause.close();
@@ -96,14 +96,14 @@
     /** An RPC that arrives after the decision to close stays unread: once read, it would have to be answered. */
     @Test
     void rpcArrivesAfterCloseDecision() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn refusing = new StandIn("refused");
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer refusing = new FakeServer("refused");
         configure(entry("s-1", appliance, "SERVING", 1), "", refusing, refusing, 1024);
         StringBuffer read = new StringBuffer();
         onRead(read::append);
         agent.start();
-        Caller client = new Caller().hello();
-        assertEquals("ok:v1", client.ask("assign", 900));
+        TestClient client = new TestClient().handshake();
+        assertEquals("ok:v1", client.call("assign", 900));
         new LoopPause(() -> {
             queries.closeBetweenRpcs();
             try {
@@ -114,26 +114,26 @@
         }).close();
         assertEquals("end", client.readAnswer());
         assertTrue(read.indexOf("id=9b1f,") >= 0 && read.indexOf("id=late,") < 0, "read: " + read);
-        assertEquals(1, appliance.heard.size());
+        assertEquals(1, appliance.received.size());
     }
 
     /** A connection accepted just before the close gets an answer to its first RPC. */
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void newConnection(boolean isStarted) throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
-        Caller client = new Caller();
+        TestClient client = new TestClient();
         if (isStarted) {
-            client.hello();
+            client.handshake();
         } else {
-            await("clients", "here", 1);
+            awaitCounter("clients", "here", 1);
         }
         new LoopPause(queries::closeBetweenRpcs).close();
         if (!isStarted) {
-            client.hello();
+            client.handshake();
         }
-        assertEquals("ok:v1", client.ask("assign", 900));
+        assertEquals("ok:v1", client.call("assign", 900));
         assertEquals("end", client.readAnswer());
     }
 
@@ -142,20 +142,20 @@
      */
     @Test
     void newConnectionAfterLoopPause() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
         // With an open connection the loop waits in the selector.
-        new Caller().hello();
+        new TestClient().handshake();
         LoopPause pause = new LoopPause(() -> { });
-        Caller client = new Caller();
+        TestClient client = new TestClient();
         long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(500);
         while (System.nanoTime() < due) {
             Thread.onSpinWait();
         }
         pause.close();
-        client.hello();
+        client.handshake();
         new LoopPause(queries::closeBetweenRpcs).close();
-        assertEquals("ok:v1", client.ask("assign", 900));
+        assertEquals("ok:v1", client.call("assign", 900));
         assertEquals("end", client.readAnswer());
     }
 
@@ -165,12 +165,12 @@
      */
     @Test
     void answerBeforeReset() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         client.out.write(query(statement("first", "assign", 900)));
-        await("links", "ok", 1);
-        await("clients", "idle", 1);
+        awaitCounter("links", "ok", 1);
+        awaitCounter("clients", "idle", 1);
         new LoopPause(() -> {
             queries.closeBetweenRpcs();
             try {
@@ -179,24 +179,24 @@
                 throw new IllegalStateException(e);
             }
         }).close();
-        await("clients", "here", 0);
+        awaitCounter("clients", "here", 0);
         assertEquals("ok:v1", client.readAnswer());
         assertEquals("end", client.readAnswer());
-        assertEquals(1, appliance.heard.size());
+        assertEquals(1, appliance.received.size());
     }
 
     /** A client that does not read an answer larger than the socket buffers does not delay the end. */
     @Test
     void unreadAnswer() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         appliance.value = "v".repeat(60_000);
         start(appliance);
-        Caller client = new Caller().hello();
+        TestClient client = new TestClient().handshake();
         byte[] request = query(statement("unread", "read", 2900));
         for (int i = 0; i < 60; i++) {
             client.out.write(request);
         }
-        while (appliance.heard.isEmpty()) {
+        while (appliance.received.isEmpty()) {
             Thread.onSpinWait();
         }
         long since = System.nanoTime();
@@ -209,17 +209,17 @@
     /** Drained, told to shut down and undrained: the agent still closes each connection after its RPCs and ends. */
     @Test
     void drainedAndUndrained() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
-        Caller idle = new Caller().hello();
-        assertEquals("ok:v1", idle.ask("read", 900));
-        new LoopPause(() -> agent.drain(true)).close();
+        TestClient idle = new TestClient().handshake();
+        assertEquals("ok:v1", idle.call("read", 900));
+        new LoopPause(() -> agent.setDrained(true)).close();
         assertEquals("end", idle.readAnswer());
         beginShutdown(appliance);
-        await("shutdown", "signalled", 1);
-        new LoopPause(() -> agent.drain(false)).close();
-        Caller late = new Caller().hello();
-        assertEquals("ok:v1", late.ask("read", 900));
+        awaitCounter("shutdown", "signalled", 1);
+        new LoopPause(() -> agent.setDrained(false)).close();
+        TestClient late = new TestClient().handshake();
+        assertEquals("ok:v1", late.call("read", 900));
         assertEquals("end", late.readAnswer());
         shutdown.get(10, TimeUnit.SECONDS);
     }
@@ -230,12 +230,12 @@
      */
     @Test
     void acceptedAtEnd() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
         beginShutdown(appliance);
         long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1500);
         LoopPause pause = new LoopPause(() -> { });
-        Caller client = new Caller();
+        TestClient client = new TestClient();
         client.out.write(join(STARTUP, query(statement("assign", 900))));
         // Waits past the agent's own timers, so that they are due when the loop resumes.
         while (System.nanoTime() < due) {
@@ -250,17 +250,17 @@
     /** Clients send on every connection that stays open: each RPC is answered or was never sent to an appliance. */
     @Test
     void clientsKeepSending() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
         List<CompletableFuture<String>> lastIds = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            Caller client = new Caller().withId("c" + i + "n").hello();
-            assertEquals("ok:v1", client.ask("read", 900));
+            TestClient client = new TestClient().withId("c" + i + "n").handshake();
+            assertEquals("ok:v1", client.call("read", 900));
             String name = client.id;
             lastIds.add(CompletableFuture.supplyAsync(() -> {
                 int number = 0;
                 try {
-                    while (client.withId(name + number).ask("read", 900).equals("ok:v1")) {
+                    while (client.withId(name + number).call("read", 900).equals("ok:v1")) {
                         number++;
                     }
                 } catch (IOException e) {
@@ -272,7 +272,7 @@
         beginShutdown(appliance);
         for (CompletableFuture<String> lastId : lastIds) {
             String id = lastId.get(10, TimeUnit.SECONDS);
-            assertTrue(appliance.heard.stream().noneMatch(statement -> statement.contains("id=" + id + ",")),
+            assertTrue(appliance.received.stream().noneMatch(statement -> statement.contains("id=" + id + ",")),
                     id + " was sent to the appliance");
         }
         shutdown.get(10, TimeUnit.SECONDS);
@@ -281,12 +281,12 @@
     /** A shutdown before the start returns at once, and the agent does not listen. */
     @Test
     void shutdownBeforeStart() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        configure(entry("s-1", appliance, "SERVING", 1), "", new StandIn("refused"), new StandIn("refused"), 1024);
+        FakeAppliance appliance = new FakeAppliance("ok");
+        configure(entry("s-1", appliance, "SERVING", 1), "", new FakeServer("refused"), new FakeServer("refused"), 1024);
         Agent early = agent;
         // The loop does not run: there is nothing to close.
         agent = null;
-        early.leave();
+        early.shutDownGracefully();
         early.start();
         assertThrows(IndexOutOfBoundsException.class, () -> early.address(0));
     }
@@ -294,14 +294,14 @@
     /** After a reload before the start the agent uses the addresses read last. */
     @Test
     void reloadBeforeStart() throws Exception {
-        Fleet appliance = new Fleet("ok");
-        StandIn desk = new StandIn("silent");
-        configure(entry("s-1", appliance, "SERVING", 1), "", new StandIn("refused"), new StandIn("refused"), 1024);
+        FakeAppliance appliance = new FakeAppliance("ok");
+        FakeServer desk = new FakeServer("silent");
+        configure(entry("s-1", appliance, "SERVING", 1), "", new FakeServer("refused"), new FakeServer("refused"), 1024);
         long faults = Loop.faultCount();
-        agent.reread(List.of(() -> queries.reread(fields("{'discovery':'127.0.0.1:1','rollouts':{'address':'"
+        agent.reload(List.of(() -> queries.reload(fields("{'discovery':'127.0.0.1:1','rollouts':{'address':'"
                 + desk.address() + "'}}"))));
         agent.start();
-        desk.heard.take();
+        desk.received.take();
         assertEquals(faults, Loop.faultCount());
         assertEquals(1, counter("agent", "rereads"));
     }
@@ -309,12 +309,12 @@
     /** Concurrent reloads: the one that read its files first is not applied last. */
     @Test
     void concurrentReloads() throws Exception {
-        Fleet appliance = new Fleet("ok");
+        FakeAppliance appliance = new FakeAppliance("ok");
         start(appliance);
         List<String> applied = new ArrayList<>();
         CountDownLatch isReading = new CountDownLatch(1);
         CountDownLatch resume = new CountDownLatch(1);
-        Thread first = new Thread(() -> agent.reread(List.of(() -> {
+        Thread first = new Thread(() -> agent.reload(List.of(() -> {
             isReading.countDown();
             try {
                 resume.await();
@@ -325,14 +325,14 @@
         })));
         first.start();
         isReading.await();
-        Thread second = new Thread(() -> agent.reread(List.of(() -> () -> applied.add("second"))));
+        Thread second = new Thread(() -> agent.reload(List.of(() -> () -> applied.add("second"))));
         second.start();
         // It waits for the first, or has been applied already.
         while (second.getState() != Thread.State.BLOCKED && second.isAlive()) {
             Thread.onSpinWait();
         }
         resume.countDown();
-        await("agent", "rereads", 2);
+        awaitCounter("agent", "rereads", 2);
         assertEquals(List.of("first", "second"), applied);
         assertFalse(first.isAlive() && second.isAlive());
     }
--- a/src/test/java/honeygap/read/DeploymentTest.java
+++ b/src/test/java/honeygap/read/DeploymentTest.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import honeygap.fleet.Method;
 import honeygap.net.Loop;
-import honeygap.net.Queries;
+import honeygap.net.PostgresProtocol;
 import honeygap.terms.ColdStartSettings;
 import honeygap.terms.DeskSettings;
 import honeygap.terms.ExposureSettings;
@@ -146,9 +146,9 @@
                  "settings": %s}
                 """.formatted(FIRST);
         // The settings are accepted without the modification.
-        new Queries(new Loop(), parse(valid));
+        new PostgresProtocol(new Loop(), parse(valid));
         Fields malformed = parse(valid.replace(original, replacement));
-        assertEquals("field " + expected, assertThrows(Malformed.class, () -> new Queries(new Loop(), malformed)).getMessage());
+        assertEquals("field " + expected, assertThrows(Malformed.class, () -> new PostgresProtocol(new Loop(), malformed)).getMessage());
     }
 
     /** A reload without a valid address of discovery or desk is rejected with the path of the field. */
@@ -160,8 +160,8 @@
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "rollouts": {"address": "127.0.0.1:1"},
                  "settings": %s}
                 """.formatted(SECOND);
-        Queries queries = new Queries(new Loop(), parse(valid));
+        PostgresProtocol queries = new PostgresProtocol(new Loop(), parse(valid));
         Fields malformed = parse(update);
-        assertEquals("field " + expected, assertThrows(Malformed.class, () -> queries.reread(malformed)).getMessage());
+        assertEquals("field " + expected, assertThrows(Malformed.class, () -> queries.reload(malformed)).getMessage());
     }
 }
