--- a/src/main/java/honeygap/capture/make/Morning.java
+++ b/src/main/java/honeygap/capture/make/Morning.java
@@ -2,7 +2,7 @@
 
 import honeygap.capture.file.Synthesis;
 import honeygap.capture.packet.Address;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -160,8 +160,8 @@
             connection = ++connectionCount;
             synthesizer.opened(connection, Address.four(0x0a000100 + (int) (connection >> 14), 20_000
                     + (int) (connection & 0x3fff)), server, true, startNs + offsetNs);
-            writeData(connection, true, Words.startup(), offsetNs);
-            writeData(connection, false, Words.welcome(), offsetNs);
+            writeData(connection, true, PgMessages.startupMessage(), offsetNs);
+            writeData(connection, false, PgMessages.startupResponse(), offsetNs);
         }
         double methodDraw = random.nextDouble();
         int methodIndex = 0;
@@ -176,13 +176,13 @@
                 + (profile.name.equals("book") ? ",k=" + String.format("%016x", random.nextLong()) : "") + " */";
         String value = value(key, 2 * valueLength(key));
         String stored = value(key, Math.min(MAX_VALUE_HEX_DIGITS, 2 * (int) valueSizes.sample()));
-        writeData(connection, true, Words.query(profile.isReadOnly
+        writeData(connection, true, PgMessages.query(profile.isReadOnly
                 ? "SELECT content FROM kv WHERE name = '" + key + "'" + comment
                 : "INSERT INTO kv (name, content) VALUES ('" + key + "', '\\x" + stored + "') RETURNING content"
                 + comment), offsetNs);
         double outcomeDraw = random.nextDouble();
-        ByteBuffer response = outcomeDraw < PUSHED_BACK_SHARE ? Words.error(Words.TOO_MANY, "full", 100)
-                : outcomeDraw < PUSHED_BACK_SHARE + FAILED_SHARE ? Words.error("XX000", "fault", 0) : row(value);
+        ByteBuffer response = outcomeDraw < PUSHED_BACK_SHARE ? PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "full", 100)
+                : outcomeDraw < PUSHED_BACK_SHARE + FAILED_SHARE ? PgMessages.error("XX000", "fault", 0) : row(value);
         pendingResponses.add(new PendingResponse(
                 offsetNs + (long) (responseTimes.get(methodIndex).sample() * NANOS_PER_MS), nextSequence++, connection,
                 response));
@@ -199,7 +199,7 @@
         message.put((byte) 'T').putInt(4 + 2 + column.length + 18).putShort((short) 1).put(column).put(new byte[18]);
         message.put((byte) 'D').putInt(4 + 6 + bytes.length).putShort((short) 1).putInt(bytes.length).put(bytes);
         message.put((byte) 'C').putInt(4 + commandTag.length).put(commandTag);
-        return message.put(Words.ready()).flip();
+        return message.put(PgMessages.readyForQuery()).flip();
     }
 
     public long connections() {
--- a/src/main/java/honeygap/capture/message/HttpConversation.java
+++ b/src/main/java/honeygap/capture/message/HttpConversation.java
@@ -1,9 +1,9 @@
 package honeygap.capture.message;
 
-import honeygap.net.http.Answers;
+import honeygap.net.http.ResponseParser;
 import honeygap.net.http.Refusal;
-import honeygap.net.http.Requests;
-import honeygap.net.ofrep.Bodies;
+import honeygap.net.http.RequestParser;
+import honeygap.net.ofrep.OfrepJson;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -17,7 +17,7 @@
  * chunk that starts with a request line, the server stream at a chunk that starts with a status line while exactly
  * one request is pending.
  */
-public final class HttpConversation implements Conversation, Answers.Reader {
+public final class HttpConversation implements Conversation, ResponseParser.Handler {
 
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int MAX_PENDING_RPCS = 256;
@@ -26,8 +26,8 @@
     private final Supplier<Spoken> rpcFactory;
     private final Hearer listener;
     private final Map<String, Long> counts;
-    private Requests requestParser = new Requests(MAX_BODY_BYTES);
-    private Answers responseParser = new Answers(this);
+    private RequestParser requestParser = new RequestParser(MAX_BODY_BYTES);
+    private ResponseParser responseParser = new ResponseParser(this);
     private boolean clientOutOfSync;
     /**
      * The next chunk directly follows a gap. Reassembly delayed it by an unknown time, so it can't be used to
@@ -92,7 +92,7 @@
                 return;
             }
             clientOutOfSync = false;
-            requestParser = new Requests(MAX_BODY_BYTES);
+            requestParser = new RequestParser(MAX_BODY_BYTES);
             abortPendingRpcs();
         }
         requestParser.feed(ByteBuffer.wrap(bytes));
@@ -121,7 +121,7 @@
         rpc.tenant = target.startsWith(FLAGS_PATH + "/") ? target.substring(FLAGS_PATH.length() + 1) : "";
         rpc.request = serializeRequest();
         try {
-            long subject = Bodies.subject(requestParser.body());
+            long subject = OfrepJson.targetingKeyHash(requestParser.body());
             rpc.key = subject == 0 ? "" : Long.toHexString(subject);
         } catch (Refusal e) {
             count("bodies without a context");
@@ -154,19 +154,19 @@
                 return;
             }
             serverOutOfSync = false;
-            responseParser = new Answers(this);
+            responseParser = new ResponseParser(this);
             responseBody.reset();
         }
         responseParser.feed(ByteBuffer.wrap(bytes));
     }
 
     @Override
-    public void head(int status) {
+    public void onHeadComplete(int status) {
         this.status = status;
     }
 
     @Override
-    public void data(ByteBuffer bytes) throws Malformed {
+    public void onData(ByteBuffer bytes) throws Malformed {
         if (responseBody.size() + bytes.remaining() > MAX_BODY_BYTES) {
             throw new Malformed("response body exceeds the maximum size");
         }
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void end() {
+    public void onComplete() {
         Spoken rpc = pendingRpcs.poll();
         if (rpc != null) {
             rpc.took = Math.max(0, lastChunkNs - rpc.at);
--- a/src/main/java/honeygap/capture/message/PgConversation.java
+++ b/src/main/java/honeygap/capture/message/PgConversation.java
@@ -1,9 +1,9 @@
 package honeygap.capture.message;
 
-import honeygap.net.pg.Frames;
-import honeygap.net.pg.Shapes;
+import honeygap.net.pg.FrameDecoder;
+import honeygap.net.pg.MessageValidator;
 import honeygap.net.pg.Statement;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -32,8 +32,8 @@
     private final Hearer listener;
     private final Map<String, Long> counts;
     private final Statement statement = new Statement();
-    private Frames clientFrames = new Frames(MAX_MESSAGE_BYTES);
-    private Frames serverFrames = new Frames(MAX_MESSAGE_BYTES);
+    private FrameDecoder clientFrames = new FrameDecoder(MAX_MESSAGE_BYTES);
+    private FrameDecoder serverFrames = new FrameDecoder(MAX_MESSAGE_BYTES);
     private Stage clientStage;
     private Stage serverStage = Stage.MESSAGES;
     /** Unanswered queries in order; {@link #NOT_AN_RPC} stands in for queries that are no RPC, such as an empty one. */
@@ -79,7 +79,7 @@
                 || buffer.get(buffer.limit() - 1) != 0) {
             return false;
         }
-        return new Statement().read(buffer.slice(5, buffer.remaining() - 5));
+        return new Statement().parse(buffer.slice(5, buffer.remaining() - 5));
     }
 
     /**
@@ -131,7 +131,7 @@
                 return;
             }
             clientStage = Stage.MESSAGES;
-            clientFrames = new Frames(MAX_MESSAGE_BYTES);
+            clientFrames = new FrameDecoder(MAX_MESSAGE_BYTES);
             // RPCs pending before the gap can't be matched with what follows.
             abortPendingRpcs();
         }
@@ -142,9 +142,9 @@
                     return;
                 }
                 int version = clientFrames.body().remaining() < 4 ? 0 : clientFrames.body().getInt(0);
-                if (version == Words.VERSION) {
+                if (version == PgMessages.PROTOCOL_3) {
                     clientStage = Stage.MESSAGES;
-                } else if (version == Words.TLS || version == Words.GSS) {
+                } else if (version == PgMessages.SSL_REQUEST || version == PgMessages.GSSENC_REQUEST) {
                     isEncryptionRequested = true;
                 } else {
                     clientStage = Stage.OPAQUE;
@@ -167,7 +167,7 @@
             // Clients don't pipeline: the response to the pending RPC was in the unreadable part of the server stream.
             abortPendingRpcs();
         }
-        if (!statement.read(clientFrames.body())) {
+        if (!statement.parse(clientFrames.body())) {
             pendingRpcs.add(NOT_AN_RPC);
             return;
         }
@@ -177,9 +177,9 @@
         rpc.id = statement.id();
         rpc.tenant = statement.tenant() == null ? "" : statement.tenant();
         rpc.key = statement.key();
-        rpc.deadlineMs = statement.timeMs();
+        rpc.deadlineMs = statement.timeoutMs();
         rpc.at = timestampNs;
-        ByteBuffer whole = clientFrames.whole();
+        ByteBuffer whole = clientFrames.message();
         rpc.request = new byte[whole.remaining()];
         whole.duplicate().get(rpc.request);
         rpc.isReadOnly = rpc.request[5] == 'S';
@@ -212,7 +212,7 @@
                 return;
             }
             serverStage = Stage.MESSAGES;
-            serverFrames = new Frames(MAX_MESSAGE_BYTES);
+            serverFrames = new FrameDecoder(MAX_MESSAGE_BYTES);
             isStartupComplete = true;
         }
         serverFrames.feed(ByteBuffer.wrap(remaining));
@@ -225,7 +225,7 @@
         if (SERVER_MESSAGE_TYPES.indexOf(serverFrames.type()) < 0) {
             throw new Malformed("message type is not one that servers send");
         }
-        Shapes.check(serverFrames.type(), serverFrames.body());
+        MessageValidator.check(serverFrames.type(), serverFrames.body());
         switch (serverFrames.type()) {
             case 'T', 'D':
                 appendToResponse();
@@ -239,9 +239,9 @@
                 break;
             case 'E':
                 appendToResponse();
-                errorCode = Words.field(serverFrames.body(), 'C');
+                errorCode = PgMessages.errorField(serverFrames.body(), 'C');
                 outcome = Spoken.Outcome.ofSqlState(errorCode);
-                if (Words.field(serverFrames.body(), 'S').equals("FATAL")) {
+                if (PgMessages.errorField(serverFrames.body(), 'S').equals("FATAL")) {
                     completeRpc(timestampNs);
                 }
                 break;
@@ -257,7 +257,7 @@
     }
 
     private void appendToResponse() {
-        ByteBuffer whole = serverFrames.whole();
+        ByteBuffer whole = serverFrames.message();
         if (response.size() + whole.remaining() <= MAX_MESSAGE_BYTES) {
             while (whole.hasRemaining()) {
                 response.write(whole.get());
--- a/src/main/java/honeygap/capture/message/Spoken.java
+++ b/src/main/java/honeygap/capture/message/Spoken.java
@@ -1,7 +1,7 @@
 package honeygap.capture.message;
 
 import honeygap.capture.packet.Address;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 
 /** One RPC decoded from a capture: request, response, and timing. */
 public final class Spoken {
@@ -15,7 +15,7 @@
 
         /** Maps the SQLSTATE of a PostgreSQL error to an outcome. */
         public static Outcome ofSqlState(String sqlState) {
-            return sqlState.equals(Words.TOO_MANY) || sqlState.equals("57P03") ? refused : failed;
+            return sqlState.equals(PgMessages.TOO_MANY_CONNECTIONS) || sqlState.equals("57P03") ? refused : failed;
         }
 
         /** Maps an HTTP status of the flag API to an outcome. */
--- a/src/main/java/honeygap/capture/replay/Replayer.java
+++ b/src/main/java/honeygap/capture/replay/Replayer.java
@@ -4,9 +4,9 @@
 import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.net.http.Answers;
-import honeygap.net.pg.Frames;
-import honeygap.net.pg.Words;
+import honeygap.net.http.ResponseParser;
+import honeygap.net.pg.FrameDecoder;
+import honeygap.net.pg.PgMessages;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
@@ -247,7 +247,7 @@
 
     private final class PgConnection extends ReplayConnection {
 
-        private final Frames frames = new Frames(MAX_MESSAGE_BYTES);
+        private final FrameDecoder frames = new FrameDecoder(MAX_MESSAGE_BYTES);
         private final ByteArrayOutputStream response = new ByteArrayOutputStream();
         private Spoken.Outcome outcome;
 
@@ -261,7 +261,7 @@
             if (isClosed) {
                 session.closeNow();
             } else {
-                session.write(new GatheringBuffer(Words.startup()));
+                session.write(new GatheringBuffer(PgMessages.startupMessage()));
             }
         }
 
@@ -271,15 +271,15 @@
             while (!isClosed && frames.next()) {
                 byte type = frames.type();
                 if (type == 'T' || type == 'D' || type == 'C' || type == 'E') {
-                    byte[] message = new byte[frames.whole().remaining()];
-                    frames.whole().duplicate().get(message);
+                    byte[] message = new byte[frames.message().remaining()];
+                    frames.message().duplicate().get(message);
                     response.writeBytes(message);
                 }
                 if (type == 'C') {
                     outcome = Spoken.Outcome.served;
                 } else if (type == 'E') {
-                    outcome = Spoken.Outcome.ofSqlState(Words.field(frames.body(), 'C'));
-                    if (Words.field(frames.body(), 'S').equals("FATAL")) {
+                    outcome = Spoken.Outcome.ofSqlState(PgMessages.errorField(frames.body(), 'C'));
+                    if (PgMessages.errorField(frames.body(), 'S').equals("FATAL")) {
                         completeRpc(outcome, null);
                         abort();
                     }
@@ -303,9 +303,9 @@
         }
     }
 
-    private final class HttpConnection extends ReplayConnection implements Answers.Reader {
+    private final class HttpConnection extends ReplayConnection implements ResponseParser.Handler {
 
-        private final Answers responseParser = new Answers(this);
+        private final ResponseParser responseParser = new ResponseParser(this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private boolean isCloseRequested;
@@ -331,17 +331,17 @@
         }
 
         @Override
-        public void field(String name, String value) {
+        public void onField(String name, String value) {
             isCloseRequested |= name.equals("connection") && value.equalsIgnoreCase("close");
         }
 
         @Override
-        public void head(int status) {
+        public void onHeadComplete(int status) {
             this.status = status;
         }
 
         @Override
-        public void data(ByteBuffer bytes) throws Malformed {
+        public void onData(ByteBuffer bytes) throws Malformed {
             if (body.size() + bytes.remaining() > MAX_MESSAGE_BYTES) {
                 throw new Malformed("response body exceeds the maximum size");
             }
@@ -351,7 +351,7 @@
         }
 
         @Override
-        public void end() {
+        public void onComplete() {
             byte[] bytes = body.toByteArray();
             body.reset();
             completeRpc(Spoken.Outcome.ofHttpStatus(status), bytes);
--- a/src/main/java/honeygap/capture/replay/Rewriting.java
+++ b/src/main/java/honeygap/capture/replay/Rewriting.java
@@ -2,7 +2,7 @@
 
 import honeygap.capture.message.Spoken;
 import honeygap.capture.redact.Mask;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.codec.digest.MurmurHash3;
@@ -51,7 +51,7 @@
             }
             fields.append(fields.length() > 0 ? "," : "").append(name).append('=').append(value);
         }
-        return Words.query(statement + "/* " + fields + " */");
+        return PgMessages.query(statement + "/* " + fields + " */");
     }
 
     private String nextId() {
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -5,7 +5,7 @@
 import honeygap.net.Agent;
 import honeygap.net.Loop;
 import honeygap.net.PostgresProtocol;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import honeygap.read.Fields;
 import honeygap.read.Malformed;
 import honeygap.standin.StoreServer;
@@ -48,8 +48,8 @@
         agent.start();
         try (Socket client = new Socket(anyLoopbackPort.getAddress(), agent.address(0).getPort())) {
             client.setSoTimeout(READ_TIMEOUT_MS);
-            write(client, Words.startup());
-            write(client, Words.query("SELECT content FROM kv WHERE name = 'k1' /* id=1,c=look,t=t,d=2000 */"));
+            write(client, PgMessages.startupMessage());
+            write(client, PgMessages.query("SELECT content FROM kv WHERE name = 'k1' /* id=1,c=look,t=t,d=2000 */"));
             InputStream in = client.getInputStream();
             int type = in.read();
             while (type >= 0 && type != 'C' && type != 'E') {
--- a/src/main/java/honeygap/lab/soak/SoakClient.java
+++ b/src/main/java/honeygap/lab/soak/SoakClient.java
@@ -1,6 +1,6 @@
 package honeygap.lab.soak;
 
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -89,7 +89,7 @@
             connection.setSoTimeout((int) READ_TIMEOUT_MS);
             in = new DataInputStream(connection.getInputStream());
             Thread.sleep(silentMs);
-            write(connection, Words.startup());
+            write(connection, PgMessages.startupMessage());
             readAnswer();
         } catch (IOException e) {
             connection.close();
@@ -127,7 +127,7 @@
         long timeMs = (long) (fraction * load.deadlineMs().get(method));
         long now = record.now();
         record.sent.put(id, new SoakRecord.SentRequest(id, agent, method, now, timeMs));
-        return new Request(id, Words.query("SELECT content FROM kv WHERE name = '" + key + "' /* id=" + id + ",c="
+        return new Request(id, PgMessages.query("SELECT content FROM kv WHERE name = '" + key + "' /* id=" + id + ",c="
                 + method.label + ",t=acme,d=" + timeMs + ",k=" + key + " */"), now + timeMs);
     }
 
@@ -195,7 +195,7 @@
     private void recordAnswer(String id) throws IOException {
         String answer = readAnswer();
         SoakRecord.Ending ending = answer.startsWith("D") ? SoakRecord.Ending.SERVED
-                : answer.equals("E" + Words.TOO_MANY) ? SoakRecord.Ending.REFUSED : SoakRecord.Ending.FAILED;
+                : answer.equals("E" + PgMessages.TOO_MANY_CONNECTIONS) ? SoakRecord.Ending.REFUSED : SoakRecord.Ending.FAILED;
         record.completions.add(new SoakRecord.Completion(id, ending, record.now(), answer.substring(1)));
     }
 
@@ -221,8 +221,8 @@
     static long sendIncompleteRequest(InetSocketAddress address) throws IOException {
         try (Socket connection = new Socket(InetAddress.getLoopbackAddress(), address.getPort())) {
             connection.setSoTimeout((int) READ_TIMEOUT_MS);
-            write(connection, Words.startup());
-            ByteBuffer query = Words.query("SELECT content FROM kv WHERE name = 'half' /* id=half,c=read,t=acme,d=900 */");
+            write(connection, PgMessages.startupMessage());
+            ByteBuffer query = PgMessages.query("SELECT content FROM kv WHERE name = 'half' /* id=half,c=read,t=acme,d=900 */");
             write(connection, query.slice(0, query.remaining() / 2));
             long startNs = System.nanoTime();
             awaitClose(connection);
--- a/src/main/java/honeygap/lab/soak/StandInAppliance.java
+++ b/src/main/java/honeygap/lab/soak/StandInAppliance.java
@@ -1,9 +1,9 @@
 package honeygap.lab.soak;
 
 import honeygap.capture.make.Morning;
-import honeygap.net.pg.Frames;
+import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.io.InputStream;
@@ -118,18 +118,18 @@
 
     private void readRequests(Socket socket, int processRestarts) throws IOException, Malformed, InterruptedException {
         InputStream in = socket.getInputStream();
-        Frames frames = new Frames(1 << 18);
+        FrameDecoder frames = new FrameDecoder(1 << 18);
         byte[] buffer = new byte[1 << 14];
         boolean isStarted = false;
         long firstByteAt = record.now();
         for (int count = in.read(buffer); count > 0; count = in.read(buffer)) {
             long readAt = record.now();
-            firstByteAt = frames.waiting() == 0 ? readAt : firstByteAt;
+            firstByteAt = frames.bufferedBytes() == 0 ? readAt : firstByteAt;
             frames.feed(ByteBuffer.wrap(buffer.clone(), 0, count));
             while (isStarted ? frames.next() : frames.nextUntyped(10_000)) {
                 if (!isStarted) {
                     isStarted = true;
-                    write(socket, Words.welcome());
+                    write(socket, PgMessages.startupResponse());
                 } else if (frames.type() == 'Q' && !handleRequest(socket, frames.body(), processRestarts, firstByteAt)) {
                     return;
                 }
@@ -141,17 +141,17 @@
     private boolean handleRequest(Socket socket, ByteBuffer body, int processRestarts, long firstByteAt)
             throws IOException, InterruptedException {
         Statement statement = new Statement();
-        if (!statement.read(body)) {
-            write(socket, isDraining ? Words.error(SQLSTATE_CANNOT_CONNECT_NOW, "draining", 0) : Morning.row("1"));
+        if (!statement.parse(body)) {
+            write(socket, isDraining ? PgMessages.error(SQLSTATE_CANNOT_CONNECT_NOW, "draining", 0) : Morning.row("1"));
             return true;
         }
         boolean refuses = isDraining || hasFault(FaultKind.APPLIANCE_REFUSES);
         SoakMethod method = SoakMethod.ofLabel(statement.method());
         boolean isKnown = method == SoakMethod.BOOK && isAnswered(statement.key());
         record.arrivals.add(new SoakRecord.Arrival(statement.id(), number, processRestarts, build, zone, firstByteAt,
-                record.now(), statement.timeMs(), !refuses && !isKnown));
+                record.now(), statement.timeoutMs(), !refuses && !isKnown));
         if (refuses) {
-            write(socket, Words.error(Words.TOO_MANY, "no capacity", 0));
+            write(socket, PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "no capacity", 0));
             return true;
         }
         if (hasFault(FaultKind.APPLIANCE_RESETS)) {
--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -9,14 +9,14 @@
 import honeygap.fleet.Build;
 import honeygap.fleet.Fleet;
 import honeygap.fleet.Pick;
-import honeygap.net.askers.Askers;
+import honeygap.net.askers.FlagClients;
 import honeygap.net.desk.Ballots;
 import honeygap.net.desk.Bulletin;
 import honeygap.net.desk.News;
 import honeygap.net.links.ConnectionPool;
 import honeygap.net.list.Named;
 import honeygap.net.list.Registry;
-import honeygap.net.ofrep.Exchange;
+import honeygap.net.ofrep.EvaluationDispatcher;
 import honeygap.net.servers.FlagServerConnection;
 import honeygap.read.FlagSheet;
 import honeygap.rules.shutdown.ShutdownSchedule;
@@ -38,8 +38,8 @@
     private final FlagSheet settings;
     private final DecisionEngine rules;
     private final EngineAdapter engine;
-    private final Exchange exchange;
-    private final Askers flagClients;
+    private final EvaluationDispatcher exchange;
+    private final FlagClients flagClients;
     private final ConnectionPool connections;
     private final Named staticList;
     private final House localRollout;
@@ -55,8 +55,8 @@
         Answers answerCache = new Answers(settings.sharing, settings.step, settings.allowances,
                 new Versions(settings.keys, settings.cells),
                 new Kept(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
-        exchange = new Exchange(loop, rules, answerCache, new Limits(settings.retryAfterMost));
-        flagClients = new Askers(loop, exchange, settings.methods.get(0), settings.methods.get(1),
+        exchange = new EvaluationDispatcher(loop, rules, answerCache, new Limits(settings.retryAfterMost));
+        flagClients = new FlagClients(loop, exchange, settings.methods.get(0), settings.methods.get(1),
                 settings.methods.get(2), settings.methods.get(3), settings.step, settings.clients, settings.longestBody);
         connections = new ConnectionPool(loop, rules,
                 (pool, appliance) -> new FlagServerConnection(pool, appliance, settings.longestAnswer),
@@ -136,7 +136,7 @@
 
     @Override
     public InetSocketAddress listen() throws IOException {
-        return loop.listen(settings.listen, BACKLOG, flagClients.places(), flagClients::newHandler);
+        return loop.listen(settings.listen, BACKLOG, flagClients.maxAcceptedConnections(), flagClients::newHandler);
     }
 
     /**
--- a/src/main/java/honeygap/net/PostgresProtocol.java
+++ b/src/main/java/honeygap/net/PostgresProtocol.java
@@ -3,7 +3,7 @@
 import honeygap.DecisionEngine;
 import honeygap.fleet.Method;
 import honeygap.net.appliances.PostgresConnection;
-import honeygap.net.clients.Clients;
+import honeygap.net.clients.PgClients;
 import honeygap.net.desk.Ballots;
 import honeygap.net.desk.Bulletin;
 import honeygap.net.desk.News;
@@ -39,7 +39,7 @@
     private final Loop loop;
     private final DecisionEngine rules;
     private final EngineAdapter engine;
-    private final Clients clients;
+    private final PgClients clients;
     private final ConnectionPool connections;
     private final Registry discovery;
     private final Ballots votes;
@@ -74,7 +74,7 @@
             methodsByName.put(method.text("Name"), methods.get(index++));
         }
         engine = new EngineAdapter(loop, rules, methods.size(), "");
-        clients = new Clients(loop, rules, methodsByName, settings, maxConnections,
+        clients = new PgClients(loop, rules, methodsByName, settings, maxConnections,
                 sockets / CLIENT_DESCRIPTOR_DIVISOR / 2);
         Fields ceilings = settings.part("Ceilings");
         connections = new ConnectionPool(loop, rules, PostgresConnection::new, settings.tenths("TickNs"),
@@ -122,7 +122,7 @@
 
     @Override
     public InetSocketAddress listen() throws IOException {
-        return loop.listen(listenAddress, 2 * maxConnections, clients.places(), clients::newHandler);
+        return loop.listen(listenAddress, 2 * maxConnections, clients.maxAcceptedConnections(), clients::newHandler);
     }
 
     /**
--- a/src/main/java/honeygap/net/WarmUp.java
+++ b/src/main/java/honeygap/net/WarmUp.java
@@ -10,9 +10,9 @@
 import honeygap.fleet.Pick;
 import honeygap.fleet.Rpc;
 import honeygap.fleet.Tenant;
-import honeygap.net.pg.Frames;
+import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import honeygap.read.Deployment;
 import honeygap.read.Fields;
 import honeygap.read.Malformed;
@@ -30,7 +30,7 @@
 
     private final List<Method> methods;
     private final DecisionEngine rules;
-    private final Frames frames = new Frames(1 << 16);
+    private final FrameDecoder frames = new FrameDecoder(1 << 16);
     private final Statement statement = new Statement();
     private final ArrayDeque<Rpc> inFlight = new ArrayDeque<>();
     private final Tenant tenant = new Tenant();
@@ -84,16 +84,16 @@
 
     private void parseAndSubmit(int number) throws Malformed {
         Method method = methods.get(number % methods.size());
-        frames.feed(Words.query("SELECT content FROM kv WHERE name = '" + number + "' /* id=" + number
+        frames.feed(PgMessages.query("SELECT content FROM kv WHERE name = '" + number + "' /* id=" + number
                 + ",c=m,t=t,d=480,h=1000 */"));
-        if (frames.next() && statement.read(frames.body())) {
-            Words.query(statement.before(), statement.timeMs(), statement.after());
+        if (frames.next() && statement.parse(frames.body())) {
+            PgMessages.query(statement.textBeforeTimeout(), statement.timeoutMs(), statement.textAfterTimeout());
             rules.rpcReceived(new Rpc(statement.id(), method, tenant, statement.key(), now, now + method.deadline,
                     statement.hintMicros(), statement.retry()));
         }
-        frames.feed(Words.error(Words.TOO_MANY, "rehearsed", 1));
+        frames.feed(PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "rehearsed", 1));
         while (frames.next()) {
-            Words.field(frames.body(), 'C');
+            PgMessages.errorField(frames.body(), 'C');
         }
     }
 
@@ -104,12 +104,12 @@
 
     @Override
     public void pushBack(Rpc rpc, long retryAfter) {
-        Words.error(Words.TOO_MANY, "rehearsed", retryAfter);
+        PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "rehearsed", retryAfter);
     }
 
     @Override
     public void abort(Rpc rpc) {
-        Words.error(Words.GIVEN_UP, "rehearsed", 0);
+        PgMessages.error(PgMessages.SYSTEM_ERROR, "rehearsed", 0);
     }
 
     @Override
--- a/src/main/java/honeygap/net/appliances/PostgresConnection.java
+++ b/src/main/java/honeygap/net/appliances/PostgresConnection.java
@@ -5,10 +5,10 @@
 import honeygap.net.links.UpstreamConnection;
 import honeygap.net.links.ConnectionPool;
 import honeygap.net.links.RemoteAppliance;
-import honeygap.net.pg.Frames;
+import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Query;
-import honeygap.net.pg.Shapes;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.MessageValidator;
+import honeygap.net.pg.PgMessages;
 import honeygap.read.Malformed;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -29,7 +29,7 @@
     private static final String IDLE_TYPES = "SNA";
 
     private String expectedTypes = STARTUP_TYPES;
-    private final Frames frames = new Frames(MAX_MESSAGE_BYTES);
+    private final FrameDecoder frames = new FrameDecoder(MAX_MESSAGE_BYTES);
     /** The messages of the answer: row description, data row, command completion. */
     private final List<ByteBuffer> answerSlices = new ArrayList<>(3);
     private boolean rowSeen;
@@ -40,13 +40,13 @@
 
     @Override
     protected void startProtocol() {
-        session.write(new GatheringBuffer(Words.startup()));
+        session.write(new GatheringBuffer(PgMessages.startupMessage()));
     }
 
     @Override
     protected void sendProbe() {
         expectedTypes = REQUEST_TYPES;
-        session.write(new GatheringBuffer(Words.query("SELECT 1")));
+        session.write(new GatheringBuffer(PgMessages.query("SELECT 1")));
     }
 
     @Override
@@ -55,7 +55,7 @@
         rowSeen = false;
         expectedTypes = REQUEST_TYPES;
         Query query = (Query) call;
-        session.write(new GatheringBuffer(Words.query(query.before(), pool.millisLeft(timeoutAt), query.after())));
+        session.write(new GatheringBuffer(PgMessages.query(query.textBeforeTimeout(), pool.millisLeft(timeoutAt), query.textAfterTimeout())));
     }
 
     @Override
@@ -73,7 +73,7 @@
 
     @Override
     protected boolean hasPartialMessage() {
-        return frames.waiting() > 0;
+        return frames.bufferedBytes() > 0;
     }
 
     @Override
@@ -85,24 +85,24 @@
         if (expectedTypes.indexOf(frames.type()) < 0) {
             throw new Malformed("unexpected message type");
         }
-        Shapes.check(frames.type(), frames.body());
+        MessageValidator.check(frames.type(), frames.body());
         switch (frames.type()) {
             case 'T':
-                answerSlices.add(frames.whole());
+                answerSlices.add(frames.message());
                 break;
             case 'D':
                 rowSeen = true;
-                answerSlices.add(frames.whole());
+                answerSlices.add(frames.message());
                 break;
             case 'C':
-                answerSlices.add(frames.whole());
+                answerSlices.add(frames.message());
                 if (!isProbing) {
                     handleAnswer();
                 }
                 break;
             case 'E':
                 if (!isProbing || !isReady) {
-                    handleError(Words.field(frames.body(), 'C'));
+                    handleError(PgMessages.errorField(frames.body(), 'C'));
                 }
                 break;
             case 'Z':
@@ -129,7 +129,7 @@
     }
 
     private void handleError(String sqlState) {
-        int outcome = sqlState.equals(Words.TOO_MANY) ? Pick.PUSHED_BACK
+        int outcome = sqlState.equals(PgMessages.TOO_MANY_CONNECTIONS) ? Pick.PUSHED_BACK
                 : isFullyWritten ? Pick.ERROR : Pick.CONNECT_FAILED;
         if (call == null || !isReady) {
             close(outcome);
--- a/src/main/java/honeygap/net/askers/FlagClientConnection.java
+++ b/src/main/java/honeygap/net/askers/FlagClientConnection.java
@@ -2,11 +2,11 @@
 
 import honeygap.flags.Answers;
 import honeygap.flags.Served;
-import honeygap.net.guests.Guest;
+import honeygap.net.guests.ClientConnection;
 import honeygap.net.http.Refusal;
-import honeygap.net.http.Requests;
+import honeygap.net.http.RequestParser;
 import honeygap.net.ofrep.PendingEvaluation;
-import honeygap.net.ofrep.Bodies;
+import honeygap.net.ofrep.OfrepJson;
 import honeygap.net.ofrep.OfrepRequest;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -16,20 +16,20 @@
  * An HTTP/1.1 connection of a flag client. Pipelined requests are accepted; they are processed one at a time, so
  * that responses are sent in the order of the requests.
  */
-final class FlagClientConnection extends Guest {
+final class FlagClientConnection extends ClientConnection {
 
     private static final byte[] NO_BODY = {};
 
-    private final Askers clients;
-    private final Requests parser;
+    private final FlagClients clients;
+    private final RequestParser parser;
     private ClientEvaluation openEvaluation;
     private boolean continueSent;
     private boolean started;
 
-    FlagClientConnection(Askers clients) {
+    FlagClientConnection(FlagClients clients) {
         super(clients.connections);
         this.clients = clients;
-        parser = new Requests(clients.maxBodyLength);
+        parser = new RequestParser(clients.maxBodyLength);
     }
 
     /** One evaluation of this client. */
@@ -39,7 +39,7 @@
 
         ClientEvaluation(OfrepRequest request, long takenAt, long deadline, long knownVersion) {
             super(request, takenAt, deadline, knownVersion);
-            isKeepAlive = parser.isKept();
+            isKeepAlive = parser.isKeepAlive();
         }
 
         @Override
@@ -61,7 +61,7 @@
         }
 
         private byte[] errorBody(String code, String details) {
-            return Bodies.error(question.flag, code, details);
+            return OfrepJson.error(question.flag, code, details);
         }
     }
 
@@ -72,53 +72,53 @@
     }
 
     @Override
-    protected boolean isAsking() {
+    protected boolean hasOpenRpc() {
         return openEvaluation != null;
     }
 
     @Override
-    protected int waiting() {
-        return parser.waiting();
+    protected int bufferedBytes() {
+        return parser.bufferedBytes();
     }
 
     @Override
-    protected int longest() {
-        return parser.longest();
+    protected int maxBufferedBytes() {
+        return parser.maxBufferedBytes();
     }
 
     @Override
-    protected ByteBuffer tooLongWord() {
+    protected ByteBuffer timeoutResponse() {
         clients.countRejected("too slow");
-        return createResponse(408, Bodies.error(null, null, "nothing whole has come in time"), "", false);
+        return createResponse(408, OfrepJson.error(null, null, "nothing whole has come in time"), "", false);
     }
 
     @Override
-    protected ByteBuffer tooManyWord() {
+    protected ByteBuffer tooManyConnectionsResponse() {
         clients.countRejected("too many connections");
-        return createResponse(503, Bodies.error(null, null, "too many connections"), "Retry-After: 1\r\n", false);
+        return createResponse(503, OfrepJson.error(null, null, "too many connections"), "Retry-After: 1\r\n", false);
     }
 
     @Override
-    protected ByteBuffer shutdownWord() {
+    protected ByteBuffer shutdownResponse() {
         clients.countRejected("shutting down");
-        return createResponse(503, Bodies.error(null, null, "this agent is shutting down"), "Retry-After: 1\r\n",
+        return createResponse(503, OfrepJson.error(null, null, "this agent is shutting down"), "Retry-After: 1\r\n",
                 false);
     }
 
     @Override
-    protected void giveUp() {
+    protected void failRpc() {
         ClientEvaluation abandoned = openEvaluation;
         clients.dispatcher.abandon(abandoned);
         abandoned.abort();
     }
 
     @Override
-    protected void keep(ByteBuffer bytes) {
+    protected void buffer(ByteBuffer bytes) {
         parser.feed(bytes);
     }
 
     @Override
-    protected void leave() {
+    protected void abandonRpc() {
         if (openEvaluation != null) {
             ClientEvaluation abandoned = openEvaluation;
             closeEvaluation();
@@ -127,14 +127,14 @@
     }
 
     @Override
-    protected void read() {
+    protected void processInput() {
         try {
             while (canRead() && parser.next()) {
                 started = true;
-                hasAsked();
+                requestReceived();
                 continueSent = false;
-                if (clients.connections.isFull()) {
-                    end(tooManyWord());
+                if (clients.connections.rejectsRequest()) {
+                    writeAndClose(tooManyConnectionsResponse());
                 } else {
                     handleRequest();
                 }
@@ -146,7 +146,7 @@
         } catch (Refusal e) {
             // The start of the next request is unknown after a malformed one.
             clients.countRejected(e.kind);
-            end(createResponse(e.status, Bodies.error(null, null, e.getMessage()), "", false));
+            writeAndClose(createResponse(e.status, OfrepJson.error(null, null, e.getMessage()), "", false));
         }
     }
 
@@ -172,8 +172,8 @@
         } catch (Refusal e) {
             clients.countRejected(e.kind);
             boolean hasErrorCode = e.status == 400;
-            writeResponse(parser.isKept(), e.status,
-                    Bodies.error(hasErrorCode ? flag : null, hasErrorCode ? e.kind : null, e.getMessage()),
+            writeResponse(parser.isKeepAlive(), e.status,
+                    OfrepJson.error(hasErrorCode ? flag : null, hasErrorCode ? e.kind : null, e.getMessage()),
                     e.status == 405 ? "Allow: POST\r\n" : "");
         }
     }
@@ -181,7 +181,7 @@
     private ClientEvaluation createEvaluation(Paths.Route route) throws Refusal {
         String token = parser.field("idempotency-key");
         boolean isTracking = route.isTracking();
-        long targetingKeyHash = Bodies.subject(parser.body());
+        long targetingKeyHash = OfrepJson.targetingKeyHash(parser.body());
         long knownVersion = isTracking || route.flag() != null ? Served.NO_VERSION
                 : EntityTags.newestVersion(parser.field("if-none-match"));
         StringBuilder fields = new StringBuilder();
@@ -209,7 +209,7 @@
     private void sendResponse(ClientEvaluation evaluation, Served served, int origin) {
         if (evaluation.question.flag != null || !evaluation.question.shareable || !served.isGood()) {
             byte[] body = origin == Answers.FRESH ? served.body
-                    : Bodies.withReason(served.body, false, reasonFor(origin));
+                    : OfrepJson.withReason(served.body, false, reasonFor(origin));
             finishEvaluation(evaluation, served.status, body, "");
             return;
         }
@@ -218,7 +218,7 @@
             finishEvaluation(evaluation, 304, NO_BODY, "ETag: " + tag + "\r\n");
         } else {
             byte[] body = origin == Answers.FRESH ? served.body
-                    : Bodies.withReason(served.body, true, reasonFor(origin));
+                    : OfrepJson.withReason(served.body, true, reasonFor(origin));
             finishEvaluation(evaluation, 200, body, "ETag: " + tag + "\r\n");
         }
     }
--- a/src/main/java/honeygap/net/askers/Askers.java
+++ b/src/main/java/honeygap/net/askers/FlagClients.java
@@ -5,23 +5,23 @@
 import honeygap.net.Downstream;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.net.guests.Guests;
+import honeygap.net.guests.ClientConnections;
 import honeygap.net.http.Refusal;
-import honeygap.net.ofrep.Exchange;
+import honeygap.net.ofrep.EvaluationDispatcher;
 import honeygap.net.shutdown.ShutdownLog;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** All connections of flag clients to this agent. */
-public final class Askers implements Downstream {
+public final class FlagClients implements Downstream {
 
     /** A connection without an open evaluation for this long may be closed; tenths of a millisecond. */
     private static final long IDLE_TIMEOUT = 600_000;
 
     private final Loop loop;
-    final Exchange dispatcher;
-    final Guests connections;
+    final EvaluationDispatcher dispatcher;
+    final ClientConnections connections;
     final int maxBodyLength;
     final long tick;
     private final Method evaluateMethod;
@@ -43,7 +43,7 @@
      * @param maxConnections how many connections may stay open
      * @param maxBodyLength the maximum length of a request body in bytes
      */
-    public Askers(Loop loop, Exchange dispatcher, Method evaluateMethod, Method bulkMethod, Method trackMethod,
+    public FlagClients(Loop loop, EvaluationDispatcher dispatcher, Method evaluateMethod, Method bulkMethod, Method trackMethod,
                   Method keyedTrackMethod, long tick, int maxConnections, int maxBodyLength) {
         this.loop = loop;
         this.dispatcher = dispatcher;
@@ -54,7 +54,7 @@
         this.tick = tick;
         this.maxBodyLength = maxBodyLength;
         shutdownLog = new ShutdownLog(loop);
-        connections = new Guests(loop, maxConnections, Math.max(1, maxConnections / 2), IDLE_TIMEOUT, shutdownLog);
+        connections = new ClientConnections(loop, maxConnections, Math.max(1, maxConnections / 2), IDLE_TIMEOUT, shutdownLog);
     }
 
     @Override
@@ -118,8 +118,8 @@
     }
 
     /** The maximum number of connections to accept. */
-    public int places() {
-        return connections.places();
+    public int maxAcceptedConnections() {
+        return connections.maxAcceptedConnections();
     }
 
     @Override
--- a/src/main/java/honeygap/net/clients/PgClientConnection.java
+++ b/src/main/java/honeygap/net/clients/PgClientConnection.java
@@ -1,10 +1,10 @@
 package honeygap.net.clients;
 
-import honeygap.net.guests.Guest;
-import honeygap.net.pg.Frames;
+import honeygap.net.guests.ClientConnection;
+import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Query;
 import honeygap.net.pg.Statement;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import honeygap.net.shutdown.ShutdownEvent;
 import honeygap.read.Malformed;
 import java.nio.ByteBuffer;
@@ -13,7 +13,7 @@
 import java.util.Locale;
 
 /** A client connection that speaks the PostgreSQL wire protocol. */
-final class PgClientConnection extends Guest implements Query.ResponseHandler {
+final class PgClientConnection extends ClientConnection implements Query.ResponseHandler {
 
     /** In bytes: a value of 64 KiB as hexadecimal digits, plus the statement around it. */
     private static final int MAX_MESSAGE_LENGTH = 2 * 65536 + 4096;
@@ -25,12 +25,12 @@
      */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
-    private final Clients clients;
-    private final Frames decoder = new Frames(MAX_MESSAGE_LENGTH);
+    private final PgClients clients;
+    private final FrameDecoder decoder = new FrameDecoder(MAX_MESSAGE_LENGTH);
     private boolean started;
     private Query call;
 
-    PgClientConnection(Clients clients) {
+    PgClientConnection(PgClients clients) {
         super(clients.connections);
         this.clients = clients;
     }
@@ -41,47 +41,47 @@
     }
 
     @Override
-    protected boolean isAsking() {
+    protected boolean hasOpenRpc() {
         return call != null;
     }
 
     @Override
-    protected int waiting() {
-        return decoder.waiting();
+    protected int bufferedBytes() {
+        return decoder.bufferedBytes();
     }
 
     @Override
-    protected int longest() {
+    protected int maxBufferedBytes() {
         return MAX_MESSAGE_LENGTH;
     }
 
     @Override
-    protected ByteBuffer tooLongWord() {
-        return Words.fatal(Words.PROTOCOL_VIOLATION, "nothing whole has come in time");
+    protected ByteBuffer timeoutResponse() {
+        return PgMessages.fatal(PgMessages.PROTOCOL_VIOLATION, "nothing whole has come in time");
     }
 
     @Override
-    protected ByteBuffer tooManyWord() {
-        return Words.fatal(Words.TOO_MANY, "too many connections");
+    protected ByteBuffer tooManyConnectionsResponse() {
+        return PgMessages.fatal(PgMessages.TOO_MANY_CONNECTIONS, "too many connections");
     }
 
     @Override
-    protected ByteBuffer shutdownWord() {
-        return Words.fatal(Words.CANNOT_CONNECT_NOW, "this agent is shutting down, trying again is harmless");
+    protected ByteBuffer shutdownResponse() {
+        return PgMessages.fatal(PgMessages.CANNOT_CONNECT_NOW, "this agent is shutting down, trying again is harmless");
     }
 
     @Override
-    protected void giveUp() {
+    protected void failRpc() {
         clients.abortIfUnanswered(call);
     }
 
     @Override
-    protected void keep(ByteBuffer bytes) {
+    protected void buffer(ByteBuffer bytes) {
         decoder.feed(bytes);
     }
 
     @Override
-    protected void leave() {
+    protected void abandonRpc() {
         if (call != null) {
             Query abandoned = call;
             clients.recordShutdownEvent(ShutdownEvent.ABANDONED, abandoned, this);
@@ -91,7 +91,7 @@
     }
 
     @Override
-    protected void read() {
+    protected void processInput() {
         try {
             while (canRead() && (started ? decoder.next() : decoder.nextUntyped(MAX_STARTUP_LENGTH))) {
                 if (started) {
@@ -113,19 +113,19 @@
             throw new Malformed("a startup of length " + body.remaining());
         }
         switch (body.getInt(0)) {
-            case Words.TLS:
-            case Words.GSS:
-                write(Words.encryptionRefused());
+            case PgMessages.SSL_REQUEST:
+            case PgMessages.GSSENC_REQUEST:
+                write(PgMessages.encryptionRefused());
                 break;
-            case Words.VERSION:
+            case PgMessages.PROTOCOL_3:
                 started = true;
-                if (clients.connections.isFull()) {
-                    end(tooManyWord());
+                if (clients.connections.rejectsRequest()) {
+                    writeAndClose(tooManyConnectionsResponse());
                 } else {
-                    write(Words.welcome());
+                    write(PgMessages.startupResponse());
                 }
                 break;
-            case Words.CANCEL_REQUEST:
+            case PgMessages.CANCEL_REQUEST:
                 closeNow();
                 break;
             default:
@@ -147,17 +147,17 @@
     }
 
     private void handleQuery(ByteBuffer body) throws Malformed {
-        hasAsked();
+        requestReceived();
         if (!body.hasRemaining() || body.get(body.limit() - 1) != 0) {
             throw new Malformed("a query without an end");
         }
         Statement statement = clients.statement;
-        if (statement.read(body)) {
+        if (statement.parse(body)) {
             call = clients.openRpc(this, statement);
             if (call != null) {
                 clients.submit(call);
             } else {
-                write(Words.error(Words.SYNTAX_ERROR, "unknown method, or an id that is open", 0));
+                write(PgMessages.error(PgMessages.SYNTAX_ERROR, "unknown method, or an id that is open", 0));
             }
             return;
         }
@@ -166,12 +166,12 @@
                 .replace('\0', ' ').replace(';', ' ').strip().toUpperCase(Locale.ROOT);
         String command = text.split("\\s", 2)[0];
         if (text.isEmpty()) {
-            write(Words.emptyQuery());
+            write(PgMessages.emptyQueryResponse());
         } else if (command.equals("SET") || command.equals("RESET") || command.equals("DISCARD")) {
-            write(Words.setComplete());
+            write(PgMessages.setComplete());
         } else {
             clients.countUnknown();
-            write(Words.error(Words.SYNTAX_ERROR, "not a statement that is taken here", 0));
+            write(PgMessages.error(PgMessages.SYNTAX_ERROR, "not a statement that is taken here", 0));
         }
     }
 
@@ -179,7 +179,7 @@
     public void answer(ByteBuffer... row) {
         clients.recordShutdownEvent(ShutdownEvent.SERVED, call, this);
         ByteBuffer[] parts = Arrays.copyOf(row, row.length + 1);
-        parts[row.length] = Words.ready();
+        parts[row.length] = PgMessages.readyForQuery();
         finishCall(parts);
     }
 
@@ -188,14 +188,14 @@
         clients.recordShutdownEvent(ShutdownEvent.REFUSED, call, this);
         clients.recordFailure(call);
         clients.countPushedBack();
-        finishCall(Words.error(Words.TOO_MANY, "pushed back, trying again is harmless", retryAfterMs));
+        finishCall(PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "pushed back, trying again is harmless", retryAfterMs));
     }
 
     @Override
     public void abort() {
         clients.recordShutdownEvent(ShutdownEvent.FAILED, call, this);
         clients.recordFailure(call);
-        finishCall(Words.error(Words.GIVEN_UP, "aborted", 0));
+        finishCall(PgMessages.error(PgMessages.SYSTEM_ERROR, "aborted", 0));
     }
 
     private void finishCall(ByteBuffer... parts) {
@@ -217,7 +217,7 @@
      */
     private void rejectMalformed(String reason) {
         clients.countMalformed();
-        leave();
-        end(Words.fatal(Words.PROTOCOL_VIOLATION, reason));
+        abandonRpc();
+        writeAndClose(PgMessages.fatal(PgMessages.PROTOCOL_VIOLATION, reason));
     }
 }
--- a/src/main/java/honeygap/net/clients/Clients.java
+++ b/src/main/java/honeygap/net/clients/PgClients.java
@@ -11,10 +11,10 @@
 import honeygap.net.LogRateLimiter;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.net.guests.Guests;
+import honeygap.net.guests.ClientConnections;
 import honeygap.net.pg.Query;
 import honeygap.net.pg.Statement;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import honeygap.net.shutdown.ShutdownEvent;
 import honeygap.net.shutdown.ShutdownLog;
 import honeygap.read.Fields;
@@ -25,7 +25,7 @@
 import java.util.Map;
 
 /** All PostgreSQL client connections of this agent and the RPCs accepted from them. */
-public final class Clients implements Downstream {
+public final class PgClients implements Downstream {
 
     /** The protocol allows closing a connection that has had no open RPC for this long; tenths of a millisecond. */
     private static final long IDLE_TIMEOUT = 20_000;
@@ -41,7 +41,7 @@
     private final Tenant defaultTenant = new Tenant();
     private final long tick;
     private final int maxOpenRpcs;
-    final Guests connections;
+    final ClientConnections connections;
     private final Map<String, Query> openRpcs = new HashMap<>();
     private long malformedCount;
     private long unknownCount;
@@ -62,7 +62,7 @@
      * @param maxConnections how many connections may stay open
      * @param idleCloseThreshold number of connections above which idle ones are closed
      */
-    public Clients(Loop loop, DecisionEngine rules, Map<String, Method> methods, Fields info,
+    public PgClients(Loop loop, DecisionEngine rules, Map<String, Method> methods, Fields info,
                    int maxConnections, int idleCloseThreshold) throws Malformed {
         this.loop = loop;
         this.rules = rules;
@@ -70,7 +70,7 @@
         methods.forEach((name, method) -> methodNames.put(method, name));
         shutdownLog = new ShutdownLog(loop);
         failureLogBudget = new LogRateLimiter(loop, MAX_FAILURE_LINES_PER_SECOND);
-        connections = new Guests(loop, maxConnections, idleCloseThreshold, IDLE_TIMEOUT, shutdownLog);
+        connections = new ClientConnections(loop, maxConnections, idleCloseThreshold, IDLE_TIMEOUT, shutdownLog);
         tick = Math.max(1, info.tenths("TickNs"));
         maxOpenRpcs = info.part("Ceilings").index("MaxOpen", Integer.MAX_VALUE);
         if (info.has("Accounts")) {
@@ -102,10 +102,10 @@
         loop.onRpcAccepted();
         long now = loop.clock();
         // One tick earlier, because the client's timeout started when it sent and the response takes time to arrive.
-        long deadline = now + Math.max(0, Math.min(statement.timeMs() * 10, method.deadline) - tick);
+        long deadline = now + Math.max(0, Math.min(statement.timeoutMs() * 10, method.deadline) - tick);
         Query call = new Query(statement.id(), method, tenants.getOrDefault(statement.tenant(), defaultTenant),
                 statement.key(), now, deadline, statement.hintMicros() / 100, statement.retry(), client,
-                statement.before(), statement.after());
+                statement.textBeforeTimeout(), statement.textAfterTimeout());
         openRpcs.put(call.id, call);
         recordShutdownEvent(ShutdownEvent.TAKEN, call, client);
         call.deadlineTimer = loop.schedule(deadline + 2 * tick, () -> loop.post(() -> abortIfUnanswered(call)));
@@ -201,8 +201,8 @@
     }
 
     /** The maximum number of connections to accept. */
-    public int places() {
-        return connections.places();
+    public int maxAcceptedConnections() {
+        return connections.maxAcceptedConnections();
     }
 
     @Override
--- a/src/main/java/honeygap/net/desk/Ballots.java
+++ b/src/main/java/honeygap/net/desk/Ballots.java
@@ -6,7 +6,7 @@
 import honeygap.net.EngineAdapter;
 import honeygap.net.Counters;
 import honeygap.net.Loop;
-import honeygap.net.http.Answers;
+import honeygap.net.http.ResponseParser;
 import honeygap.net.http.Connection;
 import honeygap.read.Malformed;
 import java.net.InetSocketAddress;
@@ -56,7 +56,7 @@
     }
 
     /** A vote on a connection of its own: votes are rare, and the desk closes idle connections. */
-    private final class PendingVote implements Answers.Reader {
+    private final class PendingVote implements ResponseParser.Handler {
 
         private final Build build;
         private final Connection connection;
@@ -93,12 +93,12 @@
         }
 
         @Override
-        public void head(int status) {
+        public void onHeadComplete(int status) {
             this.status = status;
         }
 
         @Override
-        public void data(ByteBuffer bytes) throws Malformed {
+        public void onData(ByteBuffer bytes) throws Malformed {
             if (body.length() + bytes.remaining() > MAX_RESPONSE_LENGTH) {
                 throw new Malformed("response of the release desk exceeds the maximum length");
             }
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public void end() {
+        public void onComplete() {
             String text = body.toString();
             if (status == 200) {
                 try {
--- a/src/main/java/honeygap/net/desk/Bulletin.java
+++ b/src/main/java/honeygap/net/desk/Bulletin.java
@@ -2,7 +2,7 @@
 
 import honeygap.net.Counters;
 import honeygap.net.Loop;
-import honeygap.net.http.Stream;
+import honeygap.net.http.ResponseStream;
 import honeygap.read.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -19,7 +19,7 @@
     private final long seed;
     private String eventType = "";
     private Runnable pendingUpdate;
-    private Stream stream;
+    private ResponseStream stream;
     private Loop.Timer reconnectTimer;
     private long failures;
     private long unreadableLines;
@@ -41,7 +41,7 @@
     public void listen() {
         eventType = "";
         pendingUpdate = null;
-        stream = new Stream(loop, address, "/bulletin", silenceTimeout, silenceTimeout, this::readLine, end -> {
+        stream = new ResponseStream(loop, address, "/bulletin", silenceTimeout, silenceTimeout, this::readLine, end -> {
             failures++;
             reconnectTimer = loop.schedule(loop.now() + (long) (jitter() * silenceTimeout / 4), this::listen);
         });
--- a/src/main/java/honeygap/net/door/AdminConnection.java
+++ b/src/main/java/honeygap/net/door/AdminConnection.java
@@ -1,18 +1,18 @@
 package honeygap.net.door;
 
-import honeygap.net.guests.Guest;
+import honeygap.net.guests.ClientConnection;
 import honeygap.net.http.Refusal;
-import honeygap.net.http.Requests;
+import honeygap.net.http.RequestParser;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.tinylog.Logger;
 
 /** A connection to the admin endpoint; its requests are processed one after another. */
-final class AdminConnection extends Guest {
+final class AdminConnection extends ClientConnection {
 
     private final Door endpoint;
-    private final Requests requests;
+    private final RequestParser requests;
     private boolean hasSentRequest;
     /** Whether a request is being handled off the loop; the next one is read only after its response. */
     private boolean isResponsePending;
@@ -20,7 +20,7 @@
     AdminConnection(Door endpoint) {
         super(endpoint.connections);
         this.endpoint = endpoint;
-        requests = new Requests(endpoint.maxBodyBytes());
+        requests = new RequestParser(endpoint.maxBodyBytes());
     }
 
     @Override
@@ -29,64 +29,64 @@
     }
 
     @Override
-    protected boolean isAsking() {
+    protected boolean hasOpenRpc() {
         return isResponsePending;
     }
 
     @Override
-    protected int waiting() {
-        return requests.waiting();
+    protected int bufferedBytes() {
+        return requests.bufferedBytes();
     }
 
     @Override
-    protected int longest() {
-        return requests.longest();
+    protected int maxBufferedBytes() {
+        return requests.maxBufferedBytes();
     }
 
     @Override
-    protected void keep(ByteBuffer bytes) {
+    protected void buffer(ByteBuffer bytes) {
         requests.feed(bytes);
     }
 
     @Override
-    protected void leave() {
+    protected void abandonRpc() {
     }
 
     @Override
-    protected ByteBuffer tooLongWord() {
+    protected ByteBuffer timeoutResponse() {
         return response(408, "{\"error\":\"nothing whole has come in time\"}".getBytes(StandardCharsets.US_ASCII), false);
     }
 
     @Override
-    protected ByteBuffer tooManyWord() {
+    protected ByteBuffer tooManyConnectionsResponse() {
         return response(503, "{\"error\":\"too many connections\"}".getBytes(StandardCharsets.US_ASCII), false);
     }
 
     @Override
-    protected ByteBuffer shutdownWord() {
+    protected ByteBuffer shutdownResponse() {
         return response(503, "{\"error\":\"shutting down\"}".getBytes(StandardCharsets.US_ASCII), false);
     }
 
     @Override
-    protected void giveUp() {
+    protected void failRpc() {
         isResponsePending = false;
-        end(shutdownWord());
+        writeAndClose(shutdownResponse());
     }
 
     @Override
-    protected void read() {
+    protected void processInput() {
         try {
             if (canRead() && requests.next()) {
                 hasSentRequest = true;
-                hasAsked();
-                if (endpoint.connections.isFull()) {
-                    end(tooManyWord());
+                requestReceived();
+                if (endpoint.connections.rejectsRequest()) {
+                    writeAndClose(tooManyConnectionsResponse());
                 } else {
                     handleRequest();
                 }
             }
         } catch (Refusal e) {
-            end(response(e.status, errorBody(e), false));
+            writeAndClose(response(e.status, errorBody(e), false));
         }
     }
 
@@ -120,7 +120,7 @@
             status = 500;
             body = "{\"error\":\"the ledger can't be kept\"}".getBytes(StandardCharsets.US_ASCII);
         }
-        sendResponse(status, body, requests.isKept());
+        sendResponse(status, body, requests.isKeepAlive());
     }
 
     private void sendResponse(int status, byte[] body, boolean keepAlive) {
@@ -131,7 +131,7 @@
     }
 
     private void handleAsync(Aside handler) {
-        boolean keepAlive = requests.isKept();
+        boolean keepAlive = requests.isKeepAlive();
         isResponsePending = true;
         handler.answer(requests.method(), requests.target(), requests.body().clone(), new Aside.Reply() {
             @Override
--- a/src/main/java/honeygap/net/door/Door.java
+++ b/src/main/java/honeygap/net/door/Door.java
@@ -7,7 +7,7 @@
 import honeygap.net.Agent;
 import honeygap.net.Counters;
 import honeygap.net.Loop;
-import honeygap.net.guests.Guests;
+import honeygap.net.guests.ClientConnections;
 import honeygap.net.http.Refusal;
 import honeygap.net.shutdown.ShutdownLog;
 import honeygap.read.Fields;
@@ -46,7 +46,7 @@
     private final byte[] token;
     private final Ledger ledger;
     private final LedgerFile ledgerFile;
-    final Guests connections;
+    final ClientConnections connections;
     private InetSocketAddress boundAddress;
     /** Null if no requests are handled off the loop. */
     private Aside asyncHandler;
@@ -69,7 +69,7 @@
         this.token = token.getBytes(StandardCharsets.UTF_8);
         ledger = new Ledger(MAX_LEDGER_ENTRIES, generation);
         ledgerFile = new LedgerFile(ledgerPath, ledger);
-        connections = new Guests(loop, MAX_CONNECTIONS, MAX_CONNECTIONS / 2, IDLE_TIMEOUT, new ShutdownLog(loop));
+        connections = new ClientConnections(loop, MAX_CONNECTIONS, MAX_CONNECTIONS / 2, IDLE_TIMEOUT, new ShutdownLog(loop));
     }
 
     /** Sets the handler for requests off the loop; called before {@link #listen}. */
@@ -101,7 +101,7 @@
         if (token.length == 0 && !address.getAddress().isLoopbackAddress()) {
             throw new Malformed("the admin endpoint must listen on a loopback address unless it has a token: " + address);
         }
-        boundAddress = loop.listen(address, BACKLOG, connections.places(), () -> new AdminConnection(this));
+        boundAddress = loop.listen(address, BACKLOG, connections.maxAcceptedConnections(), () -> new AdminConnection(this));
     }
 
     /** The address that it listens on. */
--- a/src/main/java/honeygap/net/guests/Guest.java
+++ b/src/main/java/honeygap/net/guests/ClientConnection.java
@@ -13,7 +13,7 @@
  * connections, and writes to it. RPCs are processed one at a time; each is answered completely before the next
  * one is read.
  */
-public abstract class Guest implements ConnectionHandler {
+public abstract class ClientConnection implements ConnectionHandler {
 
     /**
      * How long a connection may stay in one stage before it is sent an error or closed, counted from its accept
@@ -43,7 +43,7 @@
         UNREAD
     }
 
-    private final Guests connections;
+    private final ClientConnections connections;
     private final Loop loop;
     private IoSession session;
     /** A response is not yet completely handed over to the operating system. */
@@ -54,13 +54,13 @@
     private long openedAt;
     private long earliestAcceptedAt;
     private long stageSince;
-    /** Maintained by {@link Guests}, which closes connections that have been idle for too long. */
+    /** Maintained by {@link ClientConnections}, which closes connections that have been idle for too long. */
     long idleSince;
     private boolean hasReceivedRequest;
     /** Ends a stage that lasts too long. */
     private Loop.Timer stageTimer;
 
-    protected Guest(Guests connections) {
+    protected ClientConnection(ClientConnections connections) {
         this.connections = connections;
         loop = connections.loop;
     }
@@ -69,37 +69,37 @@
     protected abstract boolean isStarted();
 
     /** Whether an RPC of this connection is open. */
-    protected abstract boolean isAsking();
+    protected abstract boolean hasOpenRpc();
 
     /** How many received bytes are buffered: unread messages or part of one. */
-    protected abstract int waiting();
+    protected abstract int bufferedBytes();
 
     /** Buffers received bytes. */
-    protected abstract void keep(ByteBuffer bytes);
+    protected abstract void buffer(ByteBuffer bytes);
 
     /** Processes buffered messages for as long as {@link #canRead} holds. */
-    protected abstract void read();
+    protected abstract void processInput();
 
     /** Abandons the open RPC, if any, because the client has disconnected. */
-    protected abstract void leave();
+    protected abstract void abandonRpc();
 
     /** The final response to a client that has not sent a complete request in time. */
-    protected abstract ByteBuffer tooLongWord();
+    protected abstract ByteBuffer timeoutResponse();
 
     /** The final response to a client that is disconnected because there are too many connections. */
-    protected abstract ByteBuffer tooManyWord();
+    protected abstract ByteBuffer tooManyConnectionsResponse();
 
     /** The final response to a client whose request is still incomplete when the agent shuts down. */
-    protected abstract ByteBuffer shutdownWord();
+    protected abstract ByteBuffer shutdownResponse();
 
     /** Answers the open RPC as failed, because no response was produced for it in time. */
-    protected abstract void giveUp();
+    protected abstract void failRpc();
 
     /** How many bytes may be buffered behind an open RPC before reading is suspended. */
-    protected abstract int longest();
+    protected abstract int maxBufferedBytes();
 
     protected final boolean canRead() {
-        return !isAsking() && !writing && !ending;
+        return !hasOpenRpc() && !writing && !ending;
     }
 
     protected final boolean isEnding() {
@@ -107,7 +107,7 @@
     }
 
     /** Marks that the client has sent a request, which extends the timeout for the rest of later messages. */
-    protected final void hasAsked() {
+    protected final void requestReceived() {
         hasReceivedRequest = true;
     }
 
@@ -134,10 +134,10 @@
         if (ending) {
             return;
         }
-        keep(bytes);
+        buffer(bytes);
         advance();
         // Limits the bytes buffered behind an open RPC. A partial message never reaches this limit.
-        if (waiting() > longest() && !ending) {
+        if (bufferedBytes() > maxBufferedBytes() && !ending) {
             session.suspendRead();
         }
     }
@@ -159,11 +159,11 @@
         updateStage();
         connections.remove(this);
         connections.connectionClosed();
-        leave();
+        abandonRpc();
     }
 
     protected final void advance() {
-        read();
+        processInput();
         updateStage();
         connections.updateIdle(this, isIdle());
     }
@@ -175,7 +175,7 @@
      */
     private void updateStage() {
         Stage next = disconnected ? Stage.REST : writing || ending ? Stage.UNREAD : !isStarted() ? Stage.START
-                : isAsking() ? Stage.ANSWER : waiting() > 0 ? Stage.HALF : Stage.REST;
+                : hasOpenRpc() ? Stage.ANSWER : bufferedBytes() > 0 ? Stage.HALF : Stage.REST;
         if (next == stage) {
             return;
         }
@@ -197,7 +197,7 @@
 
     private void stageTimedOut() {
         connections.countTimedOut();
-        terminate(tooLongWord());
+        terminate(timeoutResponse());
     }
 
     final boolean hasReceivedRequest() {
@@ -242,10 +242,10 @@
 
     /** Sends a final response for an open RPC or a partial request, because the agent shuts down. */
     final void endForShutdown() {
-        if (isAsking()) {
-            giveUp();
+        if (hasOpenRpc()) {
+            failRpc();
         } else if (!writing && !ending) {
-            end(shutdownWord());
+            writeAndClose(shutdownResponse());
         }
     }
 
@@ -254,7 +254,7 @@
         if (stage == Stage.UNREAD) {
             session.closeNow();
         } else {
-            end(response);
+            writeAndClose(response);
         }
     }
 
@@ -265,12 +265,12 @@
 
     /** Whether no input has been received from the client. */
     final boolean hasSentNothing() {
-        return !isStarted() && !writing && !ending && waiting() == 0;
+        return !isStarted() && !writing && !ending && bufferedBytes() == 0;
     }
 
     /** Whether no RPC is open, nothing is being written and no partial request is buffered. */
     final boolean isIdle() {
-        return isStarted() && !isAsking() && !writing && !ending && waiting() == 0;
+        return isStarted() && !hasOpenRpc() && !writing && !ending && bufferedBytes() == 0;
     }
 
     protected final void close() {
@@ -292,7 +292,7 @@
         }
     }
 
-    protected final void end(ByteBuffer response) {
+    protected final void writeAndClose(ByteBuffer response) {
         write(response);
         close();
     }
--- a/src/main/java/honeygap/net/guests/Guests.java
+++ b/src/main/java/honeygap/net/guests/ClientConnections.java
@@ -15,9 +15,9 @@
 import java.util.stream.Collectors;
 
 /** All client connections of one front: enforces the connection limit and closes idle connections. */
-public final class Guests {
+public final class ClientConnections {
 
-    /** One connection above the limit is accepted per this many, see {@link #places}. */
+    /** One connection above the limit is accepted per this many, see {@link #maxAcceptedConnections}. */
     private static final int CONNECTIONS_PER_EXTRA = 16;
 
     final Loop loop;
@@ -25,11 +25,11 @@
     private final int idleCloseThreshold;
     private final long idleTimeout;
     private final ShutdownLog shutdownLog;
-    private final Set<Guest> connections = new LinkedHashSet<>();
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
     /** Connections without an open RPC; longest idle first. */
-    private final Set<Guest> idle = new LinkedHashSet<>();
+    private final Set<ClientConnection> idle = new LinkedHashSet<>();
     /** Connections whose startup or rest of a message is awaited; longest waiting first. */
-    private final Set<Guest> awaitingInput = new LinkedHashSet<>();
+    private final Set<ClientConnection> awaitingInput = new LinkedHashSet<>();
     private Loop.Timer idleTimer;
     /** Number of connections, including those that close once their last response is written. */
     private int connected;
@@ -48,7 +48,7 @@
      * @param idleCloseThreshold number of connections above which idle ones are closed
      * @param idleTimeout time after which an idle connection is closed, in tenths of a millisecond
      */
-    public Guests(Loop loop, int maxConnections, int idleCloseThreshold, long idleTimeout, ShutdownLog shutdownLog) {
+    public ClientConnections(Loop loop, int maxConnections, int idleCloseThreshold, long idleTimeout, ShutdownLog shutdownLog) {
         this.loop = loop;
         this.shutdownLog = shutdownLog;
         this.maxConnections = maxConnections;
@@ -61,7 +61,7 @@
      * the one that has been idle longest. Connections accepted at the same moment and not yet read are not
      * evicted, because their clients would reconnect at once.
      */
-    void add(Guest connection) {
+    void add(ClientConnection connection) {
         connected++;
         connections.add(connection);
         awaitingInput.add(connection);
@@ -69,7 +69,7 @@
             closeAfterFirstRpcDeadline(connection);
         }
         while (connections.size() > maxConnections) {
-            Guest evicted = awaitingInput.iterator().next();
+            ClientConnection evicted = awaitingInput.iterator().next();
             if (!evicted.isOverdue() && !idle.isEmpty()) {
                 // A new connection is closed last: its first RPC may be a resend after another connection was closed,
                 // and clients don't resend a second time.
@@ -83,26 +83,26 @@
                 closeIdle(evicted);
             } else {
                 remove(evicted);
-                evicted.terminate(evicted.tooManyWord());
+                evicted.terminate(evicted.tooManyConnectionsResponse());
             }
         }
     }
 
     /** An idle connection to close: first one that has sent a request, then one that has had time to send one. */
-    private Optional<Guest> evictionCandidate() {
-        return idle.stream().filter(Guest::hasReceivedRequest).findFirst()
-                .or(() -> idle.stream().filter(Guest::hadTimeForFirstRpc).findFirst());
+    private Optional<ClientConnection> evictionCandidate() {
+        return idle.stream().filter(ClientConnection::hasReceivedRequest).findFirst()
+                .or(() -> idle.stream().filter(ClientConnection::hadTimeForFirstRpc).findFirst());
     }
 
     /** Closes an idle connection, unless its next RPC has already arrived: then it stays and is no longer idle. */
-    private void closeIdle(Guest connection) {
+    private void closeIdle(ClientConnection connection) {
         idle.remove(connection);
         if (connection.closeIdle()) {
             remove(connection);
         }
     }
 
-    void recordShutdownEvent(ShutdownEvent event, Guest connection) {
+    void recordShutdownEvent(ShutdownEvent event, ClientConnection connection) {
         shutdownLog.connection(event, connection.age());
     }
 
@@ -111,13 +111,13 @@
         connected--;
     }
 
-    void remove(Guest connection) {
+    void remove(ClientConnection connection) {
         connections.remove(connection);
         idle.remove(connection);
         awaitingInput.remove(connection);
     }
 
-    void updateAwaitingInput(Guest connection, boolean isAwaited) {
+    void updateAwaitingInput(ClientConnection connection, boolean isAwaited) {
         if (isAwaited && connections.contains(connection)) {
             awaitingInput.add(connection);
         } else {
@@ -126,7 +126,7 @@
     }
 
     /** Whether requests are rejected, as there are too many connections or the front is drained; counts rejections. */
-    public boolean isFull() {
+    public boolean rejectsRequest() {
         boolean isRejected = connections.size() > maxConnections || drained;
         rejectedCount += isRejected ? 1 : 0;
         return isRejected;
@@ -149,10 +149,10 @@
     public void shutDown(ShutdownSchedule schedule, long tick) {
         isShuttingDown = true;
         loop.schedule(schedule.answersBy() + 2 * tick,
-                () -> loop.post(() -> new ArrayList<>(connections).forEach(Guest::endForShutdown)));
+                () -> loop.post(() -> new ArrayList<>(connections).forEach(ClientConnection::endForShutdown)));
     }
 
-    void updateIdle(Guest connection, boolean isIdle) {
+    void updateIdle(ClientConnection connection, boolean isIdle) {
         if (!isIdle || !connections.contains(connection)) {
             idle.remove(connection);
         } else if (closing) {
@@ -166,7 +166,7 @@
                 // Guards against clients that send one request per connection: they could open no more until others
                 // close. A connection without a request so far is kept: its first RPC may be in transit, and may be a
                 // resend after another connection was closed.
-                idle.stream().filter(Guest::hasReceivedRequest).findFirst().ifPresent(longestIdle -> {
+                idle.stream().filter(ClientConnection::hasReceivedRequest).findFirst().ifPresent(longestIdle -> {
                     closedAboveThresholdCount++;
                     closeIdle(longestIdle);
                 });
@@ -182,7 +182,7 @@
     private void closeExpiredIdle() {
         idleTimer = null;
         while (!idle.isEmpty()) {
-            Guest longestIdle = idle.iterator().next();
+            ClientConnection longestIdle = idle.iterator().next();
             if (longestIdle.idleSince + idleTimeout > loop.now()) {
                 idleTimer = loop.schedule(longestIdle.idleSince + idleTimeout, this::closeExpiredIdle);
                 return;
@@ -192,7 +192,7 @@
     }
 
     /** Closes an inactive connection, but leaves a new one time for its first RPC, which may be in transit. */
-    private void closeAfterFirstRpcDeadline(Guest connection) {
+    private void closeAfterFirstRpcDeadline(ClientConnection connection) {
         if (connection.hadTimeForFirstRpc()) {
             closeIfInactive(connection);
         } else {
@@ -201,7 +201,7 @@
     }
 
     /** Also closes connections that have sent nothing: the close shows their clients that nothing was accepted. */
-    private void closeIfInactive(Guest connection) {
+    private void closeIfInactive(ClientConnection connection) {
         if (closing && connections.contains(connection) && (connection.isIdle() || connection.hasSentNothing())) {
             closeIdle(connection);
         }
@@ -225,7 +225,7 @@
     /** The number of connections in each stage. */
     public Map<String, Long> countByStage() {
         return connections.stream()
-                .collect(Collectors.groupingBy(Guest::stageName, TreeMap::new, Collectors.counting()));
+                .collect(Collectors.groupingBy(ClientConnection::stageName, TreeMap::new, Collectors.counting()));
     }
 
     /** The number of connections, including those that close once their last response is written. */
@@ -234,7 +234,7 @@
     }
 
     /** The number of connections to accept: slightly above the limit, so that evicted clients can be sent an error. */
-    public int places() {
+    public int maxAcceptedConnections() {
         return maxConnections + maxConnections / CONNECTIONS_PER_EXTRA + 1;
     }
 
--- a/src/main/java/honeygap/net/http/Connection.java
+++ b/src/main/java/honeygap/net/http/Connection.java
@@ -20,7 +20,7 @@
     }
 
     private final Loop loop;
-    private final Answers parser;
+    private final ResponseParser parser;
     private final EndListener listener;
     private final String host;
     private final ConnectFuture connecting;
@@ -30,12 +30,12 @@
     private boolean ended;
 
     /** Starts connecting to the address; a request sent meanwhile is written once the connection is up. */
-    public Connection(Loop loop, InetSocketAddress address, Answers.Reader handler, EndListener listener) {
+    public Connection(Loop loop, InetSocketAddress address, ResponseParser.Handler handler, EndListener listener) {
         this.loop = loop;
         this.listener = listener;
         String ip = address.getAddress().getHostAddress();
         host = (ip.indexOf(':') < 0 ? ip : "[" + ip + "]") + ":" + address.getPort();
-        parser = new Answers(handler);
+        parser = new ResponseParser(handler);
         connecting = loop.connect(address, this);
     }
 
--- a/src/main/java/honeygap/net/http/Lines.java
+++ b/src/main/java/honeygap/net/http/LineSplitter.java
@@ -5,23 +5,23 @@
 import java.util.Arrays;
 
 /** Splits a body, received in parts of any size, into lines. */
-public final class Lines {
+public final class LineSplitter {
 
     /** Receives each line without its line break. */
-    public interface Reader {
+    public interface LineHandler {
 
-        void line(byte[] bytes, int length) throws Malformed;
+        void onLine(byte[] bytes, int length) throws Malformed;
     }
 
     /** In bytes. */
     private static final int MAX_LINE_LENGTH = 4 << 20;
 
-    private final Reader handler;
+    private final LineHandler handler;
     private byte[] line = new byte[1024];
     private int length;
 
     /** Creates a splitter that reports to this handler. */
-    public Lines(Reader handler) {
+    public LineSplitter(LineHandler handler) {
         this.handler = handler;
     }
 
@@ -32,7 +32,7 @@
             if (next == '\n') {
                 int lineLength = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
                 length = 0;
-                handler.line(line, lineLength);
+                handler.onLine(line, lineLength);
             } else {
                 if (length == line.length) {
                     if (length >= MAX_LINE_LENGTH) {
--- a/src/main/java/honeygap/net/http/Requests.java
+++ b/src/main/java/honeygap/net/http/RequestParser.java
@@ -13,7 +13,7 @@
  * one at a time. It is strict where leniency enables request smuggling: a length together with chunks, two lengths,
  * bare line feeds, folded lines and spaces before a colon are rejected. Lengths are checked before data is stored.
  */
-public final class Requests {
+public final class RequestParser {
 
     // Lengths are in bytes.
     private static final int MAX_LINE_LENGTH = 8192;
@@ -43,7 +43,7 @@
     private int remaining;
 
     /** Creates a parser that rejects bodies longer than this many bytes. */
-    public Requests(int maxBodyLength) {
+    public RequestParser(int maxBodyLength) {
         this.maxBodyLength = maxBodyLength;
     }
 
@@ -65,12 +65,12 @@
     }
 
     /** How many bytes are buffered behind the last complete request; not 0 while a request is partially read. */
-    public int waiting() {
+    public int bufferedBytes() {
         return writePosition - readPosition + (state == HEAD ? 0 : 1);
     }
 
     /** The maximum number of bytes that need to be buffered behind an open request. */
-    public int longest() {
+    public int maxBufferedBytes() {
         return MAX_HEAD_LENGTH + maxBodyLength;
     }
 
@@ -333,7 +333,7 @@
     }
 
     /** Whether the client allows the connection to stay open after the response. */
-    public boolean isKept() {
+    public boolean isKeepAlive() {
         String connection = fields.getOrDefault("connection", isHttp10 ? "close" : "").toLowerCase(Locale.ROOT);
         return isHttp10 ? connection.contains("keep-alive") : !connection.contains("close");
     }
--- a/src/main/java/honeygap/net/http/Answers.java
+++ b/src/main/java/honeygap/net/http/ResponseParser.java
@@ -10,26 +10,26 @@
  * Incremental parser of HTTP/1.1 responses; input may be split anywhere. Bodies are delimited by their length, by
  * chunks or by the end of the connection.
  */
-public final class Answers {
+public final class ResponseParser {
 
     /** Receives the parsed parts of responses. */
-    public interface Reader {
+    public interface Handler {
 
         /** The head of a response is complete. */
-        void head(int status);
+        void onHeadComplete(int status);
 
         /**
-         * One header field, reported before {@link #head}; the name is in lower case. The HTTP version comes
+         * One header field, reported before {@link #onHeadComplete}; the name is in lower case. The HTTP version comes
          * first, with an empty name.
          */
-        default void field(String name, String value) throws Malformed {
+        default void onField(String name, String value) throws Malformed {
         }
 
         /** A part of the body. */
-        void data(ByteBuffer bytes) throws Malformed;
+        void onData(ByteBuffer bytes) throws Malformed;
 
         /** The response is complete. */
-        void end() throws Malformed;
+        void onComplete() throws Malformed;
     }
 
     private static final int MAX_LINE_LENGTH = 8192;
@@ -38,7 +38,7 @@
     private static final int STATUS_LINE = 0, HEADER_FIELDS = 1, BODY = 2, CHUNK_SIZE = 3, CHUNK_DATA = 4,
             CHUNK_END = 5, TRAILER = 6, UNTIL_CLOSE = 7;
 
-    private final Reader handler;
+    private final Handler handler;
     private byte[] line = new byte[128];
     private int lineLength;
     private int state = STATUS_LINE;
@@ -49,7 +49,7 @@
     private boolean hasContentLength;
 
     /** Creates a parser that reports to this handler. */
-    public Answers(Reader handler) {
+    public ResponseParser(Handler handler) {
         this.handler = handler;
     }
 
@@ -60,7 +60,7 @@
                 case BODY:
                 case CHUNK_DATA:
                     int part = (int) Math.min(remaining, bytes.remaining());
-                    handler.data(bytes.slice(bytes.position(), part));
+                    handler.onData(bytes.slice(bytes.position(), part));
                     bytes.position(bytes.position() + part);
                     remaining -= part;
                     if (remaining == 0) {
@@ -72,7 +72,7 @@
                     }
                     break;
                 case UNTIL_CLOSE:
-                    handler.data(bytes.slice());
+                    handler.onData(bytes.slice());
                     bytes.position(bytes.limit());
                     break;
                 default:
@@ -121,7 +121,7 @@
                 remaining = 0;
                 headLines = 0;
                 state = HEADER_FIELDS;
-                handler.field("", text.substring(0, 8));
+                handler.onField("", text.substring(0, 8));
                 break;
             case HEADER_FIELDS:
                 handleHeadLine(text);
@@ -161,7 +161,7 @@
             } else if (name.equals("transfer-encoding")) {
                 chunked = value.equalsIgnoreCase("chunked");
             }
-            handler.field(name, value);
+            handler.onField(name, value);
             return;
         }
         if (status / 100 == 1) {
@@ -171,7 +171,7 @@
         if (chunked && hasContentLength) {
             throw new Malformed("both Content-Length and chunked Transfer-Encoding");
         }
-        handler.head(status);
+        handler.onHeadComplete(status);
         if (status == 204 || status == 304) {
             completeResponse();
         } else if (chunked) {
@@ -187,18 +187,18 @@
     }
 
     /** Whether no response is partially read. */
-    public boolean isBetween() {
+    public boolean isBetweenResponses() {
         return state == STATUS_LINE && lineLength == 0;
     }
 
     /** Whether only the end of the connection ends the response, so that a truncated one looks complete. */
-    public boolean isOpenEnded() {
+    public boolean isDelimitedByClose() {
         return state == UNTIL_CLOSE;
     }
 
     private void completeResponse() throws Malformed {
         state = STATUS_LINE;
-        handler.end();
+        handler.onComplete();
     }
 
     private static long parseNumber(String digits, int radix) throws Malformed {
--- a/src/main/java/honeygap/net/http/Stream.java
+++ b/src/main/java/honeygap/net/http/ResponseStream.java
@@ -6,23 +6,23 @@
 import java.nio.ByteBuffer;
 
 /** A GET request with a streamed response, read line by line until it ends, fails or is silent for too long. */
-public final class Stream implements Answers.Reader {
+public final class ResponseStream implements ResponseParser.Handler {
 
     /** Notified of the progress and end of the stream. */
-    public interface Ending {
+    public interface Listener {
 
         /** The stream has ended; called once. */
-        void ended(StreamEnd end);
+        void onEnd(StreamEnd end);
 
         /** The request was accepted: data or heartbeats follow. */
-        default void taken() {
+        default void onAccepted() {
         }
     }
 
     private final Loop loop;
     private final long silenceTimeout;
-    private final Lines lines;
-    private final Ending listener;
+    private final LineSplitter lines;
+    private final Listener listener;
     private final Connection connection;
     private Loop.Timer timeoutTimer;
     private int status;
@@ -32,12 +32,12 @@
      * Sends the request. The response head must arrive within {@code headTimeout}, and later data at intervals of at
      * most {@code silenceTimeout}; both are in tenths of a millisecond.
      */
-    public Stream(Loop loop, InetSocketAddress address, String path, long headTimeout,
-                  long silenceTimeout, Lines.Reader lineHandler, Ending listener) {
+    public ResponseStream(Loop loop, InetSocketAddress address, String path, long headTimeout,
+                  long silenceTimeout, LineSplitter.LineHandler lineHandler, Listener listener) {
         this.loop = loop;
         this.silenceTimeout = silenceTimeout;
         this.listener = listener;
-        lines = new Lines(lineHandler);
+        lines = new LineSplitter(lineHandler);
         timeoutTimer = loop.schedule(loop.now() + headTimeout, () -> endWith(StreamEnd.Cause.NO_ANSWER));
         connection = new Connection(loop, address, this, (end, requestWritten) -> endWith(cause(end)));
         connection.get(path);
@@ -53,7 +53,7 @@
     private void endWith(StreamEnd.Cause cause) {
         if (!ended) {
             close();
-            listener.ended(new StreamEnd(cause, status));
+            listener.onEnd(new StreamEnd(cause, status));
         }
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void head(int status) {
+    public void onHeadComplete(int status) {
         this.status = status;
         if (status != 200) {
             endWith(StreamEnd.Cause.STATUS);
@@ -74,12 +74,12 @@
             // Reported with the head, because the first line may be a heartbeat seconds later and waiting for it would
             // make the caller retry again and again.
             restartSilenceTimer();
-            listener.taken();
+            listener.onAccepted();
         }
     }
 
     @Override
-    public void data(ByteBuffer bytes) throws Malformed {
+    public void onData(ByteBuffer bytes) throws Malformed {
         if (!ended) {
             restartSilenceTimer();
             lines.feed(bytes);
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public void end() throws Malformed {
+    public void onComplete() throws Malformed {
         if (!ended) {
             // The last line may lack a line break.
             lines.feed(ByteBuffer.wrap(new byte[] {'\n'}));
--- a/src/main/java/honeygap/net/list/JsonDocumentReader.java
+++ b/src/main/java/honeygap/net/list/JsonDocumentReader.java
@@ -1,6 +1,6 @@
 package honeygap.net.list;
 
-import honeygap.net.http.Lines;
+import honeygap.net.http.LineSplitter;
 import honeygap.read.Malformed;
 import java.util.Arrays;
 
@@ -8,7 +8,7 @@
  * Assembles JSON documents from lines; a document takes one line or, if it is indented, several. An empty line between
  * documents is a heartbeat. Within a document it is an error, so that heartbeats cannot keep a truncated document open.
  */
-final class JsonDocumentReader implements Lines.Reader {
+final class JsonDocumentReader implements LineSplitter.LineHandler {
 
     /** Receives the documents and heartbeats. */
     interface Listener {
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void line(byte[] bytes, int count) throws Malformed {
+    public void onLine(byte[] bytes, int count) throws Malformed {
         if (count == 0 && length > 0) {
             throw new Malformed("empty line within a JSON document");
         }
--- a/src/main/java/honeygap/net/list/Registry.java
+++ b/src/main/java/honeygap/net/list/Registry.java
@@ -11,7 +11,7 @@
 import honeygap.net.Counters;
 import honeygap.net.Loop;
 import honeygap.net.OncePerSecond;
-import honeygap.net.http.Stream;
+import honeygap.net.http.ResponseStream;
 import honeygap.net.http.StreamEnd;
 import honeygap.net.links.RemoteAppliance;
 import honeygap.read.Fields;
@@ -52,8 +52,8 @@
     private final Map<String, Zone> locations = new HashMap<>();
     private long version;
     private long nextId;
-    private Stream watch;
-    private Stream fetch;
+    private ResponseStream watch;
+    private ResponseStream fetch;
     /**
      * Whether a complete list with a lower version than the known one is accepted: discovery has moved to another
      * address, or has sent an older list twice in a row.
@@ -103,14 +103,14 @@
         if (watch != null) {
             watch.close();
         }
-        watch = stream("?stream=1&index=" + version, new WatchListener(), new Stream.Ending() {
+        watch = stream("?stream=1&index=" + version, new WatchListener(), new ResponseStream.Listener() {
             @Override
-            public void ended(StreamEnd end) {
+            public void onEnd(StreamEnd end) {
                 callFailed(end);
             }
 
             @Override
-            public void taken() {
+            public void onAccepted() {
                 watchAccepted();
             }
         });
@@ -130,8 +130,8 @@
         });
     }
 
-    private Stream stream(String query, JsonDocumentReader.Listener listener, Stream.Ending ending) {
-        return new Stream(loop, address, "/registry/instances" + query, responseTimeout,
+    private ResponseStream stream(String query, JsonDocumentReader.Listener listener, ResponseStream.Listener ending) {
+        return new ResponseStream(loop, address, "/registry/instances" + query, responseTimeout,
                 MISSED_HEARTBEATS_TO_TIMEOUT * HEARTBEAT_INTERVAL, new JsonDocumentReader(listener), ending);
     }
 
--- a/src/main/java/honeygap/net/ofrep/Ask.java
+++ b/src/main/java/honeygap/net/ofrep/EvaluationCall.java
@@ -8,12 +8,12 @@
 import honeygap.read.Malformed;
 
 /** The RPC that sends a request to flag servers, for one evaluation or for several that share it. */
-public final class Ask extends Call {
+public final class EvaluationCall extends Call {
 
-    private final Exchange dispatcher;
+    private final EvaluationDispatcher dispatcher;
     final Shared shared;
 
-    Ask(String id, Shared shared, Tenant tenant, Exchange dispatcher) {
+    EvaluationCall(String id, Shared shared, Tenant tenant, EvaluationDispatcher dispatcher) {
         super(id, shared.question.method, tenant, null, shared.takenAt, shared.deadline, 0, false);
         this.shared = shared;
         this.dispatcher = dispatcher;
@@ -33,10 +33,10 @@
      *
      * @throws Malformed if the response violates the protocol
      */
-    public int served(Appliance appliance, int status, byte[] body) throws Malformed {
+    public int responseReceived(Appliance appliance, int status, byte[] body) throws Malformed {
         boolean isTracking = !request().shareable;
         int outcome = dispatcher.responseReceived(this, appliance,
-                Bodies.parseResponse(status, body, request().flag, isTracking));
+                OfrepJson.parseResponse(status, body, request().flag, isTracking));
         if (outcome == Pick.OK) {
             markAnswered();
         }
@@ -44,7 +44,7 @@
     }
 
     /** The appliance asked for no requests during this many tenths of a millisecond. */
-    public void stayAway(Appliance appliance, long retryAfter) {
+    public void applyRetryAfter(Appliance appliance, long retryAfter) {
         dispatcher.applyRetryAfter(appliance, retryAfter);
     }
 
--- a/src/main/java/honeygap/net/ofrep/Exchange.java
+++ b/src/main/java/honeygap/net/ofrep/EvaluationDispatcher.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 
 /** Connects client evaluations with RPCs to flag servers: executes the decisions of {@code Answers}. */
-public final class Exchange implements Answers.Out, Loop.Stepper, Counters.Group {
+public final class EvaluationDispatcher implements Answers.Out, Loop.Stepper, Counters.Group {
 
     private static final int MAX_TENANTS = 10_000;
 
@@ -37,7 +37,7 @@
     private long callCount;
     private long abortedByGuardCount;
 
-    public Exchange(Loop loop, DecisionEngine rules, Answers answers, Limits limits) {
+    public EvaluationDispatcher(Loop loop, DecisionEngine rules, Answers answers, Limits limits) {
         this.loop = loop;
         this.rules = rules;
         this.answers = answers;
@@ -71,15 +71,15 @@
         return limits.opensIn();
     }
 
-    void picked(Ask call, Appliance appliance) {
+    void picked(EvaluationCall call, Appliance appliance) {
         answers.picked(call.shared, rules.isOnTrial(appliance.build));
     }
 
-    int responseReceived(Ask call, Appliance appliance, Served served) {
+    int responseReceived(EvaluationCall call, Appliance appliance, Served served) {
         return answers.served(call.shared, served, rules.isOnTrial(appliance.build));
     }
 
-    void callFailed(Ask call, boolean isPushedBack, long retryAfter) {
+    void callFailed(EvaluationCall call, boolean isPushedBack, long retryAfter) {
         loop.defer(() -> answers.givenUp(call.shared, isPushedBack, retryAfter));
     }
 
@@ -97,7 +97,7 @@
     @Override
     public void open(Shared shared) {
         String flag = shared.question.flag == null ? "" : shared.question.flag;
-        Ask call = new Ask("f" + callCount++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
+        EvaluationCall call = new EvaluationCall("f" + callCount++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
         shared.rpc = call;
         loop.defer(() -> rules.rpcReceived(call));
     }
--- a/src/main/java/honeygap/net/ofrep/Bodies.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepJson.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 
 /** Reads and writes JSON bodies of the OpenFeature Remote Evaluation Protocol (OFREP). */
-public final class Bodies {
+public final class OfrepJson {
 
     private static final int MAX_NESTING_DEPTH = 64;
     /** Types of flag values, as in the flag API. */
@@ -28,14 +28,14 @@
             .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
-    private Bodies() {
+    private OfrepJson() {
     }
 
     /**
      * Returns a hash of the targeting key in a request's context, 0 if there is none. Validates the whole body, so
      * that only one JSON object in UTF-8, without duplicate names and not nested too deeply, is forwarded.
      */
-    public static long subject(byte[] body) throws Refusal {
+    public static long targetingKeyHash(byte[] body) throws Refusal {
         long keyHash = 0;
         boolean hasContext = false;
         try (JsonParser in = JSON.createParser(body)) {
--- a/src/main/java/honeygap/net/ofrep/OfrepRequest.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepRequest.java
@@ -37,7 +37,7 @@
     }
 
     /** The request with this value of the Host field, in slices. */
-    public ByteBuffer[] parts(byte[] host) {
+    public ByteBuffer[] withHost(byte[] host) {
         return new ByteBuffer[] {ByteBuffer.wrap(identity, 0, headLength), ByteBuffer.wrap(host),
             ByteBuffer.wrap(HEAD_END), ByteBuffer.wrap(identity, headLength, identity.length - headLength).slice()};
     }
--- a/src/main/java/honeygap/net/pg/Frames.java
+++ b/src/main/java/honeygap/net/pg/FrameDecoder.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 
 /** Splits received bytes into messages of the wire protocol; copies only messages that arrive in several reads. */
-public final class Frames {
+public final class FrameDecoder {
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
     private static final int TYPED_HEADER_LENGTH = 5;
@@ -19,7 +19,7 @@
     private ByteBuffer body;
 
     /** Creates a decoder that rejects messages longer than this many bytes before it buffers them. */
-    public Frames(int maxLength) {
+    public FrameDecoder(int maxLength) {
         this.maxLength = maxLength;
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** How many bytes are buffered. */
-    public int waiting() {
+    public int bufferedBytes() {
         return buffer.remaining();
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** The message including its type and length. */
-    public ByteBuffer whole() {
+    public ByteBuffer message() {
         return message;
     }
 
--- a/src/main/java/honeygap/net/pg/Shapes.java
+++ b/src/main/java/honeygap/net/pg/MessageValidator.java
@@ -7,12 +7,12 @@
  * Validates the contents of messages from appliances. Guards against malformed messages with a correct outer length,
  * which would otherwise be forwarded or be mistaken for an error response.
  */
-public final class Shapes {
+public final class MessageValidator {
 
     /** Bytes after a column's name: its table, column number, type, size, modifier and format. */
     private static final int COLUMN_DESCRIPTION_LENGTH = 18;
 
-    private Shapes() {
+    private MessageValidator() {
     }
 
     /** Checks that the body of a message matches its type and length. */
@@ -57,7 +57,7 @@
             }
             position = end;
         }
-        return position == body.limit() - 1 && Words.field(body, 'C').matches("[0-9A-Z]{5}");
+        return position == body.limit() - 1 && PgMessages.errorField(body, 'C').matches("[0-9A-Z]{5}");
     }
 
     /** The index after the zero byte that ends the string; negative if there is none. */
--- a/src/main/java/honeygap/net/pg/Words.java
+++ b/src/main/java/honeygap/net/pg/PgMessages.java
@@ -4,18 +4,18 @@
 import java.nio.charset.StandardCharsets;
 
 /** Creates messages of the PostgreSQL wire protocol and reads fields of error messages. */
-public final class Words {
+public final class PgMessages {
 
     // Codes of startup packets.
-    public static final int VERSION = 196608;
-    public static final int TLS = 80877103;
-    public static final int GSS = 80877104;
+    public static final int PROTOCOL_3 = 196608;
+    public static final int SSL_REQUEST = 80877103;
+    public static final int GSSENC_REQUEST = 80877104;
     public static final int CANCEL_REQUEST = 80877102;
 
     // SQLSTATE codes.
-    public static final String TOO_MANY = "53300";
+    public static final String TOO_MANY_CONNECTIONS = "53300";
     public static final String CANNOT_CONNECT_NOW = "57P03";
-    public static final String GIVEN_UP = "58000";
+    public static final String SYSTEM_ERROR = "58000";
     public static final String SYNTAX_ERROR = "42601";
     public static final String PROTOCOL_VIOLATION = "08P01";
 
@@ -30,7 +30,7 @@
             parameterStatus("standard_conforming_strings", "on"), message('K', new byte[8]), READY_FOR_QUERY);
     private static final ByteBuffer STARTUP_MESSAGE = createStartupMessage();
 
-    private Words() {
+    private PgMessages() {
     }
 
     private static byte[] cString(String value) {
@@ -61,16 +61,16 @@
     private static ByteBuffer createStartupMessage() {
         byte[] parameters = cString("user\0backend\0database\0store\0");
         ByteBuffer message = ByteBuffer.allocate(8 + parameters.length);
-        return message.putInt(8 + parameters.length).putInt(VERSION).put(parameters).flip();
+        return message.putInt(8 + parameters.length).putInt(PROTOCOL_3).put(parameters).flip();
     }
 
     /** ReadyForQuery: the connection accepts the next query. */
-    public static ByteBuffer ready() {
+    public static ByteBuffer readyForQuery() {
         return READY_FOR_QUERY.duplicate();
     }
 
     /** The response to an empty query. */
-    public static ByteBuffer emptyQuery() {
+    public static ByteBuffer emptyQueryResponse() {
         return EMPTY_QUERY_RESPONSE.duplicate();
     }
 
@@ -80,12 +80,12 @@
     }
 
     /** The response to a startup message: no authentication, parameters, ready for queries. */
-    public static ByteBuffer welcome() {
+    public static ByteBuffer startupResponse() {
         return STARTUP_RESPONSE.duplicate();
     }
 
     /** The startup message of a connection to an appliance. */
-    public static ByteBuffer startup() {
+    public static ByteBuffer startupMessage() {
         return STARTUP_MESSAGE.duplicate();
     }
 
@@ -125,7 +125,7 @@
     }
 
     /** The error field with this letter; empty if absent. */
-    public static String field(ByteBuffer error, char letter) {
+    public static String errorField(ByteBuffer error, char letter) {
         int position = 0;
         while (position < error.limit() && error.get(position) != 0) {
             int end = position + 1;
--- a/src/main/java/honeygap/net/pg/Query.java
+++ b/src/main/java/honeygap/net/pg/Query.java
@@ -36,12 +36,12 @@
     }
 
     /** The text of the statement before the client's timeout. */
-    public ByteBuffer before() {
+    public ByteBuffer textBeforeTimeout() {
         return textBeforeTimeout;
     }
 
     /** The text of the statement after the client's timeout. */
-    public ByteBuffer after() {
+    public ByteBuffer textAfterTimeout() {
         return textAfterTimeout;
     }
 
--- a/src/main/java/honeygap/net/pg/Statement.java
+++ b/src/main/java/honeygap/net/pg/Statement.java
@@ -19,7 +19,7 @@
     private int timeoutEnd;
 
     /** Parses the body of a query; returns false if it does not have the documented form. */
-    public boolean read(ByteBuffer body) {
+    public boolean parse(ByteBuffer body) {
         text = body;
         length = body.limit();
         while (length > 0 && (body.get(length - 1) == 0 || body.get(length - 1) <= ' '
@@ -156,7 +156,7 @@
     }
 
     /** The client's timeout in milliseconds. */
-    public long timeMs() {
+    public long timeoutMs() {
         return timeoutMs;
     }
 
@@ -171,12 +171,12 @@
     }
 
     /** The text before the client's timeout, which is replaced for each pick. */
-    public ByteBuffer before() {
+    public ByteBuffer textBeforeTimeout() {
         return text.slice(0, timeoutStart);
     }
 
     /** The text after the client's timeout. */
-    public ByteBuffer after() {
+    public ByteBuffer textAfterTimeout() {
         return text.slice(timeoutEnd, length - timeoutEnd);
     }
 }
--- a/src/main/java/honeygap/net/servers/FlagServerConnection.java
+++ b/src/main/java/honeygap/net/servers/FlagServerConnection.java
@@ -3,11 +3,11 @@
 import honeygap.flags.Served;
 import honeygap.fleet.Pick;
 import honeygap.net.GatheringBuffer;
-import honeygap.net.http.Answers;
+import honeygap.net.http.ResponseParser;
 import honeygap.net.links.UpstreamConnection;
 import honeygap.net.links.ConnectionPool;
 import honeygap.net.links.RemoteAppliance;
-import honeygap.net.ofrep.Ask;
+import honeygap.net.ofrep.EvaluationCall;
 import honeygap.read.Malformed;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -23,13 +23,13 @@
  * A connection to a flag server over the OpenFeature remote evaluation protocol (OFREP) on HTTP/1.1. Answers need an
  * explicit length: one that ends with the connection can't be told from a truncated one.
  */
-public final class FlagServerConnection extends UpstreamConnection implements Answers.Reader {
+public final class FlagServerConnection extends UpstreamConnection implements ResponseParser.Handler {
 
     /** Longer Retry-After times are cut to this; the rules apply a limit of their own. */
     private static final long MAX_RETRY_AFTER_SECONDS = 86_400;
 
     private final int maxAnswerBytes;
-    private final Answers answers = new Answers(this);
+    private final ResponseParser answers = new ResponseParser(this);
     private byte[] body = new byte[256];
     private int length;
     private byte[] hostHeader;
@@ -67,7 +67,7 @@
         closesAfterAnswer = false;
         retryAfterHeader = null;
         dateHeader = null;
-        session.write(new GatheringBuffer(((Ask) call).request().parts(hostHeader)));
+        session.write(new GatheringBuffer(((EvaluationCall) call).request().withHost(hostHeader)));
     }
 
     @Override
@@ -80,18 +80,18 @@
         if (isComplete && bytes.hasRemaining()) {
             throw new Malformed("more than one answer to a request");
         }
-        if (!isClosed && answers.isOpenEnded()) {
+        if (!isClosed && answers.isDelimitedByClose()) {
             throw new Malformed("answer without a length");
         }
     }
 
     @Override
     protected boolean hasPartialMessage() {
-        return !answers.isBetween();
+        return !answers.isBetweenResponses();
     }
 
     @Override
-    public void field(String name, String value) throws Malformed {
+    public void onField(String name, String value) throws Malformed {
         switch (name) {
             case "content-length":
                 // Rejects an oversized answer before its body arrives.
@@ -117,12 +117,12 @@
     }
 
     @Override
-    public void head(int status) {
+    public void onHeadComplete(int status) {
         this.status = status;
     }
 
     @Override
-    public void data(ByteBuffer bytes) throws Malformed {
+    public void onData(ByteBuffer bytes) throws Malformed {
         int added = bytes.remaining();
         if (length + added > maxAnswerBytes) {
             throw new Malformed("answer too long");
@@ -135,14 +135,14 @@
     }
 
     @Override
-    public void end() throws Malformed {
+    public void onComplete() throws Malformed {
         if (call == null || isComplete) {
             throw new Malformed("unexpected answer");
         }
         isComplete = true;
-        Ask ask = (Ask) call;
+        EvaluationCall ask = (EvaluationCall) call;
         if (retryAfterHeader != null && (status == 429 || status == 503)) {
-            ask.stayAway(appliance, parseRetryAfter(retryAfterHeader, dateHeader));
+            ask.applyRetryAfter(appliance, parseRetryAfter(retryAfterHeader, dateHeader));
         }
         boolean closes = closesAfterAnswer;
         finishPick(outcome(ask));
@@ -154,7 +154,7 @@
     }
 
     /** Status 429 is a push-back: the request has certainly not run. After any other error it may have run. */
-    private int outcome(Ask ask) {
+    private int outcome(EvaluationCall ask) {
         boolean isTracking = !ask.request().shareable;
         boolean isAnswer = status / 100 == 2 && (isTracking || status == 200)
                 || status == 400 || status == 401 || status == 403 || status == 404 && ask.request().flag != null;
@@ -162,7 +162,7 @@
             return status == 429 ? Pick.PUSHED_BACK : Pick.ERROR;
         }
         try {
-            return ask.served(appliance, status, Arrays.copyOf(body, length));
+            return ask.responseReceived(appliance, status, Arrays.copyOf(body, length));
         } catch (Malformed e) {
             reportMalformed(e);
             return Pick.ERROR;
--- a/src/main/java/honeygap/standin/StoreServer.java
+++ b/src/main/java/honeygap/standin/StoreServer.java
@@ -1,9 +1,9 @@
 package honeygap.standin;
 
 import honeygap.capture.make.Morning;
-import honeygap.net.pg.Frames;
+import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.io.InputStream;
@@ -64,7 +64,7 @@
     private void serve(Socket socket) throws IOException, Malformed {
         try (socket) {
             InputStream in = socket.getInputStream();
-            Frames frames = new Frames(1 << 18);
+            FrameDecoder frames = new FrameDecoder(1 << 18);
             Statement statement = new Statement();
             byte[] buffer = new byte[1 << 14];
             boolean isStarted = false;
@@ -73,12 +73,12 @@
                 while (isStarted ? frames.next() : frames.nextUntyped(10_000)) {
                     if (!isStarted) {
                         isStarted = true;
-                        write(socket, Words.welcome());
+                        write(socket, PgMessages.startupResponse());
                     } else if (frames.type() == 'Q') {
-                        boolean isRead = statement.read(frames.body());
+                        boolean isRead = statement.parse(frames.body());
                         sleep();
                         served.incrementAndGet();
-                        write(socket, isRead ? Morning.row(valueOf(statement.key())) : Words.emptyQuery());
+                        write(socket, isRead ? Morning.row(valueOf(statement.key())) : PgMessages.emptyQueryResponse());
                     }
                 }
             }
--- a/src/test/java/honeygap/FuzzTest.java
+++ b/src/test/java/honeygap/FuzzTest.java
@@ -16,10 +16,10 @@
 import honeygap.capture.redact.Mask;
 import honeygap.capture.redact.Redactor;
 import honeygap.capture.stream.Reassembly;
-import honeygap.net.http.Answers;
+import honeygap.net.http.ResponseParser;
 import honeygap.net.http.Refusal;
-import honeygap.net.http.Requests;
-import honeygap.net.ofrep.Bodies;
+import honeygap.net.http.RequestParser;
+import honeygap.net.ofrep.OfrepJson;
 import honeygap.read.Malformed;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -207,7 +207,7 @@
     /** HTTP requests and responses in random chunks: parsed, rejected with a status, or buffered up to a limit. */
     @Property(tries = 3000, seed = SEED)
     void http(@ForAll("chunks") List<byte[]> chunks) {
-        Requests requests = new Requests(1000);
+        RequestParser requests = new RequestParser(1000);
         try {
             for (byte[] chunk : chunks) {
                 requests.feed(ByteBuffer.wrap(chunk));
@@ -219,17 +219,17 @@
             assertTrue(e.status >= 400 && e.status < 600 && !e.kind.isEmpty());
         }
         try {
-            Answers answers = new Answers(new Answers.Reader() {
+            ResponseParser answers = new ResponseParser(new ResponseParser.Handler() {
                 @Override
-                public void head(int status) {
+                public void onHeadComplete(int status) {
                 }
 
                 @Override
-                public void data(ByteBuffer bytes) {
+                public void onData(ByteBuffer bytes) {
                 }
 
                 @Override
-                public void end() {
+                public void onComplete() {
                 }
             });
             for (byte[] chunk : chunks) {
@@ -261,7 +261,7 @@
     @Property(tries = 3000, seed = SEED)
     void bodies(@ForAll("json") String json) {
         try {
-            Bodies.subject(json.getBytes(StandardCharsets.UTF_8));
+            OfrepJson.targetingKeyHash(json.getBytes(StandardCharsets.UTF_8));
         } catch (Refusal e) {
             assertTrue(e.status == 400 && !e.getMessage().isEmpty());
         }
--- a/src/test/java/honeygap/bench/Forwarder.java
+++ b/src/test/java/honeygap/bench/Forwarder.java
@@ -3,9 +3,9 @@
 import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.net.http.Answers;
+import honeygap.net.http.ResponseParser;
 import honeygap.net.http.Refusal;
-import honeygap.net.http.Requests;
+import honeygap.net.http.RequestParser;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.net.InetAddress;
@@ -46,7 +46,7 @@
 
     private final class ClientConnection implements ConnectionHandler {
 
-        private final Requests requestParser = new Requests(65_536);
+        private final RequestParser requestParser = new RequestParser(65_536);
         private IoSession session;
 
         @Override
@@ -92,10 +92,10 @@
         }
     }
 
-    private final class ServerConnection implements ConnectionHandler, Answers.Reader {
+    private final class ServerConnection implements ConnectionHandler, ResponseParser.Handler {
 
         private final int serverIndex;
-        private final Answers responseParser = new Answers(this);
+        private final ResponseParser responseParser = new ResponseParser(this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private IoSession session;
         private ClientConnection client;
@@ -135,19 +135,19 @@
         }
 
         @Override
-        public void head(int status) {
+        public void onHeadComplete(int status) {
             this.status = status;
         }
 
         @Override
-        public void data(ByteBuffer bytes) {
+        public void onData(ByteBuffer bytes) {
             while (bytes.hasRemaining()) {
                 body.write(bytes.get());
             }
         }
 
         @Override
-        public void end() {
+        public void onComplete() {
             byte[] whole = body.toByteArray();
             body.reset();
             idle.get(serverIndex).addLast(this);
--- a/src/test/java/honeygap/capture/StreamsTest.java
+++ b/src/test/java/honeygap/capture/StreamsTest.java
@@ -18,7 +18,7 @@
 import honeygap.capture.redact.Mask;
 import honeygap.capture.stream.Pieces;
 import honeygap.capture.stream.Reassembly;
-import honeygap.net.pg.Words;
+import honeygap.net.pg.PgMessages;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -263,9 +263,9 @@
     /** A conversation with one message split at any byte into two packets gives the same RPC. */
     @Test
     void splitAnywhere() throws IOException {
-        ByteBuffer query = Words.query("SELECT content FROM kv WHERE name = 'ab12' /* id=i1,c=look,t=a,d=50 */");
+        ByteBuffer query = PgMessages.query("SELECT content FROM kv WHERE name = 'ab12' /* id=i1,c=look,t=a,d=50 */");
         ByteBuffer answer = honeygap.capture.make.Morning.row("0102");
-        byte[][] messages = {bytes(Words.startup()), bytes(Words.welcome()), bytes(query), bytes(answer)};
+        byte[][] messages = {bytes(PgMessages.startupMessage()), bytes(PgMessages.startupResponse()), bytes(query), bytes(answer)};
         for (int part = 0; part < messages.length; part++) {
             for (int split = 0; split <= messages[part].length; split++) {
                 List<Packet> packets = new ArrayList<>();
--- a/src/test/java/honeygap/net/ParsersTest.java
+++ b/src/test/java/honeygap/net/ParsersTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import honeygap.net.http.Answers;
-import honeygap.net.pg.Frames;
+import honeygap.net.http.ResponseParser;
+import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
 import honeygap.read.Malformed;
 import java.nio.ByteBuffer;
@@ -36,9 +36,9 @@
         "DELETE FROM kv WHERE name = 'ab' /* id=1,c=x,d=5 */; no"})
     void parsesStatements(String text, String expected) {
         Statement statement = new Statement();
-        boolean isStatement = statement.read(bytes(text + '\0'));
+        boolean isStatement = statement.parse(bytes(text + '\0'));
         assertEquals(expected.strip(), !isStatement ? "no" : String.join(" ", statement.id(), statement.method(),
-                String.valueOf(statement.tenant()), statement.key(), "" + statement.timeMs(),
+                String.valueOf(statement.tenant()), statement.key(), "" + statement.timeoutMs(),
                 "" + statement.hintMicros(), "" + statement.retry()));
     }
 
@@ -47,7 +47,7 @@
     @CsvSource({"1", "3", "5", "7", "100"})
     void decodesFragmentedMessages(int size) throws Malformed {
         String input = "Q\0\0\0\7abcZ\0\0\0\4D\0\0\0\24" + "0123456789abcdef" + "Q\0\0\0\144";
-        Frames decoder = new Frames(99);
+        FrameDecoder decoder = new FrameDecoder(99);
         StringBuilder decoded = new StringBuilder();
         for (int i = 0; i < input.length() - 1; i += size) {
             decoder.feed(bytes(input.substring(i, Math.min(input.length() - 1, i + size))));
@@ -76,19 +76,19 @@
         String input = String.join("\r\n", lines);
         for (int size : new int[] {1, 2, 7, 1000}) {
             StringBuilder parsed = new StringBuilder();
-            Answers parser = new Answers(new Answers.Reader() {
+            ResponseParser parser = new ResponseParser(new ResponseParser.Handler() {
                 @Override
-                public void head(int status) {
+                public void onHeadComplete(int status) {
                     parsed.append(status);
                 }
 
                 @Override
-                public void data(ByteBuffer part) {
+                public void onData(ByteBuffer part) {
                     parsed.append(StandardCharsets.ISO_8859_1.decode(part.duplicate()));
                 }
 
                 @Override
-                public void end() {
+                public void onComplete() {
                     parsed.append('|');
                 }
             });
