--- a/src/main/java/honeygap/cli/Check.java
+++ b/src/main/java/honeygap/cli/Check.java
@@ -36,7 +36,7 @@
                 + settings.list : settings.servers.size() + " static servers"));
         out.println("votes " + (settings.desk != null ? "at the desk at " + settings.desk : "locally, through stages with"
                 + " caps " + java.util.Arrays.toString(settings.caps)));
-        settings.allowances.forEach(rule -> out.println("caching of answers for flags " + rule.flags() + ": fresh for "
+        settings.allowances.forEach(rule -> out.println("caching of answers for flags " + rule.flagPattern() + ": fresh for "
                 + rule.cachedFor() / 10 + " ms, stale for " + rule.staleFor() / 10 + " ms"));
     }
 }
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -4,7 +4,7 @@
 import honeygap.capture.tape.Recorder;
 import honeygap.net.Agent;
 import honeygap.net.Loop;
-import honeygap.net.door.Door;
+import honeygap.net.door.AdminEndpoint;
 import honeygap.read.Malformed;
 import honeygap.read.Template;
 import honeygap.share.host.Sites;
@@ -81,7 +81,7 @@
         if (recorder != null) {
             agent.addCounters("recording", recorder);
         }
-        Door adminEndpoint = null;
+        AdminEndpoint adminEndpoint = null;
         Sites sites = null;
         if (adminAddress != null) {
             String token = adminTokenFile == null ? "" : Files.readString(adminTokenFile).strip();
@@ -90,13 +90,13 @@
             // Random rather than taken from the clock, so that it is unique even if the clock does not advance.
             long generation = new SecureRandom().nextLong() & Long.MAX_VALUE | 1;
             // Files are read on a separate thread so that the event loop keeps serving.
-            adminEndpoint = new Door(loop, agent, name, ledgerFile, token, generation,
+            adminEndpoint = new AdminEndpoint(loop, agent, name, ledgerFile, token, generation,
                     () -> new Thread(() -> agent.reload(sources()), "rereading").start());
             agent.addCounters("door", adminEndpoint);
             if (sitesFile != null) {
                 // A restart supersedes earlier runs by the clock; the other members detect a clock that went back.
                 sites = new Sites(SitesSheet.of(Template.read(sitesFile), name), System.currentTimeMillis(), token);
-                adminEndpoint.aside(sites);
+                adminEndpoint.asyncHandler(sites);
                 agent.addCounters("sites", sites);
             }
         } else if (sitesFile != null) {
--- a/src/main/java/honeygap/flags/Kept.java
+++ b/src/main/java/honeygap/flags/AnswerCache.java
@@ -8,7 +8,7 @@
  * overwrite the oldest ones without a search, and a hash index holds their offsets. Storing a record allocates nothing.
  * A record is found only by the identical query.
  */
-public final class Kept {
+public final class AnswerCache {
 
     private static final int SLOTS_PER_BUCKET = 4;
     /** Hash, version, time, length of the query and length of the answer. */
@@ -28,7 +28,7 @@
     private long tooLongCount;
 
     /** The limit applies to all records together. */
-    public Kept(int maxBytes) {
+    public AnswerCache(int maxBytes) {
         capacity = Math.max(0, maxBytes);
         log = ByteBuffer.allocate(capacity);
         bucketCount = Integer.highestOneBit(Math.max(1, capacity / LOG_BYTES_PER_SLOT / SLOTS_PER_BUCKET));
@@ -36,7 +36,7 @@
     }
 
     /** Stores an answer; it replaces an earlier one for the same query. */
-    public void keep(Question query, long version, byte[] body, long now) {
+    public void put(FlagQuery query, long version, byte[] body, long now) {
         int length = HEADER_BYTES + query.identity.length + body.length;
         if (length > capacity / MIN_RECORDS_IN_LOG) {
             tooLongCount++;
@@ -69,7 +69,7 @@
     }
 
     /** Whether the slot refers to a record of this query that has not been overwritten. */
-    private boolean holds(long slotValue, Question query) {
+    private boolean holds(long slotValue, FlagQuery query) {
         // Empty, or overwritten in a later pass through the log.
         if (slotValue == 0 || slotValue - 1 + capacity < nextOffset) {
             return false;
@@ -83,7 +83,7 @@
     }
 
     /** Returns the position of the answer to a query, or a negative number if none is stored. */
-    public int find(Question query) {
+    public int find(FlagQuery query) {
         int first = firstSlot(query.hash);
         for (int i = first; i < first + SLOTS_PER_BUCKET && capacity > 0; i++) {
             if (holds(index[i], query)) {
--- a/src/main/java/honeygap/flags/Evaluation.java
+++ b/src/main/java/honeygap/flags/Evaluation.java
@@ -10,21 +10,21 @@
     static final int ABORTED = 4;
     static final int ENDED = 5;
 
-    public final Question question;
+    public final FlagQuery query;
     public final long receivedAt;
     /** When the client stops waiting. */
     public final long deadline;
-    /** The flag-set version that the client says it holds; {@link Served#NO_VERSION} if it names none. */
+    /** The flag-set version that the client says it holds; {@link ServerAnswer#NO_VERSION} if it names none. */
     public final long clientVersion;
 
     int state = NEW;
     /** The request that it waits for; null before it has started or joined one. */
-    Shared request;
-    Served answer;
+    SharedRequest request;
+    ServerAnswer answer;
     long retryAfter;
 
-    public Evaluation(Question query, long receivedAt, long deadline, long clientVersion) {
-        this.question = query;
+    public Evaluation(FlagQuery query, long receivedAt, long deadline, long clientVersion) {
+        this.query = query;
         this.receivedAt = receivedAt;
         this.deadline = deadline;
         this.clientVersion = clientVersion;
--- a/src/main/java/honeygap/flags/Answers.java
+++ b/src/main/java/honeygap/flags/EvaluationCoordinator.java
@@ -13,7 +13,7 @@
  * and the host pulls decisions with {@link #next} until there are none. Which server is asked, how often, and whether
  * a build proceeds is decided by {@code Rules} alone. Times are whole tenths of a millisecond.
  */
-public final class Answers {
+public final class EvaluationCoordinator {
 
     /** The source of an answer: a server, or the cache of last good answers at one of two ages. */
     public static final int FRESH = 0;
@@ -24,13 +24,13 @@
     private static final double MIN_DEADLINE_SHARE_TO_JOIN = 0.5;
 
     /** Carries out the decisions; each call of {@link #next} makes at most one call. */
-    public interface Out {
+    public interface DecisionSink {
 
         /** Opens one RPC to the servers. */
-        void open(Shared request);
+        void openRequest(SharedRequest request);
 
         /** Final result: the answer of a server, or one from the cache. */
-        void answer(Evaluation evaluation, Served answer, int source);
+        void answer(Evaluation evaluation, ServerAnswer answer, int source);
 
         /** Final result: pushed back. */
         void pushBack(Evaluation evaluation, long retryAfter);
@@ -39,21 +39,21 @@
         void abort(Evaluation evaluation);
 
         /** Cancels a request that no evaluation is waiting for any more. */
-        void drop(Shared request);
+        void cancelRequest(SharedRequest request);
 
-        /** Requests a call of {@link Answers#woken} after the delay. */
+        /** Requests a call of {@link EvaluationCoordinator#wakeupFired} after the delay. */
         void wake(long delay);
     }
 
     private final boolean isSharing;
     private final long tick;
-    private final List<Allowance> fallbackPolicies;
-    private final Versions versionFloors;
-    private final Kept answerCache;
+    private final List<FallbackPolicy> fallbackPolicies;
+    private final VersionFloors versionFloors;
+    private final AnswerCache answerCache;
     private final FlagTypes flagTypes = new FlagTypes();
-    private final Map<Question, Shared> openRequests = new HashMap<>();
+    private final Map<FlagQuery, SharedRequest> openRequests = new HashMap<>();
     private final ArrayDeque<Evaluation> undecided = new ArrayDeque<>();
-    private final ArrayDeque<Shared> abandonedRequests = new ArrayDeque<>();
+    private final ArrayDeque<SharedRequest> abandonedRequests = new ArrayDeque<>();
     private final PriorityQueue<Evaluation> byDeadline =
             new PriorityQueue<>((a, b) -> Long.compare(a.deadline, b.deadline));
     private long now;
@@ -73,8 +73,8 @@
     private long unknownFlagCount;
 
     /** {@code tick} is the timer resolution; evaluations are aborted one tick before their deadline. */
-    public Answers(boolean isSharing, long tick, List<Allowance> fallbackPolicies, Versions versionFloors,
-            Kept answerCache) {
+    public EvaluationCoordinator(boolean isSharing, long tick, List<FallbackPolicy> fallbackPolicies, VersionFloors versionFloors,
+            AnswerCache answerCache) {
         this.isSharing = isSharing;
         this.tick = Math.max(1, tick);
         this.fallbackPolicies = fallbackPolicies;
@@ -82,17 +82,17 @@
         this.answerCache = answerCache;
     }
 
-    public void now(long now) {
+    public void setNow(long now) {
         this.now = now;
     }
 
     /** The wake-up that was requested last has fired. */
-    public void woken() {
+    public void wakeupFired() {
         nextWakeup = Long.MAX_VALUE;
     }
 
     /** A client has requested an evaluation. */
-    public void asked(Evaluation evaluation) {
+    public void evaluationReceived(Evaluation evaluation) {
         evaluationCount++;
         activeEvaluations++;
         byDeadline.add(evaluation);
@@ -100,7 +100,7 @@
     }
 
     /** The client has disconnected; the evaluation needs no answer. */
-    public void left(Evaluation evaluation) {
+    public void clientDisconnected(Evaluation evaluation) {
         if (evaluation.state != Evaluation.ENDED) {
             finish(evaluation);
         }
@@ -110,12 +110,12 @@
      * A pick of the request is sent. The answer of a build on trial is used for one evaluation only: the others start
      * anew, since a shared pick would expose many evaluations to the trial while the cap counts one.
      */
-    public void picked(Shared request, boolean isOnTrial) {
+    public void pickStarted(SharedRequest request, boolean isOnTrial) {
         if (!isOnTrial || request.isComplete || request.isExclusive) {
             return;
         }
         request.isExclusive = true;
-        openRequests.remove(request.question, request);
+        openRequests.remove(request.query, request);
         boolean isFirst = true;
         for (Evaluation evaluation : List.copyOf(request.waiting)) {
             if (!isFirst) {
@@ -135,23 +135,23 @@
      * the answer is older than one already returned for the targeting key. Only ok answers reach clients, in order of
      * arrival.
      */
-    public int served(Shared request, Served answer, boolean isOnTrial) {
-        Question query = request.question;
-        if (request.isComplete || !query.shareable) {
+    public int answerReceived(SharedRequest request, ServerAnswer answer, boolean isOnTrial) {
+        FlagQuery query = request.query;
+        if (request.isComplete || !query.isShareable) {
             return complete(request, answer);
         }
-        if (answer.status == Served.STATUS_FLAG_NOT_FOUND && query.flag != null
+        if (answer.status == ServerAnswer.STATUS_FLAG_NOT_FOUND && query.flag != null
                 && flagTypes.isKnown(query.flag, !isOnTrial)) {
             unknownFlagCount++;
             return isOnTrial ? Pick.ERROR : Pick.NOT_EXECUTED;
         }
-        if (answer.isGood() && isOnTrial && flagTypes.hasUnexpectedType(answer)) {
+        if (answer.isOk() && isOnTrial && flagTypes.hasUnexpectedType(answer)) {
             unexpectedTypeCount++;
             return Pick.ERROR;
         }
-        if (answer.oldestVersion != Served.NO_VERSION) {
+        if (answer.oldestVersion != ServerAnswer.NO_VERSION) {
             long heldVersion = request.waiting.stream().mapToLong(evaluation -> evaluation.clientVersion).max()
-                    .orElse(Served.NO_VERSION);
+                    .orElse(ServerAnswer.NO_VERSION);
             long floor = query.targetingKeyHash == 0 ? heldVersion
                     : Math.max(heldVersion, versionFloors.floor(query.targetingKeyHash));
             if (answer.oldestVersion < floor) {
@@ -161,21 +161,21 @@
                 return Pick.NOT_EXECUTED;
             }
             if (query.targetingKeyHash != 0) {
-                versionFloors.met(query.targetingKeyHash, answer.newest);
+                versionFloors.raise(query.targetingKeyHash, answer.newestVersion);
             }
         }
-        if (answer.isGood()) {
+        if (answer.isOk()) {
             if (!isOnTrial) {
                 flagTypes.learn(answer);
             }
-            if (Allowance.forFlag(fallbackPolicies, query.flag).staleFor() > 0) {
-                answerCache.keep(query, answer.newest, answer.body, now);
+            if (FallbackPolicy.forFlag(fallbackPolicies, query.flag).staleFor() > 0) {
+                answerCache.put(query, answer.newestVersion, answer.body, now);
             }
         }
         return complete(request, answer);
     }
 
-    private int complete(Shared request, Served answer) {
+    private int complete(SharedRequest request, ServerAnswer answer) {
         if (!request.isComplete) {
             close(request);
             for (Evaluation evaluation : request.waiting) {
@@ -189,7 +189,7 @@
     }
 
     /** The rules have ended the request without an answer: pushed back or aborted. */
-    public void givenUp(Shared request, boolean isPushedBack, long retryAfter) {
+    public void requestFailed(SharedRequest request, boolean isPushedBack, long retryAfter) {
         if (request.isComplete) {
             return;
         }
@@ -202,15 +202,15 @@
         request.waiting.clear();
     }
 
-    private void close(Shared request) {
+    private void close(SharedRequest request) {
         request.isComplete = true;
-        openRequests.remove(request.question, request);
+        openRequests.remove(request.query, request);
     }
 
     private void finish(Evaluation evaluation) {
         evaluation.state = Evaluation.ENDED;
         activeEvaluations--;
-        Shared request = evaluation.request;
+        SharedRequest request = evaluation.request;
         if (request != null && request.waiting.remove(evaluation) && request.waiting.isEmpty()
                 && !request.isComplete) {
             close(request);
@@ -223,9 +223,9 @@
     }
 
     /** Makes at most one call on {@code sink}; returns false when there is nothing to decide now. */
-    public boolean next(Out sink) {
+    public boolean next(DecisionSink sink) {
         if (!abandonedRequests.isEmpty()) {
-            sink.drop(abandonedRequests.poll());
+            sink.cancelRequest(abandonedRequests.poll());
             return true;
         }
         while (!undecided.isEmpty()) {
@@ -250,7 +250,7 @@
         return false;
     }
 
-    private boolean decide(Evaluation evaluation, Out sink) {
+    private boolean decide(Evaluation evaluation, DecisionSink sink) {
         switch (evaluation.state) {
             case Evaluation.NEW:
                 return startOrJoin(evaluation, sink);
@@ -268,9 +268,9 @@
         }
     }
 
-    private boolean startOrJoin(Evaluation evaluation, Out sink) {
-        Question query = evaluation.question;
-        Shared request = isSharing && query.shareable ? openRequests.get(query) : null;
+    private boolean startOrJoin(Evaluation evaluation, DecisionSink sink) {
+        FlagQuery query = evaluation.query;
+        SharedRequest request = isSharing && query.isShareable ? openRequests.get(query) : null;
         evaluation.state = Evaluation.WAITING;
         if (request != null && request.deadline - now >= MIN_DEADLINE_SHARE_TO_JOIN * query.method.deadline) {
             joinedCount++;
@@ -278,14 +278,14 @@
             request.waiting.add(evaluation);
             return false;
         }
-        request = new Shared(query, now, evaluation.deadline);
-        if (query.shareable) {
+        request = new SharedRequest(query, now, evaluation.deadline);
+        if (query.isShareable) {
             openRequests.put(query, request);
         }
         requestCount++;
         evaluation.request = request;
         request.waiting.add(evaluation);
-        sink.open(request);
+        sink.openRequest(request);
         return true;
     }
 
@@ -293,24 +293,24 @@
      * Ends an evaluation that no server has answered: with the cached answer if the settings allow it and the targeting
      * key has not been answered from a newer version, otherwise pushed back or aborted.
      */
-    private void finishWithoutServer(Evaluation evaluation, Out sink) {
+    private void finishWithoutServer(Evaluation evaluation, DecisionSink sink) {
         boolean isPushedBack = evaluation.state == Evaluation.PUSHED_BACK;
         finish(evaluation);
-        Question query = evaluation.question;
-        Allowance policy = query.shareable ? Allowance.forFlag(fallbackPolicies, query.flag) : Allowance.NONE;
+        FlagQuery query = evaluation.query;
+        FallbackPolicy policy = query.isShareable ? FallbackPolicy.forFlag(fallbackPolicies, query.flag) : FallbackPolicy.NONE;
         int position = policy.staleFor() > 0 ? answerCache.find(query) : -1;
         if (position >= 0) {
             long age = now - answerCache.storedAt(position);
             long version = answerCache.version(position);
             long floor = query.targetingKeyHash == 0 ? evaluation.clientVersion
                     : Math.max(evaluation.clientVersion, versionFloors.floor(query.targetingKeyHash));
-            if (age <= policy.staleFor() && (version == Served.NO_VERSION || version >= floor)) {
+            if (age <= policy.staleFor() && (version == ServerAnswer.NO_VERSION || version >= floor)) {
                 int source = age <= policy.cachedFor() ? CACHED : STALE;
-                if (version != Served.NO_VERSION && query.targetingKeyHash != 0) {
-                    versionFloors.met(query.targetingKeyHash, version);
+                if (version != ServerAnswer.NO_VERSION && query.targetingKeyHash != 0) {
+                    versionFloors.raise(query.targetingKeyHash, version);
                 }
                 answeredBySource[source]++;
-                sink.answer(evaluation, new Served(Served.GOOD, answerCache.body(position), version, version, Map.of()),
+                sink.answer(evaluation, new ServerAnswer(ServerAnswer.STATUS_OK, answerCache.body(position), version, version, Map.of()),
                         source);
                 return;
             }
--- a/src/main/java/honeygap/flags/Allowance.java
+++ b/src/main/java/honeygap/flags/FallbackPolicy.java
@@ -6,13 +6,13 @@
  * How long the last good answer of matching flags may be used when no server answers: up to one age it is reported as
  * cached, up to another as stale. Ages are in tenths of a millisecond.
  */
-public record Allowance(String flags, long cachedFor, long staleFor) {
+public record FallbackPolicy(String flagPattern, long cachedFor, long staleFor) {
 
-    static final Allowance NONE = new Allowance("", 0, 0);
+    static final FallbackPolicy NONE = new FallbackPolicy("", 0, 0);
 
     /** Matches the pattern, in which a star stands for any text; a bulk evaluation (null) matches as an empty name. */
     boolean appliesTo(String flag) {
-        return matches(flags, 0, flag == null ? "" : flag, 0);
+        return matches(flagPattern, 0, flag == null ? "" : flag, 0);
     }
 
     private static boolean matches(String pattern, int patternFrom, String text, int textFrom) {
@@ -32,7 +32,7 @@
     }
 
     /** Returns the first policy that applies to a flag. */
-    static Allowance forFlag(List<Allowance> policies, String flag) {
+    static FallbackPolicy forFlag(List<FallbackPolicy> policies, String flag) {
         return policies.stream().filter(policy -> policy.appliesTo(flag)).findFirst().orElse(NONE);
     }
 }
--- a/src/main/java/honeygap/flags/FlagTypes.java
+++ b/src/main/java/honeygap/flags/FlagTypes.java
@@ -30,21 +30,21 @@
         }
     };
 
-    void learn(Served answer) {
+    void learn(ServerAnswer answer) {
         answer.flagTypes.forEach((flag, type) -> {
             KnownFlag known = flags.computeIfAbsent(flag, name -> new KnownFlag());
             known.type = type;
-            known.version = answer.newest;
+            known.version = answer.newestVersion;
             known.unknownReplies = 0;
         });
     }
 
     /** Whether the answer has a value type other than that of released builds, at a version no newer than theirs. */
-    boolean hasUnexpectedType(Served answer) {
+    boolean hasUnexpectedType(ServerAnswer answer) {
         for (Map.Entry<String, Integer> entry : answer.flagTypes.entrySet()) {
             KnownFlag known = flags.get(entry.getKey());
             if (known != null && known.type != entry.getValue()
-                    && (answer.newest == Served.NO_VERSION || answer.newest <= known.version)) {
+                    && (answer.newestVersion == ServerAnswer.NO_VERSION || answer.newestVersion <= known.version)) {
                 return true;
             }
         }
--- a/src/main/java/honeygap/flags/House.java
+++ b/src/main/java/honeygap/flags/LocalRollout.java
@@ -12,16 +12,16 @@
  * it. Votes are decided by {@code Rules}, not here. The lowest build of the first list counts as released. One build
  * is on trial at a time; higher builds wait until its trial has ended.
  */
-public final class House {
+public final class LocalRollout {
 
     /** Receives the decisions; each call of {@link #next} makes at most one call. */
-    public interface Out {
+    public interface Listener {
 
         /** The status of a build: its phase (a constant of {@code Build}), stage, cap and time of the last change. */
-        void told(int build, int phase, int stage, double cap, boolean isVoteResponse, long since);
+        void statusChanged(int build, int phase, int stage, double cap, boolean isVoteResponse, long since);
 
         /** The set of servers, or of builds whose servers may be listed, has changed. */
-        void list();
+        void serversChanged();
     }
 
     private final double[] capsByStage;
@@ -38,17 +38,17 @@
     private boolean isVoteResponse;
 
     /** At least one stage is required; {@code longAgo} is the time used for a build released before the start. */
-    public House(double[] capsByStage, long longAgo) {
+    public LocalRollout(double[] capsByStage, long longAgo) {
         this.capsByStage = capsByStage;
         this.longAgo = longAgo;
     }
 
-    public void now(long now) {
+    public void setNow(long now) {
         this.now = now;
     }
 
     /** Sets the builds of all configured servers. */
-    public void listed(Set<Integer> available) {
+    public void setAvailableBuilds(Set<Integer> available) {
         builds.clear();
         builds.addAll(available);
         withdrawn.retainAll(available);
@@ -66,7 +66,7 @@
     }
 
     /** Applies a vote of this agent; a vote on any other build or stage than the current one changes nothing. */
-    public void voted(int build, int stage, int verdict) {
+    public void recordVote(int build, int stage, int verdict) {
         isStatusReported = false;
         isVoteResponse = true;
         if (build != newestBuild || stage != this.stage || phase == Build.WITHDRAWN) {
@@ -90,13 +90,13 @@
     }
 
     /** Makes at most one call; returns false when there is nothing to report. */
-    public boolean next(Out listener) {
+    public boolean next(Listener listener) {
         if (!isStatusReported) {
             boolean respondsToVote = isVoteResponse;
             isStatusReported = true;
             isVoteResponse = false;
             double cap = phase == Build.ON_TRIAL ? capsByStage[stage] : phase == Build.RELEASED ? 1 : 0;
-            listener.told(newestBuild, phase, stage, cap, respondsToVote, phaseSince);
+            listener.statusChanged(newestBuild, phase, stage, cap, respondsToVote, phaseSince);
             return true;
         }
         // The next build is reported after the trial of the previous one has ended, and before its servers are listed.
@@ -111,14 +111,14 @@
         }
         if (!areServersReported) {
             areServersReported = true;
-            listener.list();
+            listener.serversChanged();
             return true;
         }
         return false;
     }
 
     /** The newest build whose rollout has begun, or -1 if there is none. */
-    public int build() {
+    public int newestBuild() {
         return newestBuild;
     }
 
--- a/src/main/java/honeygap/flags/Limits.java
+++ b/src/main/java/honeygap/flags/RetryAfterLimits.java
@@ -11,7 +11,7 @@
  * by one server does not overload its neighbours. While two servers of a location are backing off, the whole location
  * receives no picks until the first of the delays has passed.
  */
-public final class Limits {
+public final class RetryAfterLimits {
 
     private final long maxRetryAfter;
     private final List<Appliance> backingOff = new ArrayList<>();
@@ -19,16 +19,16 @@
     private long reportedCount;
 
     /** Longer delays are cut to the maximum, in tenths of a millisecond. */
-    public Limits(long maxRetryAfter) {
+    public RetryAfterLimits(long maxRetryAfter) {
         this.maxRetryAfter = maxRetryAfter;
     }
 
-    public void now(long now) {
+    public void setNow(long now) {
         this.now = now;
     }
 
     /** A server has asked for no further picks for this long, in tenths of a millisecond. */
-    public void told(Appliance appliance, long retryAfter) {
+    public void retryAfterReceived(Appliance appliance, long retryAfter) {
         reportedCount++;
         long until = now + Math.max(0, Math.min(retryAfter, maxRetryAfter));
         backingOff.removeIf(other -> other == appliance || other.retryAfterUntil <= now);
@@ -42,14 +42,14 @@
     }
 
     /** The time until the first of the servers that are backing off accepts picks again; 0 if there is none. */
-    public long opensIn() {
+    public long timeUntilAvailable() {
         long first = backingOff.stream().mapToLong(appliance -> appliance.retryAfterUntil)
                 .filter(until -> until > now).min().orElse(now);
         return first - now;
     }
 
     /** Number of delays reported since the start. */
-    public long told() {
+    public long reportedCount() {
         return reportedCount;
     }
 }
--- a/src/main/java/honeygap/flags/Shared.java
+++ b/src/main/java/honeygap/flags/SharedRequest.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 
 /** A request that is sent to the servers once, with all evaluations that wait for its answer. */
-public final class Shared {
+public final class SharedRequest {
 
-    public final Question question;
-    public final long takenAt;
+    public final FlagQuery query;
+    public final long openedAt;
     public final long deadline;
     /** The RPC that carries the request, once the host has opened it. */
     public Rpc rpc;
@@ -18,9 +18,9 @@
     /** Whether a pick was sent to a build on trial, so that only one evaluation may receive the answer. */
     boolean isExclusive;
 
-    Shared(Question query, long openedAt, long deadline) {
-        this.question = query;
-        this.takenAt = openedAt;
+    SharedRequest(FlagQuery query, long openedAt, long deadline) {
+        this.query = query;
+        this.openedAt = openedAt;
         this.deadline = deadline;
     }
 
--- a/src/main/java/honeygap/flags/Versions.java
+++ b/src/main/java/honeygap/flags/VersionFloors.java
@@ -7,7 +7,7 @@
  * The lower of a key's two cells is never older than the key's version, so eviction fails safe: at worst a version
  * that the key has not yet reached is refused for it.
  */
-public final class Versions {
+public final class VersionFloors {
 
     private static final int SLOTS_PER_BUCKET = 8;
 
@@ -21,13 +21,13 @@
     private int size;
 
     /** The minimum number of exact entries, and of cells in each row of the sketch. */
-    public Versions(int minKeys, int minSketchCells) {
+    public VersionFloors(int minKeys, int minSketchCells) {
         bucketCount = powerOfTwo(Math.max(1, (minKeys + SLOTS_PER_BUCKET - 1) / SLOTS_PER_BUCKET));
         slots = new long[3 * SLOTS_PER_BUCKET * bucketCount];
         this.sketchCells = powerOfTwo(Math.max(1, minSketchCells));
         sketch = new long[2][this.sketchCells];
         for (long[] row : sketch) {
-            java.util.Arrays.fill(row, Served.NO_VERSION);
+            java.util.Arrays.fill(row, ServerAnswer.NO_VERSION);
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /**
-     * The lowest version that the key may be answered from; {@link Served#NO_VERSION} if it has neither an entry nor a
+     * The lowest version that the key may be answered from; {@link ServerAnswer#NO_VERSION} if it has neither an entry nor a
      * bound from the sketch.
      */
     public long floor(long key) {
@@ -77,7 +77,7 @@
     }
 
     /** Records that the key has been answered from this version. */
-    public void met(long key, long version) {
+    public void raise(long key, long version) {
         int first = firstSlot(key);
         int target = first;
         for (int slot = first; slot < first + 3 * SLOTS_PER_BUCKET; slot += 3) {
--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -1,21 +1,21 @@
 package honeygap.net;
 
 import honeygap.DecisionEngine;
-import honeygap.flags.Answers;
-import honeygap.flags.House;
-import honeygap.flags.Kept;
-import honeygap.flags.Limits;
-import honeygap.flags.Versions;
+import honeygap.flags.EvaluationCoordinator;
+import honeygap.flags.LocalRollout;
+import honeygap.flags.AnswerCache;
+import honeygap.flags.RetryAfterLimits;
+import honeygap.flags.VersionFloors;
 import honeygap.fleet.Build;
 import honeygap.fleet.Fleet;
 import honeygap.fleet.Pick;
 import honeygap.net.askers.FlagClients;
-import honeygap.net.desk.Ballots;
-import honeygap.net.desk.Bulletin;
-import honeygap.net.desk.News;
+import honeygap.net.desk.VoteSubmitter;
+import honeygap.net.desk.RolloutStatusStream;
+import honeygap.net.desk.RolloutStatusParser;
 import honeygap.net.links.ConnectionPool;
-import honeygap.net.list.Named;
-import honeygap.net.list.Registry;
+import honeygap.net.list.StaticList;
+import honeygap.net.list.DiscoveryClient;
 import honeygap.net.ofrep.EvaluationDispatcher;
 import honeygap.net.servers.FlagServerConnection;
 import honeygap.read.FlagSheet;
@@ -41,36 +41,36 @@
     private final EvaluationDispatcher exchange;
     private final FlagClients flagClients;
     private final ConnectionPool connections;
-    private final Named staticList;
-    private final House localRollout;
-    private final Registry discovery;
-    private final Ballots votes;
-    private final Bulletin statusStream;
+    private final StaticList staticList;
+    private final LocalRollout localRollout;
+    private final DiscoveryClient discovery;
+    private final VoteSubmitter votes;
+    private final RolloutStatusStream statusStream;
 
     public FlagProtocol(Loop loop, FlagSheet settings, long seed) {
         this.loop = loop;
         this.settings = settings;
         rules = settings.rules(loop.clock(), seed);
         engine = new EngineAdapter(loop, rules, settings.methods.size(), "flags");
-        Answers answerCache = new Answers(settings.sharing, settings.step, settings.allowances,
-                new Versions(settings.keys, settings.cells),
-                new Kept(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
-        exchange = new EvaluationDispatcher(loop, rules, answerCache, new Limits(settings.retryAfterMost));
+        EvaluationCoordinator answerCache = new EvaluationCoordinator(settings.sharing, settings.step, settings.allowances,
+                new VersionFloors(settings.keys, settings.cells),
+                new AnswerCache(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
+        exchange = new EvaluationDispatcher(loop, rules, answerCache, new RetryAfterLimits(settings.retryAfterMost));
         flagClients = new FlagClients(loop, exchange, settings.methods.get(0), settings.methods.get(1),
                 settings.methods.get(2), settings.methods.get(3), settings.step, settings.clients, settings.longestBody);
         connections = new ConnectionPool(loop, rules,
                 (pool, appliance) -> new FlagServerConnection(pool, appliance, settings.longestAnswer),
                 settings.step, settings.connectWithin, settings.idleClose, settings.links);
-        staticList = new Named(rules, connections, engine::build);
+        staticList = new StaticList(rules, connections, engine::build);
         discovery = settings.list == null ? null
-                : new Registry(loop, rules, connections, engine::build, settings.list, settings.askWithin);
-        localRollout = settings.desk == null ? new House(settings.caps, Fleet.LONG_AGO) : null;
-        News rolloutStatus = new News(loop, rules, engine::build, Map.of("one", settings.methods.get(0), "all",
+                : new DiscoveryClient(loop, rules, connections, engine::build, settings.list, settings.askWithin);
+        localRollout = settings.desk == null ? new LocalRollout(settings.caps, Fleet.LONG_AGO) : null;
+        RolloutStatusParser rolloutStatus = new RolloutStatusParser(loop, rules, engine::build, Map.of("one", settings.methods.get(0), "all",
                 settings.methods.get(1), "track", settings.methods.get(2), "tracked", settings.methods.get(3)));
         votes = localRollout != null ? null
-                : new Ballots(loop, rules, rolloutStatus, settings.desk, settings.callTimeout);
+                : new VoteSubmitter(loop, rules, rolloutStatus, settings.desk, settings.callTimeout);
         statusStream = localRollout != null ? null
-                : new Bulletin(loop, rolloutStatus, settings.desk, Math.max(settings.callTimeout, 30_000), seed);
+                : new RolloutStatusStream(loop, rolloutStatus, settings.desk, Math.max(settings.callTimeout, 30_000), seed);
         engine.attach(connections, discovery != null ? discovery : staticList,
                 localRollout != null ? this::vote : votes);
     }
@@ -85,11 +85,11 @@
     }
 
     /** Applies the decisions of the local rollout, which replaces the release desk if none is configured. */
-    private final class LocalRolloutStepper implements Loop.Stepper, House.Out {
+    private final class LocalRolloutStepper implements Loop.Stepper, LocalRollout.Listener {
 
         @Override
         public void startIteration(long now) {
-            localRollout.now(now);
+            localRollout.setNow(now);
         }
 
         @Override
@@ -98,26 +98,26 @@
         }
 
         @Override
-        public void told(int build, int phase, int stage, double cap, boolean isConfirmed, long since) {
+        public void statusChanged(int build, int phase, int stage, double cap, boolean isConfirmed, long since) {
             loop.defer(() -> rules.rolloutReported(engine.build(build), phase, stage, cap, isConfirmed, since, Pick.OK));
         }
 
         @Override
-        public void list() {
+        public void serversChanged() {
             if (discovery == null) {
-                loop.defer(() -> staticList.tell(localRollout::admits, loop.now()));
+                loop.defer(() -> staticList.publish(localRollout::admits, loop.now()));
             }
         }
     }
 
     private void vote(Build build, int stage, int verdict) {
-        loop.defer(() -> localRollout.voted(build.number, stage, verdict));
+        loop.defer(() -> localRollout.recordVote(build.number, stage, verdict));
     }
 
     @Override
     public void start() {
         if (statusStream != null) {
-            statusStream.listen();
+            statusStream.connect();
         }
         applyServers(settings);
     }
@@ -126,11 +126,11 @@
         if (discovery != null) {
             return;
         }
-        var builds = staticList.take(newSettings.servers);
+        var builds = staticList.setServers(newSettings.servers);
         if (localRollout != null) {
-            localRollout.listed(builds);
+            localRollout.setAvailableBuilds(builds);
         } else {
-            loop.defer(() -> staticList.tell(build -> true, loop.now()));
+            loop.defer(() -> staticList.publish(build -> true, loop.now()));
         }
     }
 
@@ -149,11 +149,11 @@
 
     private void applyReload(FlagSheet newSettings) {
         if (discovery != null && newSettings.list != null) {
-            discovery.move(newSettings.list);
+            discovery.changeAddress(newSettings.list);
         }
         if (votes != null && newSettings.desk != null) {
-            votes.move(newSettings.desk);
-            statusStream.move(newSettings.desk);
+            votes.changeAddress(newSettings.desk);
+            statusStream.changeAddress(newSettings.desk);
         }
         applyServers(newSettings);
     }
@@ -197,7 +197,7 @@
         }
         if (localRollout != null) {
             counters.group("flag build", group -> {
-                group.count("number", localRollout.build());
+                group.count("number", localRollout.newestBuild());
                 group.count("phase", localRollout.phase());
                 group.count("stage", localRollout.stage());
             });
--- a/src/main/java/honeygap/net/PostgresProtocol.java
+++ b/src/main/java/honeygap/net/PostgresProtocol.java
@@ -4,11 +4,11 @@
 import honeygap.fleet.Method;
 import honeygap.net.appliances.PostgresConnection;
 import honeygap.net.clients.PgClients;
-import honeygap.net.desk.Ballots;
-import honeygap.net.desk.Bulletin;
-import honeygap.net.desk.News;
+import honeygap.net.desk.VoteSubmitter;
+import honeygap.net.desk.RolloutStatusStream;
+import honeygap.net.desk.RolloutStatusParser;
 import honeygap.net.links.ConnectionPool;
-import honeygap.net.list.Registry;
+import honeygap.net.list.DiscoveryClient;
 import honeygap.read.Deployment;
 import honeygap.read.Fields;
 import honeygap.read.Malformed;
@@ -41,9 +41,9 @@
     private final EngineAdapter engine;
     private final PgClients clients;
     private final ConnectionPool connections;
-    private final Registry discovery;
-    private final Ballots votes;
-    private final Bulletin statusStream;
+    private final DiscoveryClient discovery;
+    private final VoteSubmitter votes;
+    private final RolloutStatusStream statusStream;
     private final InetSocketAddress listenAddress;
     private final int maxConnections;
     private final Fields settings;
@@ -79,19 +79,19 @@
         Fields ceilings = settings.part("Ceilings");
         connections = new ConnectionPool(loop, rules, PostgresConnection::new, settings.tenths("TickNs"),
                 ceilings.tenths("ConnectTimeoutNs", 2500), ceilings.tenths("IdleCloseNs", 100_000), maxConnections);
-        discovery = new Registry(loop, rules, connections, engine::build, config.address("discovery"),
+        discovery = new DiscoveryClient(loop, rules, connections, engine::build, config.address("discovery"),
                 listing.callInterval());
-        News rolloutStatus = new News(loop, rules, engine::build, methodsByName);
+        RolloutStatusParser rolloutStatus = new RolloutStatusParser(loop, rules, engine::build, methodsByName);
         InetSocketAddress deskAddress = desk.address("address");
         long callTimeout = settings.part("FamilyInfo").tenths("CallTimeoutNs", 20_000);
-        votes = new Ballots(loop, rules, rolloutStatus, deskAddress, callTimeout);
+        votes = new VoteSubmitter(loop, rules, rolloutStatus, deskAddress, callTimeout);
         engine.attach(connections, discovery, votes);
-        statusStream = new Bulletin(loop, rolloutStatus, deskAddress, Math.max(callTimeout, 30_000), seed);
+        statusStream = new RolloutStatusStream(loop, rolloutStatus, deskAddress, Math.max(callTimeout, 30_000), seed);
         if (config.has("known")) {
-            discovery.known(config.object("known"));
+            discovery.restore(config.object("known"));
         }
         if (desk.has("news")) {
-            loop.defer(rolloutStatus.first(desk.object("news")));
+            loop.defer(rolloutStatus.parseInitial(desk.object("news")));
         }
         warmUp = new WarmUp(settings);
     }
@@ -112,7 +112,7 @@
 
     @Override
     public void start() {
-        statusStream.listen();
+        statusStream.connect();
     }
 
     @Override
@@ -138,16 +138,16 @@
                 longestDeadlineOf(Deployment.methods(config.object("settings")))) : longestDeadline;
         return () -> {
             longestDeadline = deadline;
-            discovery.move(discoveryAddress);
-            votes.move(deskAddress);
-            statusStream.move(deskAddress);
+            discovery.changeAddress(discoveryAddress);
+            votes.changeAddress(deskAddress);
+            statusStream.changeAddress(deskAddress);
         };
     }
 
     @Override
     public void shareLoad(LoadSharing sharing) {
-        sharing.publish(discovery.out());
-        discovery.others(sharing.othersInFlight());
+        sharing.publish(discovery.inFlight());
+        discovery.setInFlightElsewhere(sharing.othersInFlight());
         loop.schedule(loop.now() + sharing.interval(), () -> shareLoad(sharing));
     }
 
--- a/src/main/java/honeygap/net/askers/EntityTags.java
+++ b/src/main/java/honeygap/net/askers/EntityTags.java
@@ -1,6 +1,6 @@
 package honeygap.net.askers;
 
-import honeygap.flags.Served;
+import honeygap.flags.ServerAnswer;
 import honeygap.net.ofrep.OfrepRequest;
 
 /**
@@ -14,8 +14,8 @@
     private EntityTags() {
     }
 
-    static String of(Served served) {
-        return "\"" + (served.newest == Served.NO_VERSION ? "" : served.newest) + "-"
+    static String of(ServerAnswer served) {
+        return "\"" + (served.newestVersion == ServerAnswer.NO_VERSION ? "" : served.newestVersion) + "-"
                 + Long.toHexString(OfrepRequest.hash(served.body)) + "\"";
     }
 
@@ -31,7 +31,7 @@
 
     /** The newest flag-set version that a client has, according to the tags it sent. */
     static long newestVersion(String list) {
-        long newest = Served.NO_VERSION;
+        long newest = ServerAnswer.NO_VERSION;
         for (String tag : split(list)) {
             int dash = tag.indexOf('-');
             if (dash > 1 && dash <= 19 && tag.substring(1, dash).chars().allMatch(c -> c >= '0' && c <= '9')) {
--- a/src/main/java/honeygap/net/askers/FlagClientConnection.java
+++ b/src/main/java/honeygap/net/askers/FlagClientConnection.java
@@ -1,7 +1,7 @@
 package honeygap.net.askers;
 
-import honeygap.flags.Answers;
-import honeygap.flags.Served;
+import honeygap.flags.EvaluationCoordinator;
+import honeygap.flags.ServerAnswer;
 import honeygap.net.guests.ClientConnection;
 import honeygap.net.http.Refusal;
 import honeygap.net.http.RequestParser;
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public void answer(Served served, int origin) {
+        public void answer(ServerAnswer served, int origin) {
             FlagClientConnection.this.sendResponse(this, served, origin);
         }
 
@@ -61,7 +61,7 @@
         }
 
         private byte[] errorBody(String code, String details) {
-            return OfrepJson.error(question.flag, code, details);
+            return OfrepJson.error(query.flag, code, details);
         }
     }
 
@@ -182,7 +182,7 @@
         String token = parser.field("idempotency-key");
         boolean isTracking = route.isTracking();
         long targetingKeyHash = OfrepJson.targetingKeyHash(parser.body());
-        long knownVersion = isTracking || route.flag() != null ? Served.NO_VERSION
+        long knownVersion = isTracking || route.flag() != null ? ServerAnswer.NO_VERSION
                 : EntityTags.newestVersion(parser.field("if-none-match"));
         StringBuilder fields = new StringBuilder();
         appendField(fields, "Authorization", parser.field("authorization"));
@@ -206,9 +206,9 @@
         }
     }
 
-    private void sendResponse(ClientEvaluation evaluation, Served served, int origin) {
-        if (evaluation.question.flag != null || !evaluation.question.shareable || !served.isGood()) {
-            byte[] body = origin == Answers.FRESH ? served.body
+    private void sendResponse(ClientEvaluation evaluation, ServerAnswer served, int origin) {
+        if (evaluation.query.flag != null || !evaluation.query.isShareable || !served.isOk()) {
+            byte[] body = origin == EvaluationCoordinator.FRESH ? served.body
                     : OfrepJson.withReason(served.body, false, reasonFor(origin));
             finishEvaluation(evaluation, served.status, body, "");
             return;
@@ -217,14 +217,14 @@
         if (EntityTags.isListed(tag, parser.field("if-none-match"))) {
             finishEvaluation(evaluation, 304, NO_BODY, "ETag: " + tag + "\r\n");
         } else {
-            byte[] body = origin == Answers.FRESH ? served.body
+            byte[] body = origin == EvaluationCoordinator.FRESH ? served.body
                     : OfrepJson.withReason(served.body, true, reasonFor(origin));
             finishEvaluation(evaluation, 200, body, "ETag: " + tag + "\r\n");
         }
     }
 
     private static String reasonFor(int origin) {
-        return origin == Answers.CACHED ? "CACHED" : "STALE";
+        return origin == EvaluationCoordinator.CACHED ? "CACHED" : "STALE";
     }
 
     private void finishEvaluation(ClientEvaluation evaluation, int status, byte[] body, String fields) {
--- a/src/main/java/honeygap/net/desk/News.java
+++ b/src/main/java/honeygap/net/desk/RolloutStatusParser.java
@@ -14,14 +14,14 @@
 import java.util.function.IntFunction;
 
 /** Parses the rollout status that the release desk reports, in each of its formats, into inputs of the rules. */
-public final class News {
+public final class RolloutStatusParser {
 
     private final Loop loop;
     private final DecisionEngine rules;
     private final IntFunction<Build> builds;
     private final Map<String, Method> methods;
 
-    public News(Loop loop, DecisionEngine rules, IntFunction<Build> builds, Map<String, Method> methods) {
+    public RolloutStatusParser(Loop loop, DecisionEngine rules, IntFunction<Build> builds, Map<String, Method> methods) {
         this.loop = loop;
         this.rules = rules;
         this.builds = builds;
@@ -29,7 +29,7 @@
     }
 
     /** Parses the status in the configuration that an agent starts with. */
-    public Runnable first(Fields status) throws Malformed {
+    public Runnable parseInitial(Fields status) throws Malformed {
         return statusUpdate(status.rounded("Revision"), status.rounded("Wave"), status.text("State"),
                 status.number("MaxShare"), status.number("AgeMs"), false);
     }
--- a/src/main/java/honeygap/net/desk/Bulletin.java
+++ b/src/main/java/honeygap/net/desk/RolloutStatusStream.java
@@ -10,10 +10,10 @@
 import java.util.zip.CRC32;
 
 /** Subscribes to the rollout status that the release desk streams; reconnects whenever the stream ends. */
-public final class Bulletin implements Counters.Group {
+public final class RolloutStatusStream implements Counters.Group {
 
     private final Loop loop;
-    private final News statusParser;
+    private final RolloutStatusParser statusParser;
     private InetSocketAddress address;
     private final long silenceTimeout;
     private final long seed;
@@ -28,7 +28,7 @@
      * The stream fails after the timeout, in tenths of a millisecond, without any data. It is reopened after a random
      * delay of at most a quarter of the timeout.
      */
-    public Bulletin(Loop loop, News statusParser, InetSocketAddress address, long silenceTimeout,
+    public RolloutStatusStream(Loop loop, RolloutStatusParser statusParser, InetSocketAddress address, long silenceTimeout,
                     long seed) {
         this.loop = loop;
         this.statusParser = statusParser;
@@ -38,17 +38,17 @@
     }
 
     /** Opens the stream. */
-    public void listen() {
+    public void connect() {
         eventType = "";
         pendingUpdate = null;
         stream = new ResponseStream(loop, address, "/bulletin", silenceTimeout, silenceTimeout, this::readLine, end -> {
             failures++;
-            reconnectTimer = loop.schedule(loop.now() + (long) (jitter() * silenceTimeout / 4), this::listen);
+            reconnectTimer = loop.schedule(loop.now() + (long) (jitter() * silenceTimeout / 4), this::connect);
         });
     }
 
     /** Switches the stream to another address. */
-    public void move(InetSocketAddress address) {
+    public void changeAddress(InetSocketAddress address) {
         this.address = address;
         if (stream == null) {
             return;    // Not connected yet: the configuration may be reloaded while the agent starts.
@@ -57,7 +57,7 @@
         if (reconnectTimer != null) {
             reconnectTimer.cancel();
         }
-        listen();
+        connect();
     }
 
     /** A pseudo-random number in [0, 1) that differs for each seed and reconnect. */
--- a/src/main/java/honeygap/net/desk/Ballots.java
+++ b/src/main/java/honeygap/net/desk/VoteSubmitter.java
@@ -14,7 +14,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Submits votes to the release desk, one at a time, and reports the result of each to the rules. */
-public final class Ballots implements EngineAdapter.VoteSink, Counters.Group {
+public final class VoteSubmitter implements EngineAdapter.VoteSink, Counters.Group {
 
     /** The names of the verdicts in the desk's protocol, by value. */
     private static final String[] VERDICTS = {"none", "on", "hold", "back"};
@@ -22,14 +22,14 @@
 
     private final Loop loop;
     private final DecisionEngine rules;
-    private final News statusParser;
+    private final RolloutStatusParser statusParser;
     private InetSocketAddress address;
     private final long responseTimeout;
     private PendingVote pending;
     private long submitted;
     private long unanswered;
 
-    public Ballots(Loop loop, DecisionEngine rules, News statusParser, InetSocketAddress address,
+    public VoteSubmitter(Loop loop, DecisionEngine rules, RolloutStatusParser statusParser, InetSocketAddress address,
             long responseTimeout) {
         this.loop = loop;
         this.rules = rules;
@@ -39,7 +39,7 @@
     }
 
     /** Sends subsequent votes to another address; a pending vote still completes at the previous one. */
-    public void move(InetSocketAddress address) {
+    public void changeAddress(InetSocketAddress address) {
         this.address = address;
     }
 
@@ -119,7 +119,7 @@
                     endedUnanswered(true);
                 }
             } else if (status == 400 || status == 500) {
-                switch (News.element(text, "Code")) {
+                switch (RolloutStatusParser.element(text, "Code")) {
                     case "too_many_calls" -> reportFailure(Pick.PUSHED_BACK);
                     case "out_of_date" -> reportFailure(Pick.NOT_EXECUTED);
                     case "unavailable", "bad_request" -> reportFailure(Pick.ERROR);
--- a/src/main/java/honeygap/net/door/AdminConnection.java
+++ b/src/main/java/honeygap/net/door/AdminConnection.java
@@ -11,13 +11,13 @@
 /** A connection to the admin endpoint; its requests are processed one after another. */
 final class AdminConnection extends ClientConnection {
 
-    private final Door endpoint;
+    private final AdminEndpoint endpoint;
     private final RequestParser requests;
     private boolean hasSentRequest;
     /** Whether a request is being handled off the loop; the next one is read only after its response. */
     private boolean isResponsePending;
 
-    AdminConnection(Door endpoint) {
+    AdminConnection(AdminEndpoint endpoint) {
         super(endpoint.connections);
         this.endpoint = endpoint;
         requests = new RequestParser(endpoint.maxBodyBytes());
@@ -105,7 +105,7 @@
             if (!endpoint.isAuthorized(requests.field("authorization"))) {
                 throw new Refusal(401, "token", "a token is wanted, and not this one");
             }
-            Aside handler = endpoint.aside(requests.target());
+            AsyncHandler handler = endpoint.asyncHandler(requests.target());
             if (handler != null) {
                 handleAsync(handler);
                 return;
@@ -130,10 +130,10 @@
         }
     }
 
-    private void handleAsync(Aside handler) {
+    private void handleAsync(AsyncHandler handler) {
         boolean keepAlive = requests.isKeepAlive();
         isResponsePending = true;
-        handler.answer(requests.method(), requests.target(), requests.body().clone(), new Aside.Reply() {
+        handler.handle(requests.method(), requests.target(), requests.body().clone(), new AsyncHandler.Reply() {
             @Override
             public void reply(int status, byte[] body) {
                 endpoint.runOnLoop(() -> {
--- a/src/main/java/honeygap/net/door/Door.java
+++ b/src/main/java/honeygap/net/door/AdminEndpoint.java
@@ -27,7 +27,7 @@
  * loopback only. The effects of a command are in process memory, so its ledger entry is made durable first: a process
  * that dies in between has nothing to undo.
  */
-public final class Door implements Counters.Group {
+public final class AdminEndpoint implements Counters.Group {
 
     /** The version of the admin API. */
     public static final int API_VERSION = 1;
@@ -49,7 +49,7 @@
     final ClientConnections connections;
     private InetSocketAddress boundAddress;
     /** Null if no requests are handled off the loop. */
-    private Aside asyncHandler;
+    private AsyncHandler asyncHandler;
     private long appliedCommands;
     private long inspections;
     private long rejectedTokens;
@@ -60,7 +60,7 @@
      *
      * @throws IOException if the ledger cannot be read or written
      */
-    public Door(Loop loop, Agent agent, String name, Path ledgerPath, String token, long generation,
+    public AdminEndpoint(Loop loop, Agent agent, String name, Path ledgerPath, String token, long generation,
             Runnable reloadFiles) throws IOException {
         this.loop = loop;
         this.agent = agent;
@@ -73,18 +73,18 @@
     }
 
     /** Sets the handler for requests off the loop; called before {@link #listen}. */
-    public void aside(Aside handler) {
+    public void asyncHandler(AsyncHandler handler) {
         this.asyncHandler = handler;
     }
 
     /** Returns the handler for this path off the loop, or null. */
-    Aside aside(String path) {
-        return asyncHandler != null && asyncHandler.takes(path) ? asyncHandler : null;
+    AsyncHandler asyncHandler(String path) {
+        return asyncHandler != null && asyncHandler.handles(path) ? asyncHandler : null;
     }
 
     /** The maximum length of a request body. */
     int maxBodyBytes() {
-        return Math.max(MAX_BODY_BYTES, asyncHandler == null ? 0 : asyncHandler.longest());
+        return Math.max(MAX_BODY_BYTES, asyncHandler == null ? 0 : asyncHandler.maxBodyBytes());
     }
 
     /** Runs a task in the next iteration of the loop; may be called from any thread. */
--- a/src/main/java/honeygap/net/door/Aside.java
+++ b/src/main/java/honeygap/net/door/AsyncHandler.java
@@ -6,7 +6,7 @@
  * Handles admin requests off the event loop: a request is handed over on the loop, its reply comes from another
  * thread.
  */
-public interface Aside {
+public interface AsyncHandler {
 
     /** The result of one request; exactly one of the methods is called, once, from any thread. */
     interface Reply {
@@ -17,11 +17,11 @@
     }
 
     /** Whether requests with this path are handled here. */
-    boolean takes(String path);
+    boolean handles(String path);
 
     /** The maximum length of a request body. */
-    int longest();
+    int maxBodyBytes();
 
     /** Called on the loop; must not block. */
-    void answer(String method, String path, byte[] body, Reply reply);
+    void handle(String method, String path, byte[] body, Reply reply);
 }
--- a/src/main/java/honeygap/net/list/Registry.java
+++ b/src/main/java/honeygap/net/list/DiscoveryClient.java
@@ -33,7 +33,7 @@
  * Client of the discovery service: applies the initial list from disk, watches the list for changes and fetches the
  * complete list on demand.
  */
-public final class Registry implements EngineAdapter.ListSource, Counters.Group {
+public final class DiscoveryClient implements EngineAdapter.ListSource, Counters.Group {
 
     /** Discovery sends a heartbeat this often while nothing changes, in tenths of a millisecond. */
     private static final long HEARTBEAT_INTERVAL = 20_000;
@@ -67,7 +67,7 @@
     private long olderLists;
 
     /** The lease of the list is in tenths of a millisecond, or 0 if there is none; calls time out after half of it. */
-    public Registry(Loop loop, DecisionEngine rules, Upstream back, IntFunction<Build> builds, InetSocketAddress address,
+    public DiscoveryClient(Loop loop, DecisionEngine rules, Upstream back, IntFunction<Build> builds, InetSocketAddress address,
             long leaseDuration) {
         this.loop = loop;
         this.rules = rules;
@@ -81,12 +81,12 @@
     }
 
     /** Applies the list that was stored on disk, which may be arbitrarily old. */
-    public void known(Fields list) throws Malformed {
+    public void restore(Fields list) throws Malformed {
         apply(list, true);
     }
 
     /** Switches to another discovery address and restarts open calls there; the known version is kept. */
-    public void move(InetSocketAddress address) {
+    public void changeAddress(InetSocketAddress address) {
         this.address = address;
         acceptsOlder = true;
         loop.defer(rules::discoveryMoved);
@@ -295,7 +295,7 @@
     }
 
     /** Number of picks in flight by appliance name; appliances without any are left out. */
-    public Map<String, Integer> out() {
+    public Map<String, Integer> inFlight() {
         Map<String, Integer> inFlight = new HashMap<>();
         remotes.forEach((name, remote) -> {
             if (remote.limit.inFlight > 0) {
@@ -306,7 +306,7 @@
     }
 
     /** Sets the number of picks that other agents have in flight, by appliance name; 0 for names not given. */
-    public void others(Map<String, Double> inFlightElsewhere) {
+    public void setInFlightElsewhere(Map<String, Double> inFlightElsewhere) {
         remotes.forEach((name, remote) -> remote.othersInFlight = inFlightElsewhere.getOrDefault(name, 0.0));
     }
 
--- a/src/main/java/honeygap/net/list/Named.java
+++ b/src/main/java/honeygap/net/list/StaticList.java
@@ -20,7 +20,7 @@
 import java.util.function.IntPredicate;
 
 /** The servers listed statically in the operator's configuration file, published to a decision module. */
-public final class Named implements EngineAdapter.ListSource, Counters.Group {
+public final class StaticList implements EngineAdapter.ListSource, Counters.Group {
 
     private final DecisionEngine rules;
     private final Upstream back;
@@ -32,14 +32,14 @@
     private long nextId;
     private boolean isFirstList = true;
 
-    public Named(DecisionEngine rules, Upstream back, IntFunction<Build> builds) {
+    public StaticList(DecisionEngine rules, Upstream back, IntFunction<Build> builds) {
         this.rules = rules;
         this.back = back;
         this.builds = builds;
     }
 
     /** Replaces the configured servers without publishing them; returns the builds that they run. */
-    public Set<Integer> take(List<FlagSheet.Named> servers) {
+    public Set<Integer> setServers(List<FlagSheet.Named> servers) {
         this.servers = List.copyOf(servers);
         Set<Integer> serverBuilds = new TreeSet<>();
         servers.forEach(server -> serverBuilds.add(server.build()));
@@ -50,7 +50,7 @@
      * Publishes the servers whose build the filter accepts to the module. A server that is added after the first
      * list, or whose build or address has changed, counts as started now.
      */
-    public void tell(IntPredicate buildFilter, long now) {
+    public void publish(IntPredicate buildFilter, long now) {
         this.buildFilter = buildFilter;
         List<RemoteAppliance> listed = new ArrayList<>();
         rules.listStarted(true, false);
@@ -88,12 +88,12 @@
     /** Publishes the configured servers again; there is no discovery service to query. */
     @Override
     public void watch() {
-        tell(buildFilter, 0);
+        publish(buildFilter, 0);
     }
 
     @Override
     public void fetch() {
-        tell(buildFilter, 0);
+        publish(buildFilter, 0);
     }
 
     @Override
--- a/src/main/java/honeygap/net/ofrep/EvaluationCall.java
+++ b/src/main/java/honeygap/net/ofrep/EvaluationCall.java
@@ -1,6 +1,6 @@
 package honeygap.net.ofrep;
 
-import honeygap.flags.Shared;
+import honeygap.flags.SharedRequest;
 import honeygap.fleet.Appliance;
 import honeygap.fleet.Pick;
 import honeygap.fleet.Tenant;
@@ -11,16 +11,16 @@
 public final class EvaluationCall extends Call {
 
     private final EvaluationDispatcher dispatcher;
-    final Shared shared;
+    final SharedRequest shared;
 
-    EvaluationCall(String id, Shared shared, Tenant tenant, EvaluationDispatcher dispatcher) {
-        super(id, shared.question.method, tenant, null, shared.takenAt, shared.deadline, 0, false);
+    EvaluationCall(String id, SharedRequest shared, Tenant tenant, EvaluationDispatcher dispatcher) {
+        super(id, shared.query.method, tenant, null, shared.openedAt, shared.deadline, 0, false);
         this.shared = shared;
         this.dispatcher = dispatcher;
     }
 
     public OfrepRequest request() {
-        return (OfrepRequest) shared.question;
+        return (OfrepRequest) shared.query;
     }
 
     @Override
@@ -34,7 +34,7 @@
      * @throws Malformed if the response violates the protocol
      */
     public int responseReceived(Appliance appliance, int status, byte[] body) throws Malformed {
-        boolean isTracking = !request().shareable;
+        boolean isTracking = !request().isShareable;
         int outcome = dispatcher.responseReceived(this, appliance,
                 OfrepJson.parseResponse(status, body, request().flag, isTracking));
         if (outcome == Pick.OK) {
--- a/src/main/java/honeygap/net/ofrep/EvaluationDispatcher.java
+++ b/src/main/java/honeygap/net/ofrep/EvaluationDispatcher.java
@@ -1,11 +1,11 @@
 package honeygap.net.ofrep;
 
 import honeygap.DecisionEngine;
-import honeygap.flags.Answers;
+import honeygap.flags.EvaluationCoordinator;
 import honeygap.flags.Evaluation;
-import honeygap.flags.Limits;
-import honeygap.flags.Served;
-import honeygap.flags.Shared;
+import honeygap.flags.RetryAfterLimits;
+import honeygap.flags.ServerAnswer;
+import honeygap.flags.SharedRequest;
 import honeygap.fleet.Appliance;
 import honeygap.fleet.Tenant;
 import honeygap.net.Counters;
@@ -14,14 +14,14 @@
 import java.util.Map;
 
 /** Connects client evaluations with RPCs to flag servers: executes the decisions of {@code Answers}. */
-public final class EvaluationDispatcher implements Answers.Out, Loop.Stepper, Counters.Group {
+public final class EvaluationDispatcher implements EvaluationCoordinator.DecisionSink, Loop.Stepper, Counters.Group {
 
     private static final int MAX_TENANTS = 10_000;
 
     private final Loop loop;
     private final DecisionEngine rules;
-    private final Answers answers;
-    private final Limits limits;
+    private final EvaluationCoordinator answers;
+    private final RetryAfterLimits limits;
     /**
      * One tenant per flag, so that a flag whose evaluations fail on every build is itself considered faulty, as a
      * tenant may be. The least recently used entry is evicted.
@@ -37,7 +37,7 @@
     private long callCount;
     private long abortedByGuardCount;
 
-    public EvaluationDispatcher(Loop loop, DecisionEngine rules, Answers answers, Limits limits) {
+    public EvaluationDispatcher(Loop loop, DecisionEngine rules, EvaluationCoordinator answers, RetryAfterLimits limits) {
         this.loop = loop;
         this.rules = rules;
         this.answers = answers;
@@ -49,44 +49,44 @@
         evaluation.guard = loop.schedule(evaluation.deadline + 2 * tick, () -> loop.post(() -> {
             if (!evaluation.isEnded()) {
                 abortedByGuardCount++;
-                answers.left(evaluation);
+                answers.clientDisconnected(evaluation);
                 evaluation.abort();
             }
         }));
-        loop.defer(() -> answers.asked(evaluation));
+        loop.defer(() -> answers.evaluationReceived(evaluation));
     }
 
     /** Abandons an evaluation whose client has disconnected or that the shutdown ends. */
     public void abandon(PendingEvaluation evaluation) {
-        loop.defer(() -> answers.left(evaluation));
+        loop.defer(() -> answers.clientDisconnected(evaluation));
     }
 
     /** A server asked for no requests during this many tenths of a millisecond. */
     public void applyRetryAfter(Appliance appliance, long retryAfter) {
-        limits.told(appliance, retryAfter);
+        limits.retryAfterReceived(appliance, retryAfter);
     }
 
     /** When a pushed-back client should retry: not before a server accepts picks again. Tenths of a millisecond. */
     public long suggestedRetryAfter() {
-        return limits.opensIn();
+        return limits.timeUntilAvailable();
     }
 
     void picked(EvaluationCall call, Appliance appliance) {
-        answers.picked(call.shared, rules.isOnTrial(appliance.build));
+        answers.pickStarted(call.shared, rules.isOnTrial(appliance.build));
     }
 
-    int responseReceived(EvaluationCall call, Appliance appliance, Served served) {
-        return answers.served(call.shared, served, rules.isOnTrial(appliance.build));
+    int responseReceived(EvaluationCall call, Appliance appliance, ServerAnswer served) {
+        return answers.answerReceived(call.shared, served, rules.isOnTrial(appliance.build));
     }
 
     void callFailed(EvaluationCall call, boolean isPushedBack, long retryAfter) {
-        loop.defer(() -> answers.givenUp(call.shared, isPushedBack, retryAfter));
+        loop.defer(() -> answers.requestFailed(call.shared, isPushedBack, retryAfter));
     }
 
     @Override
     public void startIteration(long now) {
-        answers.now(now);
-        limits.now(now);
+        answers.setNow(now);
+        limits.setNow(now);
     }
 
     @Override
@@ -95,20 +95,20 @@
     }
 
     @Override
-    public void open(Shared shared) {
-        String flag = shared.question.flag == null ? "" : shared.question.flag;
+    public void openRequest(SharedRequest shared) {
+        String flag = shared.query.flag == null ? "" : shared.query.flag;
         EvaluationCall call = new EvaluationCall("f" + callCount++, shared, tenants.computeIfAbsent(flag, name -> new Tenant()), this);
         shared.rpc = call;
         loop.defer(() -> rules.rpcReceived(call));
     }
 
     @Override
-    public void drop(Shared shared) {
+    public void cancelRequest(SharedRequest shared) {
         loop.defer(() -> rules.clientDisconnected(shared.rpc));
     }
 
     @Override
-    public void answer(Evaluation evaluation, Served served, int origin) {
+    public void answer(Evaluation evaluation, ServerAnswer served, int origin) {
         ((PendingEvaluation) evaluation).answer(served, origin);
     }
 
@@ -124,13 +124,13 @@
 
     @Override
     public void wake(long delay) {
-        loop.schedule(loop.now() + delay, answers::woken);
+        loop.schedule(loop.now() + delay, answers::wakeupFired);
     }
 
     @Override
     public void report(Counters counters) {
         answers.report(counters::count);
-        counters.count("told to stay away", limits.told());
+        counters.count("told to stay away", limits.reportedCount());
         counters.count("rescued", abortedByGuardCount);
     }
 }
--- a/src/main/java/honeygap/net/ofrep/OfrepJson.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepJson.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.core.StreamReadFeature;
-import honeygap.flags.Served;
+import honeygap.flags.ServerAnswer;
 import honeygap.net.http.Refusal;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
@@ -99,16 +99,16 @@
     }
 
     /** Parses a server's response about one flag or, if {@code flag} is null, about all flags. */
-    static Served parseResponse(int status, byte[] body, String flag, boolean isTracking) throws Malformed {
+    static ServerAnswer parseResponse(int status, byte[] body, String flag, boolean isTracking) throws Malformed {
         if (isTracking || status == 401 || status == 403) {
-            return new Served(status, body, Served.NO_VERSION, Served.NO_VERSION, Map.of());
+            return new ServerAnswer(status, body, ServerAnswer.NO_VERSION, ServerAnswer.NO_VERSION, Map.of());
         }
         ResponseSummary summary = new ResponseSummary(flag);
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new Malformed("response is not a JSON object");
             }
-            if (status != Served.GOOD) {
+            if (status != ServerAnswer.STATUS_OK) {
                 summary.readError(in);
             } else if (flag == null) {
                 summary.readAllFlags(in);
@@ -121,15 +121,15 @@
         } catch (IOException e) {
             throw new Malformed("response is not JSON");
         }
-        return new Served(status, body, summary.oldest, summary.newest, summary.kinds);
+        return new ServerAnswer(status, body, summary.oldest, summary.newest, summary.kinds);
     }
 
     /** The versions and value types found in one response. */
     private static final class ResponseSummary {
 
         private final Map<String, Integer> kinds;
-        private long oldest = Served.NO_VERSION;
-        private long newest = Served.NO_VERSION;
+        private long oldest = ServerAnswer.NO_VERSION;
+        private long newest = ServerAnswer.NO_VERSION;
 
         ResponseSummary(String flag) {
             kinds = new HashMap<>(flag == null ? 16 : 2);
@@ -151,7 +151,7 @@
         }
 
         private void addVersion(long version) {
-            oldest = oldest == Served.NO_VERSION ? version : Math.min(oldest, version);
+            oldest = oldest == ServerAnswer.NO_VERSION ? version : Math.min(oldest, version);
             newest = Math.max(newest, version);
         }
 
--- a/src/main/java/honeygap/net/ofrep/OfrepRequest.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepRequest.java
@@ -1,13 +1,13 @@
 package honeygap.net.ofrep;
 
-import honeygap.flags.Question;
+import honeygap.flags.FlagQuery;
 import honeygap.fleet.Method;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /** A question in the form sent to servers: its identity is the whole request without the value of the Host field. */
-public final class OfrepRequest extends Question {
+public final class OfrepRequest extends FlagQuery {
 
     private static final byte[] HEAD_END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
--- a/src/main/java/honeygap/net/servers/FlagServerConnection.java
+++ b/src/main/java/honeygap/net/servers/FlagServerConnection.java
@@ -1,6 +1,6 @@
 package honeygap.net.servers;
 
-import honeygap.flags.Served;
+import honeygap.flags.ServerAnswer;
 import honeygap.fleet.Pick;
 import honeygap.net.GatheringBuffer;
 import honeygap.net.http.ResponseParser;
@@ -155,7 +155,7 @@
 
     /** Status 429 is a push-back: the request has certainly not run. After any other error it may have run. */
     private int outcome(EvaluationCall ask) {
-        boolean isTracking = !ask.request().shareable;
+        boolean isTracking = !ask.request().isShareable;
         boolean isAnswer = status / 100 == 2 && (isTracking || status == 200)
                 || status == 400 || status == 401 || status == 403 || status == 404 && ask.request().flag != null;
         if (!isAnswer) {
--- a/src/main/java/honeygap/read/FlagSheet.java
+++ b/src/main/java/honeygap/read/FlagSheet.java
@@ -1,7 +1,7 @@
 package honeygap.read;
 
 import honeygap.DecisionEngine;
-import honeygap.flags.Allowance;
+import honeygap.flags.FallbackPolicy;
 import honeygap.fleet.Appliance;
 import honeygap.fleet.Method;
 import honeygap.terms.ColdStartSettings;
@@ -36,7 +36,7 @@
     public final int keys;
     public final int cells;
     public final int keptBytes;
-    public final List<Allowance> allowances = new ArrayList<>();
+    public final List<FallbackPolicy> allowances = new ArrayList<>();
     /** The methods by index: evaluate one flag, evaluate all flags, track an event, track an event with a key. */
     public final List<Method> methods;
     /** The static list of servers; empty if servers come from discovery. */
@@ -80,7 +80,7 @@
             if (cachedFor > staleFor) {
                 rule.fault("cachedFor", "a time no longer than staleFor");
             }
-            allowances.add(new Allowance(rule.text("match", null), cachedFor, staleFor));
+            allowances.add(new FallbackPolicy(rule.text("match", null), cachedFor, staleFor));
             rule.end();
         }
         cacheSettings.end();
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/Sites.java
@@ -2,7 +2,7 @@
 
 import honeygap.net.Counters;
 import honeygap.net.LoadSharing;
-import honeygap.net.door.Aside;
+import honeygap.net.door.AsyncHandler;
 import honeygap.net.http.Refusal;
 import honeygap.read.Malformed;
 import honeygap.share.exchange.MessageCodec;
@@ -46,7 +46,7 @@
  * The event loop offers its load figures to a bounded queue and reads published results, so it never waits for a lock
  * in this class. A thread holds at most one lock at a time.
  */
-public final class Sites implements Aside, LoadSharing, Counters.Group, AutoCloseable {
+public final class Sites implements AsyncHandler, LoadSharing, Counters.Group, AutoCloseable {
 
     /** Table names: member announcements, peers suspected by each process, and picks in flight per appliance. */
     private static final String MEMBERS = "members", SUSPECTS = "suspects", LOAD = "load";
@@ -361,17 +361,17 @@
     }
 
     @Override
-    public boolean takes(String path) {
+    public boolean handles(String path) {
         return path.startsWith("/v1/share/");
     }
 
     @Override
-    public int longest() {
+    public int maxBodyBytes() {
         return BODY_SIZE_FACTOR * settings.maxRoundBytes;
     }
 
     @Override
-    public void answer(String method, String path, byte[] body, Reply reply) {
+    public void handle(String method, String path, byte[] body, Reply reply) {
         Runnable task = () -> {
             try {
                 reply.reply(200, handle(method, path, body));
--- a/src/test/java/honeygap/bench/StructuresBench.java
+++ b/src/test/java/honeygap/bench/StructuresBench.java
@@ -1,8 +1,8 @@
 package honeygap.bench;
 
-import honeygap.flags.Kept;
-import honeygap.flags.Question;
-import honeygap.flags.Versions;
+import honeygap.flags.AnswerCache;
+import honeygap.flags.FlagQuery;
+import honeygap.flags.VersionFloors;
 import honeygap.fleet.Method;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -39,11 +39,11 @@
     @Param({"10000", "1000000"})
     public int keys;
 
-    private Versions versions;
+    private VersionFloors versions;
     private Map<Long, Long> plainVersions;
-    private Kept retainedResponses;
-    private Map<Question, byte[]> plainRetainedResponses;
-    private Question[] requests;
+    private AnswerCache retainedResponses;
+    private Map<FlagQuery, byte[]> plainRetainedResponses;
+    private FlagQuery[] requests;
     private final byte[] body = new byte[200];
     private SplittableRandom random;
     private long step;
@@ -62,15 +62,15 @@
     @Setup
     public void fill() {
         random = new SplittableRandom(1);
-        versions = new Versions(keys / 10, keys / 10);
+        versions = new VersionFloors(keys / 10, keys / 10);
         plainVersions = bounded(keys / 10);
-        retainedResponses = new Kept(keys / 10 * 300);
+        retainedResponses = new AnswerCache(keys / 10 * 300);
         plainRetainedResponses = bounded(keys / 10);
         Method method = new Method(0, 0, 0, 0, 1, 1, 1, 0);
-        requests = new Question[keys];
+        requests = new FlagQuery[keys];
         for (int i = 0; i < keys; i++) {
             byte[] identity = ("POST /flags/a {\"targetingKey\":\"" + i + "\"}").getBytes(StandardCharsets.UTF_8);
-            requests[i] = new Question(method, "a", i + 1, identity, i * 0x9e3779b97f4a7c15L, true);
+            requests[i] = new FlagQuery(method, "a", i + 1, identity, i * 0x9e3779b97f4a7c15L, true);
         }
         for (int i = 0; i < keys; i++) {
             versionsUpdate();
@@ -84,7 +84,7 @@
     public long versionsUpdate() {
         long key = 1 + random.nextInt(keys);
         long floor = versions.floor(key);
-        versions.met(key, Math.max(floor, ++step / 1000));
+        versions.raise(key, Math.max(floor, ++step / 1000));
         return floor;
     }
 
@@ -98,7 +98,7 @@
 
     @Benchmark
     public int retainedResponsesPutAndGet() {
-        retainedResponses.keep(requests[random.nextInt(keys)], 1, body, ++step);
+        retainedResponses.put(requests[random.nextInt(keys)], 1, body, ++step);
         return retainedResponses.find(requests[random.nextInt(keys)]);
     }
 
--- a/src/test/java/honeygap/flags/EvaluationCoordinatorTest.java
+++ b/src/test/java/honeygap/flags/EvaluationCoordinatorTest.java
@@ -20,39 +20,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Decisions of {@link Answers} and of the data structures that it uses, on a simulated clock. */
+/** Decisions of {@link EvaluationCoordinator} and of the data structures that it uses, on a simulated clock. */
 class EvaluationCoordinatorTest {
 
     private static final Method METHOD = new Method(0, Method.IDEMPOTENT, 0, 0, 1000, 10_000, 1, 0);
 
     /** Drives a coordinator and records its decisions as text. */
-    private static final class Harness implements Answers.Out {
+    private static final class Harness implements EvaluationCoordinator.DecisionSink {
 
-        final Answers coordinator;
+        final EvaluationCoordinator coordinator;
         final List<String> results = new ArrayList<>();
-        final List<Shared> requests = new ArrayList<>();
+        final List<SharedRequest> requests = new ArrayList<>();
         final Map<Evaluation, String> names = new HashMap<>();
         long now = 100_000;
 
-        Harness(boolean sharing, int keys, Allowance... allowances) {
-            coordinator = new Answers(sharing, 10, List.of(allowances), new Versions(keys, 1024),
-                    new Kept(1 << 16));
-            coordinator.now(now);
+        Harness(boolean sharing, int keys, FallbackPolicy... allowances) {
+            coordinator = new EvaluationCoordinator(sharing, 10, List.of(allowances), new VersionFloors(keys, 1024),
+                    new AnswerCache(1 << 16));
+            coordinator.setNow(now);
         }
 
         Evaluation ask(String name, String flag, long targetingKeyHash, long clientVersion, long timeout) {
             byte[] identity = (flag + targetingKeyHash).getBytes(StandardCharsets.UTF_8);
-            Question question = new Question(METHOD, flag, targetingKeyHash, identity,
+            FlagQuery question = new FlagQuery(METHOD, flag, targetingKeyHash, identity,
                     targetingKeyHash * 31 + flag.hashCode(), true);
             Evaluation evaluation = new Evaluation(question, now, now + timeout, clientVersion);
             names.put(evaluation, name);
-            coordinator.asked(evaluation);
+            coordinator.evaluationReceived(evaluation);
             drainDecisions();
             return evaluation;
         }
 
         Evaluation ask(String name, long targetingKeyHash) {
-            return ask(name, "f", targetingKeyHash, Served.NO_VERSION, 10_000);
+            return ask(name, "f", targetingKeyHash, ServerAnswer.NO_VERSION, 10_000);
         }
 
         int serve(int request, long version, boolean isOnTrial) {
@@ -60,8 +60,8 @@
         }
 
         int serve(int request, int status, long version, int type, boolean isOnTrial) {
-            String flag = requests.get(request).question.flag;
-            int outcome = coordinator.served(requests.get(request), new Served(status,
+            String flag = requests.get(request).query.flag;
+            int outcome = coordinator.answerReceived(requests.get(request), new ServerAnswer(status,
                     ("v" + version).getBytes(StandardCharsets.UTF_8), version, version,
                     status == 200 ? Map.of(flag, type) : Map.of()), isOnTrial);
             drainDecisions();
@@ -69,13 +69,13 @@
         }
 
         void fail(int request, boolean isPushedBack) {
-            coordinator.givenUp(this.requests.get(request), isPushedBack, 500);
+            coordinator.requestFailed(this.requests.get(request), isPushedBack, 500);
             drainDecisions();
         }
 
         void advance(long duration) {
             now += duration;
-            coordinator.now(now);
+            coordinator.setNow(now);
             drainDecisions();
         }
 
@@ -92,15 +92,15 @@
         }
 
         @Override
-        public void open(Shared request) {
+        public void openRequest(SharedRequest request) {
             requests.add(request);
         }
 
         @Override
-        public void answer(Evaluation evaluation, Served answer, int source) {
+        public void answer(Evaluation evaluation, ServerAnswer answer, int source) {
             results.add(names.get(evaluation) + ":"
-                    + (answer.isGood() ? new String(answer.body, StandardCharsets.UTF_8) : answer.status)
-                    + (source == Answers.FRESH ? "" : source == Answers.CACHED ? "cached" : "stale"));
+                    + (answer.isOk() ? new String(answer.body, StandardCharsets.UTF_8) : answer.status)
+                    + (source == EvaluationCoordinator.FRESH ? "" : source == EvaluationCoordinator.CACHED ? "cached" : "stale"));
         }
 
         @Override
@@ -114,7 +114,7 @@
         }
 
         @Override
-        public void drop(Shared request) {
+        public void cancelRequest(SharedRequest request) {
             results.add("drop");
         }
 
@@ -149,9 +149,9 @@
     void sharingEvaluationsEndSeparately() {
         Harness harness = new Harness(true, 64);
         Evaluation a = harness.ask("a", 1);
-        harness.ask("b", "f", 1, Served.NO_VERSION, 300);
+        harness.ask("b", "f", 1, ServerAnswer.NO_VERSION, 300);
         harness.ask("c", 1);
-        harness.coordinator.left(a);
+        harness.coordinator.clientDisconnected(a);
         harness.advance(289);
         assertEquals("", harness.takeResults());
         harness.advance(1);
@@ -163,7 +163,7 @@
         harness.fail(0, true);
         assertEquals("", harness.takeResults());
         Evaluation d = harness.ask("d", 1);
-        harness.coordinator.left(d);
+        harness.coordinator.clientDisconnected(d);
         harness.drainDecisions();
         assertEquals("drop", harness.takeResults());
         assertEquals(0, harness.coordinator.activeEvaluations());
@@ -178,7 +178,7 @@
         harness.ask("a", 1);
         harness.ask("b", 1);
         harness.ask("c", 1);
-        harness.coordinator.picked(harness.requests.get(0), true);
+        harness.coordinator.pickStarted(harness.requests.get(0), true);
         harness.drainDecisions();
         assertEquals(2, harness.requests.size());
         harness.ask("d", 1);
@@ -234,12 +234,12 @@
         "*,9000,5,false,b:v5stale", "f,9001,5,true,b:pushedBack", "g,0,5,true,b:pushedBack", "f,0,6,true,b:pushedBack",
         "f,0,6,false,b:abort", "*e*,0,5,true,b:pushedBack", "*,0,5,true,b:v5cached"})
     void cachedAnswerAfterFailure(String pattern, long age, long keyVersion, boolean isPushedBack, String expected) {
-        Harness harness = new Harness(true, 64, new Allowance(pattern, 3000, 9000));
+        Harness harness = new Harness(true, 64, new FallbackPolicy(pattern, 3000, 9000));
         harness.ask("a", 1);
         harness.serve(0, 5, false);
         if (keyVersion > 5) {
             // The key has been answered from a newer version for another flag; the cached answer of this one is older.
-            harness.ask("x", "x", 1, Served.NO_VERSION, 10_000);
+            harness.ask("x", "x", 1, ServerAnswer.NO_VERSION, 10_000);
             harness.serve(1, keyVersion, false);
         }
         harness.takeResults();
@@ -252,7 +252,7 @@
     /** An evaluation that reaches its deadline without a server's answer uses the cached answer as well. */
     @Test
     void cachedAnswerAtDeadline() {
-        Harness harness = new Harness(true, 64, new Allowance("*", 0, 100_000));
+        Harness harness = new Harness(true, 64, new FallbackPolicy("*", 0, 100_000));
         harness.ask("a", 1);
         harness.serve(0, 5, false);
         harness.ask("b", 1);
@@ -296,7 +296,7 @@
     @ValueSource(ints = {8, 64, 1000})
     void versionFloorNeverDecreases(int capacity) {
         Random random = new Random(capacity);
-        Versions versions = new Versions(capacity, 256);
+        VersionFloors versions = new VersionFloors(capacity, 256);
         Map<Long, Long> reference = new HashMap<>();
         long bytes = versions.memoryBytes();
         int exactCount = 0;
@@ -307,7 +307,7 @@
             assertTrue(floor >= reference.getOrDefault(key, -1L), "seed " + capacity + ", step " + i);
             exactCount += floor == reference.getOrDefault(key, -1L) ? 1 : 0;
             if (version >= floor) {
-                versions.met(key, version);
+                versions.raise(key, version);
                 reference.merge(key, version, Math::max);
             }
         }
@@ -323,13 +323,13 @@
     @ValueSource(ints = {0, 4096, 65_536})
     void cacheMatchesReferenceMap(int capacity) {
         Random random = new Random(capacity);
-        Kept cache = new Kept(capacity);
+        AnswerCache cache = new AnswerCache(capacity);
         Map<String, String> reference = new HashMap<>();
         int foundCount = 0;
         for (int i = 0; i < 20_000; i++) {
             String name = "q" + random.nextInt(100);
             // Few distinct hashes, so that queries collide.
-            Question query = new Question(METHOD, name, 1, name.getBytes(StandardCharsets.UTF_8),
+            FlagQuery query = new FlagQuery(METHOD, name, 1, name.getBytes(StandardCharsets.UTF_8),
                     name.hashCode() % 17, true);
             int position = cache.find(query);
             if (position >= 0) {
@@ -343,7 +343,7 @@
                 if (32 + name.length() + body.length() <= capacity / 16) {
                     reference.put(name, body);
                 }
-                cache.keep(query, body.length(), body.getBytes(StandardCharsets.UTF_8), i);
+                cache.put(query, body.length(), body.getBytes(StandardCharsets.UTF_8), i);
             }
         }
         assertEquals(capacity > 0, foundCount > 0);
@@ -353,8 +353,8 @@
     /** A retry-after delay stops picks to the server, limits its location, and expires. */
     @Test
     void retryAfterLimits() {
-        Limits limits = new Limits(100_000);
-        limits.now(1000);
+        RetryAfterLimits limits = new RetryAfterLimits(100_000);
+        limits.setNow(1000);
         Zone east = new Zone();
         Appliance[] servers = {new Appliance(1), new Appliance(2), new Appliance(3)};
         for (Appliance server : servers) {
@@ -362,19 +362,19 @@
             server.limit.inFlight = 2;
         }
         east.inFlight = 6;
-        limits.told(servers[0], 20_000);
+        limits.retryAfterReceived(servers[0], 20_000);
         assertEquals(21_000, servers[0].retryAfterUntil);
         assertEquals("4 21000", east.maxInFlight + " " + east.limitedUntil);
-        limits.told(servers[1], 5_000);
+        limits.retryAfterReceived(servers[1], 5_000);
         assertEquals("0 6000", east.maxInFlight + " " + east.limitedUntil,
                 "two servers backing off stop the location until the first delay ends");
-        assertEquals(5_000, limits.opensIn());
-        limits.now(7000);
-        assertEquals(14_000, limits.opensIn());
-        limits.told(servers[2], Long.MAX_VALUE);
+        assertEquals(5_000, limits.timeUntilAvailable());
+        limits.setNow(7000);
+        assertEquals(14_000, limits.timeUntilAvailable());
+        limits.retryAfterReceived(servers[2], Long.MAX_VALUE);
         assertEquals(107_000, servers[2].retryAfterUntil, "delays are cut to the maximum");
-        limits.now(200_000);
-        assertEquals(0, limits.opensIn());
+        limits.setNow(200_000);
+        assertEquals(0, limits.timeUntilAvailable());
     }
 
     /** The stages of a local rollout after each vote, and the builds whose servers may be listed. */
@@ -384,31 +384,31 @@
         "1 2,2:1:1,2:0@0,12", "1 2 3,2:0:1,2:0@1,12", "1 2 3,2:0:1 2:1:1,3:0@0,123", "1 2 3,2:0:3,3:0@0,13",
         "1,1:0:3,1:2@0,1", "4,'',4:2@0,4"})
     void localRollout(String builds, String votes, String expectedStatus, String expectedBuilds) {
-        House rollout = new House(new double[] {0.1, 0.5}, -1);
+        LocalRollout rollout = new LocalRollout(new double[] {0.1, 0.5}, -1);
         Set<Integer> available = new java.util.TreeSet<>();
         for (String build : builds.split(" ")) {
             available.add(Integer.parseInt(build));
         }
         String[] lastStatus = {""};
-        House.Out listener = new House.Out() {
+        LocalRollout.Listener listener = new LocalRollout.Listener() {
             @Override
-            public void told(int build, int phase, int stage, double cap, boolean answer, long since) {
+            public void statusChanged(int build, int phase, int stage, double cap, boolean answer, long since) {
                 lastStatus[0] = build + ":" + phase + "@" + stage;
             }
 
             @Override
-            public void list() {
+            public void serversChanged() {
                 lastStatus[0] += "";
             }
         };
-        rollout.listed(available);
+        rollout.setAvailableBuilds(available);
         while (rollout.next(listener)) {
             continue;
         }
         for (String vote : votes.isEmpty() ? new String[0] : votes.split(" ")) {
             String[] parts = vote.split(":");
-            rollout.now(1000);
-            rollout.voted(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]));
+            rollout.setNow(1000);
+            rollout.recordVote(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]));
             while (rollout.next(listener)) {
                 continue;
             }
--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -9,7 +9,7 @@
 import honeygap.net.Agent;
 import honeygap.net.FlagProtocol;
 import honeygap.net.Loop;
-import honeygap.net.door.Door;
+import honeygap.net.door.AdminEndpoint;
 import honeygap.read.FlagSheet;
 import honeygap.read.Fields;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -52,7 +52,7 @@
         final int number;
         int port;
         Agent agent;
-        Door adminEndpoint;
+        AdminEndpoint adminEndpoint;
         int updates;
 
         Instance(int number) throws Exception {
@@ -65,7 +65,7 @@
             FlagProtocol flags = new FlagProtocol(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0','servers':[{'name':'s',"
                     + "'address':'127.0.0.1:9'}]}")), 1);
             agent = new Agent(loop, List.of(flags));
-            adminEndpoint = new Door(loop, agent, "a" + number, folder.resolve("ledger" + number), "open", generation,
+            adminEndpoint = new AdminEndpoint(loop, agent, "a" + number, folder.resolve("ledger" + number), "open", generation,
                     () -> updates++);
             agent.start();
             adminEndpoint.listen(new InetSocketAddress("127.0.0.1", port));
