--- a/src/main/java/honeygap/cli/Manage.java
+++ b/src/main/java/honeygap/cli/Manage.java
@@ -1,6 +1,6 @@
 package honeygap.cli;
 
-import honeygap.manage.host.FleetSheet;
+import honeygap.manage.host.FleetSettings;
 import honeygap.manage.host.Manager;
 import honeygap.read.Malformed;
 import honeygap.read.Template;
@@ -27,7 +27,7 @@
     @Override
     public Integer call() throws InterruptedException {
         try {
-            FleetSheet settings = FleetSheet.of(Template.read(fleetFile));
+            FleetSettings settings = FleetSettings.of(Template.read(fleetFile));
             String token = settings.tokenFile.isEmpty() ? "" : Files.readString(Path.of(settings.tokenFile)).strip();
             Manager manager = new Manager(settings, token);
             Runtime.getRuntime().addShutdownHook(new Thread(manager::close, "leaving"));
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -7,8 +7,8 @@
 import honeygap.net.door.AdminEndpoint;
 import honeygap.read.Malformed;
 import honeygap.read.Template;
-import honeygap.share.host.Sites;
-import honeygap.share.host.SitesSheet;
+import honeygap.share.host.TableReplicator;
+import honeygap.share.host.ReplicationSettings;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
@@ -82,7 +82,7 @@
             agent.addCounters("recording", recorder);
         }
         AdminEndpoint adminEndpoint = null;
-        Sites sites = null;
+        TableReplicator sites = null;
         if (adminAddress != null) {
             String token = adminTokenFile == null ? "" : Files.readString(adminTokenFile).strip();
             String name = agentSettings() != null && agentSettings().has("name") ? agentSettings().text("name")
@@ -95,7 +95,7 @@
             agent.addCounters("door", adminEndpoint);
             if (sitesFile != null) {
                 // A restart supersedes earlier runs by the clock; the other members detect a clock that went back.
-                sites = new Sites(SitesSheet.of(Template.read(sitesFile), name), System.currentTimeMillis(), token);
+                sites = new TableReplicator(ReplicationSettings.of(Template.read(sitesFile), name), System.currentTimeMillis(), token);
                 adminEndpoint.asyncHandler(sites);
                 agent.addCounters("sites", sites);
             }
--- a/src/main/java/honeygap/manage/Ledger.java
+++ b/src/main/java/honeygap/manage/Ledger.java
@@ -7,8 +7,8 @@
 /**
  * The commands that an agent has executed or refused in advance. Decides whether a command is executed, was executed
  * before, or comes too late. A command is identified by its id, ordered by its number, and addressed to one
- * generation of the agent. The class does no I/O: the host makes the entries of {@link #applied} durable before it
- * answers, and reloads them with {@link #restored}. Memory is bounded: the oldest entry is evicted first, and
+ * generation of the agent. The class does no I/O: the host makes the entries of {@link #recordApplied} durable before it
+ * answers, and reloads them with {@link #restore}. Memory is bounded: the oldest entry is evicted first, and
  * commands that are not newer than the evicted ones are refused.
  */
 public final class Ledger {
@@ -50,12 +50,12 @@
     }
 
     /** Restores an entry of an earlier process; call in the order in which the entries were made. */
-    public void restored(Entry entry) {
+    public void restore(Entry entry) {
         add(entry);
     }
 
     /** Decides whether a command is to be executed; a generation of 0 matches any. */
-    public Answer asked(String id, long number, long forGeneration) {
+    public Answer decide(String id, long number, long forGeneration) {
         Entry entry = entries.get(id);
         if (entry != null) {
             return entry.outcome.equals(CALLED_OFF) ? Answer.TOO_LATE : Answer.ALREADY;
@@ -70,7 +70,7 @@
     public static final String CALLED_OFF = "called off";
 
     /** Records that a command was executed. */
-    public Entry applied(String id, long number, String action, String outcome) {
+    public Entry recordApplied(String id, long number, String action, String outcome) {
         Entry entry = new Entry(id, number, action, outcome);
         add(entry);
         return entry;
@@ -80,9 +80,9 @@
      * Fences off a command that may still arrive, so that it will not be executed. If it already was, returns its
      * entry.
      */
-    public Entry calledOff(String id, long number) {
+    public Entry callOff(String id, long number) {
         Entry entry = entries.get(id);
-        return entry != null ? entry : applied(id, number, "", CALLED_OFF);
+        return entry != null ? entry : recordApplied(id, number, "", CALLED_OFF);
     }
 
     private void add(Entry entry) {
--- a/src/main/java/honeygap/manage/host/FleetSheet.java
+++ b/src/main/java/honeygap/manage/host/FleetSettings.java
@@ -14,7 +14,7 @@
  * Settings of the managed agents, as read from the operator's file; docs/manage.md describes each field. Times are in
  * units of 0.1 ms.
  */
-public final class FleetSheet {
+public final class FleetSettings {
 
     /** An agent: the address of its admin endpoint, and labels for selectors. */
     public record Instance(String name, InetSocketAddress adminEndpoint, Map<String, String> labels) { }
@@ -26,7 +26,7 @@
     public final long answerTimeout;
     public final List<Instance> instances = new ArrayList<>();
 
-    private FleetSheet(Sheet input) {
+    private FleetSettings(Sheet input) {
         listen = input.address("listen");
         storeFile = Path.of(input.text("store", null) + "");
         tokenFile = input.text("tokenFile", "");
@@ -48,9 +48,9 @@
     }
 
     /** Reads all settings; reports all errors together, one per line. */
-    public static FleetSheet of(Fields fields) throws Malformed {
+    public static FleetSettings of(Fields fields) throws Malformed {
         Sheet input = new Sheet(fields);
-        FleetSheet settings = new FleetSheet(input);
+        FleetSettings settings = new FleetSettings(input);
         if (!input.noted().isEmpty()) {
             throw new Malformed(String.join("\n", input.noted()));
         }
--- a/src/main/java/honeygap/manage/host/Manager.java
+++ b/src/main/java/honeygap/manage/host/Manager.java
@@ -53,7 +53,7 @@
         String fault = "unheard";
     }
 
-    private final FleetSheet settings;
+    private final FleetSettings settings;
     private final String token;
     private final OperationStore store;
     /** Wall clock at the start, and the monotonic clock at the same time, from which all later times are derived. */
@@ -72,7 +72,7 @@
     });
 
     /** The token authorizes calls to the agents' admin endpoints and to this manager; it may be empty on loopback. */
-    public Manager(FleetSheet settings, String token) throws IOException, Malformed {
+    public Manager(FleetSettings settings, String token) throws IOException, Malformed {
         this.settings = settings;
         this.token = token;
         if (token.isEmpty() && !settings.listen.getAddress().isLoopbackAddress()) {
@@ -96,7 +96,7 @@
             return thread;
         }));
         server.createContext("/v1/", this::handleRequest);
-        for (FleetSheet.Instance instance : settings.instances) {
+        for (FleetSettings.Instance instance : settings.instances) {
             membership.join(instance.name());
             reports.put(instance.name(), new AgentReport());
         }
@@ -144,7 +144,7 @@
         scheduler.setNow(now);
     }
 
-    private FleetSheet.Instance instance(String name) {
+    private FleetSettings.Instance instance(String name) {
         return settings.instances.stream().filter(instance -> instance.name().equals(name)).findFirst().orElseThrow();
     }
 
@@ -190,7 +190,7 @@
 
     private void poll() {
         updateClock();
-        for (FleetSheet.Instance instance : settings.instances) {
+        for (FleetSettings.Instance instance : settings.instances) {
             call(instance.name(), "GET", "/v1/inspect", "", (status, inspection) -> {
                 AgentReport report = reports.get(instance.name());
                 try {
@@ -413,7 +413,7 @@
             out.writeStartObject();
             out.writeBooleanField("cutOff", membership.isCutOff());
             out.writeArrayFieldStart("instances");
-            for (FleetSheet.Instance instance : settings.instances) {
+            for (FleetSettings.Instance instance : settings.instances) {
                 Membership.Member member = membership.member(instance.name());
                 AgentReport report = reports.get(instance.name());
                 out.writeStartObject();
--- a/src/main/java/honeygap/net/door/AdminEndpoint.java
+++ b/src/main/java/honeygap/net/door/AdminEndpoint.java
@@ -168,7 +168,7 @@
                 if (ledger.entry(id) == null) {
                     ledgerFile.append(new Ledger.Entry(id, number, "", Ledger.CALLED_OFF));
                 }
-                return outcomeOf(ledger.calledOff(id, number));
+                return outcomeOf(ledger.callOff(id, number));
             default:
                 throw new Refusal(404, "other path", "nothing is here");
         }
@@ -234,12 +234,12 @@
         long number = number(request, "number");
         String action = text(request, "action");
         Runnable effect = effect(action, text(request, "argument"));
-        Ledger.Answer answer = ledger.asked(id, number, number(request, "generation"));
+        Ledger.Answer answer = ledger.decide(id, number, number(request, "generation"));
         if (answer == Ledger.Answer.APPLY) {
             appliedCommands++;
             // Made durable first: if that fails, the command is neither carried out nor remembered.
             ledgerFile.append(new Ledger.Entry(id, number, action, "done"));
-            ledger.applied(id, number, action, "done");
+            ledger.recordApplied(id, number, action, "done");
             effect.run();
             Logger.info("command {} ({}): {}", action, id, "done");
         }
--- a/src/main/java/honeygap/net/door/LedgerFile.java
+++ b/src/main/java/honeygap/net/door/LedgerFile.java
@@ -120,7 +120,7 @@
         }
         try (JsonParser parser = new JsonFactory().createParser(line)) {
             Fields fields = Fields.document(parser);
-            ledger.restored(new Ledger.Entry(fields.text("id"), fields.whole("number"), fields.text("action"),
+            ledger.restore(new Ledger.Entry(fields.text("id"), fields.whole("number"), fields.text("action"),
                     fields.text("outcome")));
         } catch (Malformed | IOException e) {
             if (!isLast) {
--- a/src/main/java/honeygap/share/host/SitesSheet.java
+++ b/src/main/java/honeygap/share/host/ReplicationSettings.java
@@ -12,7 +12,7 @@
  * Settings of the sites whose processes share tables, as read from the operator's file; docs/sites.md describes each
  * field. Times are in units of 0.1 ms.
  */
-public final class SitesSheet {
+public final class ReplicationSettings {
 
     private static final int MAX_TEXT_LENGTH = 200;
 
@@ -35,7 +35,7 @@
     /** Maximum number of picks in flight that one process may report for one appliance. */
     public final double maxInFlight;
 
-    private SitesSheet(Sheet input, String defaultName) {
+    private ReplicationSettings(Sheet input, String defaultName) {
         name = input.text("name", defaultName);
         site = input.text("site", null);
         advertise = input.has("advertise") ? input.address("advertise") : null;
@@ -64,9 +64,9 @@
     }
 
     /** Reads all settings; reports all errors together, one per line. */
-    public static SitesSheet of(Fields fields, String defaultName) throws Malformed {
+    public static ReplicationSettings of(Fields fields, String defaultName) throws Malformed {
         Sheet input = new Sheet(fields);
-        SitesSheet settings = new SitesSheet(input, defaultName);
+        ReplicationSettings settings = new ReplicationSettings(input, defaultName);
         if (!input.noted().isEmpty()) {
             throw new Malformed(String.join("\n", input.noted()));
         }
--- a/src/main/java/honeygap/share/host/Sites.java
+++ b/src/main/java/honeygap/share/host/TableReplicator.java
@@ -46,7 +46,7 @@
  * The event loop offers its load figures to a bounded queue and reads published results, so it never waits for a lock
  * in this class. A thread holds at most one lock at a time.
  */
-public final class Sites implements AsyncHandler, LoadSharing, Counters.Group, AutoCloseable {
+public final class TableReplicator implements AsyncHandler, LoadSharing, Counters.Group, AutoCloseable {
 
     /** Table names: member announcements, peers suspected by each process, and picks in flight per appliance. */
     private static final String MEMBERS = "members", SUSPECTS = "suspects", LOAD = "load";
@@ -58,7 +58,7 @@
     /** Bodies may be this many times the bytes per round: digests can be as large as the entries. */
     private static final int BODY_SIZE_FACTOR = 4;
 
-    private final SitesSheet settings;
+    private final ReplicationSettings settings;
     private final ProcessIdentity identity;
     private final LockMonitor lockMonitor = new LockMonitor(MAX_LOCK_HOLD_NS);
     private final RankedLock membersLock = new RankedLock(Rank.MEMBERS, lockMonitor);
@@ -86,7 +86,7 @@
      * The generation distinguishes this process from earlier processes of the same name. The token authorizes calls
      * to the admin endpoints of other processes and may be empty.
      */
-    public Sites(SitesSheet settings, long generation, String token) {
+    public TableReplicator(ReplicationSettings settings, long generation, String token) {
         this.settings = settings;
         identity = new ProcessIdentity(settings.name, generation);
         long now = monotonicTime();
@@ -101,7 +101,7 @@
             limitsByKind.put(kind, new WorkLimits(Math.max(1, settings.workerThreads - 1), 2 * settings.workerThreads,
                     settings.roundInterval, 2 * settings.roundInterval));
         }
-        workerPool = new WorkerPool(settings.workerThreads, limitsByKind, Sites::monotonicTime, lockMonitor);
+        workerPool = new WorkerPool(settings.workerThreads, limitsByKind, TableReplicator::monotonicTime, lockMonitor);
         peerClient = new PeerClient(token, settings.answerTimeout, BODY_SIZE_FACTOR * settings.maxRoundBytes,
                 settings.proxy);
     }
--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.manage.host.FleetSheet;
+import honeygap.manage.host.FleetSettings;
 import honeygap.manage.host.Manager;
 import honeygap.manage.host.Selector;
 import honeygap.net.Agent;
@@ -113,7 +113,7 @@
                     .append("','labels':{'location':'").append(instance.number % 2 == 0 ? "east" : "west")
                     .append("','build':").append(40 + instance.number).append("}}");
         }
-        manager = new Manager(FleetSheet.of(fields("{'listen':'127.0.0.1:0','store':'" + folder.resolve("store")
+        manager = new Manager(FleetSettings.of(fields("{'listen':'127.0.0.1:0','store':'" + folder.resolve("store")
                 + "','every':'100ms','answerWithin':'500ms','instances':[" + instancesJson + "]}")), "open");
         manager.start();
     }
--- a/src/test/java/honeygap/manage/ModelTest.java
+++ b/src/test/java/honeygap/manage/ModelTest.java
@@ -42,13 +42,13 @@
         for (String command : commands.split(" ")) {
             String[] parts = command.split("/");
             if (command.startsWith("-")) {
-                ledger.calledOff(parts[0].substring(1), Long.parseLong(parts[1]));
+                ledger.callOff(parts[0].substring(1), Long.parseLong(parts[1]));
                 continue;
             }
-            Ledger.Answer answer = ledger.asked(parts[0], Long.parseLong(parts[1]), Long.parseLong(parts[2]));
+            Ledger.Answer answer = ledger.decide(parts[0], Long.parseLong(parts[1]), Long.parseLong(parts[2]));
             actual.append(actual.length() > 0 ? " " : "").append(answer);
             if (answer == Ledger.Answer.APPLY) {
-                ledger.applied(parts[0], Long.parseLong(parts[1]), "drain", "drained");
+                ledger.recordApplied(parts[0], Long.parseLong(parts[1]), "drain", "drained");
             }
         }
         assertEquals(expected, actual.toString());
@@ -128,7 +128,7 @@
 
         void start(long generation) {
             ledger = new Ledger(50, generation);
-            disk.forEach(ledger::restored);
+            disk.forEach(ledger::restore);
             isDrained = false;
             isUp = true;
         }
@@ -265,11 +265,11 @@
             if (!instance.isUp || instance.isStopped) {
                 return;
             }
-            Ledger.Answer answer = instance.ledger.asked(id, fence, generation);
+            Ledger.Answer answer = instance.ledger.decide(id, fence, generation);
             if (answer == Ledger.Answer.APPLY) {
                 instance.appliedCounts.merge(id, 1, Integer::sum);
                 instance.isDrained = operation.action.equals("drain");
-                instance.disk.add(instance.ledger.applied(id, fence, operation.action, "done"));
+                instance.disk.add(instance.ledger.recordApplied(id, fence, operation.action, "done"));
                 checkDrainedLimit();
                 if (!isCalm && random.nextInt(25) == 0) {
                     // The instance crashes after it applied the command and before it answers.
@@ -303,7 +303,7 @@
                 }
                 Ledger.Entry found = instance.ledger.entry(operation.id);
                 if (isCallOff && found == null) {
-                    found = instance.ledger.calledOff(operation.id, operation.number);
+                    found = instance.ledger.callOff(operation.id, operation.number);
                     instance.disk.add(found);
                 }
                 Ledger.Entry entry = found;
