--- a/src/main/java/honeygap/capture/query/Filter.java
+++ b/src/main/java/honeygap/capture/query/Filter.java
@@ -1,7 +1,7 @@
 package honeygap.capture.query;
 
 import honeygap.capture.message.Spoken;
-import honeygap.read.Signs;
+import honeygap.read.ComparisonOperators;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
@@ -171,7 +171,7 @@
                 }
                 String expected = unquote(token);
                 Function<Spoken, String> text = TEXT_FIELDS.get(name);
-                return rpc -> Signs.holds(operator, text.apply(rpc).compareTo(expected));
+                return rpc -> ComparisonOperators.matches(operator, text.apply(rpc).compareTo(expected));
             }
             boolean isTime = TIME_FIELDS.containsKey(name);
             ToDoubleFunction<Spoken> number = isTime ? TIME_FIELDS.get(name) : NUMBER_FIELDS.get(name);
@@ -181,7 +181,7 @@
             double expected = parseNumber(token, isText, name, isTime);
             // An RPC without a response has no duration and matches no comparison.
             return rpc -> !(isTime && number.applyAsDouble(rpc) < 0)
-                    && Signs.holds(operator, Double.compare(number.applyAsDouble(rpc), expected));
+                    && ComparisonOperators.matches(operator, Double.compare(number.applyAsDouble(rpc), expected));
         }
 
         private static double parseNumber(Token token, boolean isText, String name, boolean isTime) {
--- a/src/main/java/honeygap/cli/Check.java
+++ b/src/main/java/honeygap/cli/Check.java
@@ -1,8 +1,8 @@
 package honeygap.cli;
 
 import honeygap.net.Agent;
-import honeygap.read.Fields;
-import honeygap.read.FlagSheet;
+import honeygap.read.JsonObject;
+import honeygap.read.FlagSettings;
 import honeygap.read.Malformed;
 import java.io.PrintWriter;
 import picocli.CommandLine;
@@ -21,22 +21,22 @@
         }
     }
 
-    private static void printAgentSettings(Fields settings, PrintWriter out) throws Malformed {
+    private static void printAgentSettings(JsonObject settings, PrintWriter out) throws Malformed {
         out.println("listens on " + settings.text("listen") + ", list at " + settings.text("discovery") + ", desk at "
                 + settings.object("rollouts").text("address"));
-        for (Fields method : settings.object("settings").objects("Classes")) {
+        for (JsonObject method : settings.object("settings").objects("Classes")) {
             out.println("method " + method.text("Name") + ": " + method.text("Effect"));
         }
         int applianceCount = settings.has("known") ? settings.object("known").objects("endpoints").size() : 0;
         out.println("starts with " + applianceCount + " appliances known");
     }
 
-    private static void printFlagSettings(FlagSheet settings, PrintWriter out) {
-        out.println("answers flags on " + settings.listen + ", " + (settings.list != null ? "servers listed at "
-                + settings.list : settings.servers.size() + " static servers"));
-        out.println("votes " + (settings.desk != null ? "at the desk at " + settings.desk : "locally, through stages with"
+    private static void printFlagSettings(FlagSettings settings, PrintWriter out) {
+        out.println("answers flags on " + settings.listen + ", " + (settings.listAddress != null ? "servers listed at "
+                + settings.listAddress : settings.servers.size() + " static servers"));
+        out.println("votes " + (settings.deskAddress != null ? "at the desk at " + settings.deskAddress : "locally, through stages with"
                 + " caps " + java.util.Arrays.toString(settings.caps)));
-        settings.allowances.forEach(rule -> out.println("caching of answers for flags " + rule.flagPattern() + ": fresh for "
+        settings.cacheRules.forEach(rule -> out.println("caching of answers for flags " + rule.flagPattern() + ": fresh for "
                 + rule.cachedFor() / 10 + " ms, stale for " + rule.staleFor() / 10 + " ms"));
     }
 }
--- a/src/main/java/honeygap/cli/Configured.java
+++ b/src/main/java/honeygap/cli/Configured.java
@@ -9,8 +9,8 @@
 import honeygap.net.Loop;
 import honeygap.net.Protocol;
 import honeygap.net.PostgresProtocol;
-import honeygap.read.Fields;
-import honeygap.read.FlagSheet;
+import honeygap.read.JsonObject;
+import honeygap.read.FlagSettings;
 import honeygap.read.Malformed;
 import honeygap.read.Template;
 import java.io.IOException;
@@ -52,8 +52,8 @@
     private PrintWriter directOut, directErr;
 
     private final List<Agent.Source> sources = new ArrayList<>();
-    private Fields agentSettings;
-    private FlagSheet flagSettings;
+    private JsonObject agentSettings;
+    private FlagSettings flagSettings;
 
     /** Configures the command without picocli: the settings file, which may be null, and the output streams. */
     final Configured withoutCommandLine(String file, PrintWriter out, PrintWriter err) {
@@ -94,13 +94,13 @@
             }
             file = flags;
             if (flags != null) {
-                flagSettings = FlagSheet.of(Template.read(flags));
+                flagSettings = FlagSettings.parse(Template.read(flags));
                 if (config == null && !flagSettings.name.isEmpty()) {
                     EventLog.setAgent(flagSettings.name);
                 }
                 FlagProtocol protocol = new FlagProtocol(loop, flagSettings, new SecureRandom().nextLong());
                 protocols.add(protocol);
-                sources.add(() -> protocol.reload(FlagSheet.of(Template.read(flags))));
+                sources.add(() -> protocol.reload(FlagSettings.parse(Template.read(flags))));
             }
             run(new Agent(loop, protocols), spec == null ? directOut : spec.commandLine().getOut());
             return 0;
@@ -133,18 +133,18 @@
     }
 
     /** The agent's startup settings; null if it serves flags only. */
-    final Fields agentSettings() {
+    final JsonObject agentSettings() {
         return agentSettings;
     }
 
     /** The flag settings; null if the agent serves no flags. */
-    final FlagSheet flagSettings() {
+    final FlagSettings flagSettings() {
         return flagSettings;
     }
 
-    private Fields readConfig() throws IOException, Malformed {
+    private JsonObject readConfig() throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(config))) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         }
     }
 }
--- a/src/main/java/honeygap/cli/Fleet.java
+++ b/src/main/java/honeygap/cli/Fleet.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import honeygap.manage.host.Selector;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -102,14 +102,14 @@
             return response.body();
         }
 
-        static Fields parse(String json) throws IOException, Malformed {
+        static JsonObject parse(String json) throws IOException, Malformed {
             try (JsonParser parser = new JsonFactory().createParser(json)) {
-                return Fields.document(parser);
+                return JsonObject.parse(parser);
             }
         }
 
-        final Fields parseResponse(String json) throws IOException, Malformed {
-            Fields response = parse(json);
+        final JsonObject parseResponse(String json) throws IOException, Malformed {
+            JsonObject response = parse(json);
             if (status >= 400 && response.has("error")) {
                 throw new Malformed(response.text("error"));
             }
@@ -133,14 +133,14 @@
             }
         }
 
-        static void printOperation(PrintWriter out, Fields operation) throws Malformed {
-            out.println("operation " + operation.text("id") + " (number " + operation.whole("number") + "): "
+        static void printOperation(PrintWriter out, JsonObject operation) throws Malformed {
+            out.println("operation " + operation.text("id") + " (number " + operation.longValue("number") + "): "
                     + operation.text("action") + ", " + operation.text("state"));
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"INSTANCE", "STATE", "GENERATION", "TRIES", "WORD"});
-            for (Fields step : operation.objects("steps")) {
+            for (JsonObject step : operation.objects("steps")) {
                 rows.add(new String[] {step.text("instance"), step.text("state"), step.text("generation"),
-                    Long.toString(step.whole("tries")), step.text("word")});
+                    Long.toString(step.longValue("tries")), step.text("word")});
             }
             printTable(out, rows);
         }
@@ -158,7 +158,7 @@
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
             Predicate<Map<String, String>> selected = Selector.of(selector);
             String response = send("GET", "/v1/fleet", "");
-            Fields fleet = parseResponse(response);
+            JsonObject fleet = parseResponse(response);
             if (json) {
                 out.println(response);
                 return 0;
@@ -166,24 +166,24 @@
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"NAME", "STANDING", "DRAINED", "CLIENTS", "AGE", "RESTARTS", "GENERATION", "FAULT"});
             boolean allAlive = true;
-            for (Fields instance : fleet.objects("instances")) {
+            for (JsonObject instance : fleet.objects("instances")) {
                 if (selected.test(labels(instance))) {
                     allAlive &= instance.text("standing").equals("ALIVE");
-                    rows.add(new String[] {instance.text("name"), instance.text("standing"), instance.flag("drained") ? "yes" : "no",
-                        Long.toString(instance.whole("clients")), instance.whole("ageMs") + "ms",
-                        Long.toString(instance.whole("restarts")), instance.text("generation"), instance.text("fault")});
+                    rows.add(new String[] {instance.text("name"), instance.text("standing"), instance.bool("drained") ? "yes" : "no",
+                        Long.toString(instance.longValue("clients")), instance.longValue("ageMs") + "ms",
+                        Long.toString(instance.longValue("restarts")), instance.text("generation"), instance.text("fault")});
                 }
             }
-            if (fleet.flag("cutOff")) {
+            if (fleet.bool("cutOff")) {
                 out.println("the manager receives reports from too few agents to judge any: it may be partitioned from the network itself");
             }
             printTable(out, rows);
             return allAlive ? 0 : EXIT_NOT_DONE;
         }
 
-        static Map<String, String> labels(Fields instance) throws Malformed {
+        static Map<String, String> labels(JsonObject instance) throws Malformed {
             Map<String, String> labels = new HashMap<>();
-            Fields labelObject = instance.object("labels");
+            JsonObject labelObject = instance.object("labels");
             for (String name : labelObject.names()) {
                 labels.put(name, labelObject.text(name));
             }
@@ -230,7 +230,7 @@
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
             Predicate<Map<String, String>> selected = Selector.of(selector);
             List<String> names = new ArrayList<>();
-            for (Fields instance : parseResponse(send("GET", "/v1/fleet", "")).objects("instances")) {
+            for (JsonObject instance : parseResponse(send("GET", "/v1/fleet", "")).objects("instances")) {
                 if (selected.test(ListAgents.labels(instance))) {
                     names.add(instance.text("name"));
                 }
@@ -246,8 +246,8 @@
                     .quoteAsString(id == null ? UUID.randomUUID().toString() : id)) + "\",\"action\":\"" + action()
                     + "\",\"argument\":\"\",\"instances\":\"" + String.join(",", names) + "\",\"atOnce\":" + atOnce
                     + ",\"failuresToPause\":" + failures + ",\"withinMs\":" + 1000L * within + ",\"again\":" + again + "}");
-            Fields submitted = parseResponse(submitResponse);
-            Fields operation = submitted.object("operation");
+            JsonObject submitted = parseResponse(submitResponse);
+            JsonObject operation = submitted.object("operation");
             switch (submitted.text("taken")) {
                 case "BUSY":
                     spec.commandLine().getErr().println(spec.name() + ": operation " + operation.text("id") + " ("
@@ -277,15 +277,15 @@
             return operation.text("state").equals("DONE") ? 0 : EXIT_NOT_DONE;
         }
 
-        private static long finishedSteps(Fields operation) throws Malformed {
+        private static long finishedSteps(JsonObject operation) throws Malformed {
             long finished = 0;
-            for (Fields step : operation.objects("steps")) {
+            for (JsonObject step : operation.objects("steps")) {
                 finished += List.of("APPLIED", "NOT_APPLIED").contains(step.text("state")) ? 1 : 0;
             }
             return finished;
         }
 
-        private static boolean isRunning(Fields operation) throws Malformed {
+        private static boolean isRunning(JsonObject operation) throws Malformed {
             return List.of("RUNNING", "CANCELLING").contains(operation.text("state"));
         }
     }
@@ -330,7 +330,7 @@
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
             String response = send(pathSuffix().isEmpty() ? "GET" : "POST", "/v1/operations/" + id + pathSuffix(), "");
-            Fields operation = parseResponse(response);
+            JsonObject operation = parseResponse(response);
             if (json) {
                 out.println(response);
             } else {
@@ -376,15 +376,15 @@
         @Override
         int run(PrintWriter out) throws IOException, Malformed, InterruptedException {
             String response = send("GET", "/v1/operations", "");
-            Fields history = parseResponse(response);
+            JsonObject history = parseResponse(response);
             if (json) {
                 out.println(response);
                 return 0;
             }
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"NUMBER", "ACTION", "STATE", "INSTANCES", "ID"});
-            for (Fields operation : history.objects("operations")) {
-                rows.add(new String[] {Long.toString(operation.whole("number")), operation.text("action"), operation.text("state"),
+            for (JsonObject operation : history.objects("operations")) {
+                rows.add(new String[] {Long.toString(operation.longValue("number")), operation.text("action"), operation.text("state"),
                     Integer.toString(operation.objects("steps").size()), operation.text("id")});
             }
             printTable(out, rows);
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -6,7 +6,7 @@
 import honeygap.net.Loop;
 import honeygap.net.PostgresProtocol;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import honeygap.standin.StoreServer;
 import java.io.IOException;
@@ -85,7 +85,7 @@
         return loaded;
     }
 
-    private static Fields agentSettings(int port) throws IOException, Malformed {
+    private static JsonObject agentSettings(int port) throws IOException, Malformed {
         String json = """
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256},
                  "rollouts": {"address": "127.0.0.1:1", "news": {"Revision": 2, "Wave": 0, "State": "Progressing",
@@ -98,7 +98,7 @@
                   "Rules": {"MustAskInNs": 10000000000}, "FamilyInfo": {"GateMode": "by_count"}}}
                 """.formatted(port);
         try (JsonParser parser = new JsonFactory().createParser(json)) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         }
     }
 }
--- a/src/main/java/honeygap/cli/Standin.java
+++ b/src/main/java/honeygap/cli/Standin.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import honeygap.read.Template;
 import honeygap.standin.FlagServer;
@@ -62,13 +62,13 @@
             return 0;
         }
 
-        private Fields readFlags() throws IOException, Malformed {
+        private JsonObject readFlags() throws IOException, Malformed {
             if (flags != null) {
                 return Template.read(flags);
             }
             try (InputStream in = Standin.class.getResourceAsStream("/flags.json");
                     JsonParser parser = new JsonFactory().createParser(in)) {
-                return Fields.document(parser);
+                return JsonObject.parse(parser);
             }
         }
     }
--- a/src/main/java/honeygap/manage/host/FleetSettings.java
+++ b/src/main/java/honeygap/manage/host/FleetSettings.java
@@ -1,8 +1,8 @@
 package honeygap.manage.host;
 
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
-import honeygap.read.Sheet;
+import honeygap.read.SettingsReader;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -26,33 +26,33 @@
     public final long answerTimeout;
     public final List<Instance> instances = new ArrayList<>();
 
-    private FleetSettings(Sheet input) {
+    private FleetSettings(SettingsReader input) {
         listen = input.address("listen");
         storeFile = Path.of(input.text("store", null) + "");
         tokenFile = input.text("tokenFile", "");
         pollInterval = input.duration("every", "1s");
         answerTimeout = input.duration("answerWithin", "1.5s");
-        for (Sheet entry : input.parts("instances")) {
+        for (SettingsReader entry : input.sections("instances")) {
             Map<String, String> labels = new LinkedHashMap<>();
             String name = entry.text("name", null);
             InetSocketAddress adminEndpoint = entry.address("door");
-            entry.part("labels").each(labels::put);
+            entry.section("labels").forEachField(labels::put);
             if (instances.stream().anyMatch(other -> other.name.equals(name))) {
-                entry.fault("name", "a unique name");
+                entry.reportExpected("name", "a unique name");
             }
             labels.put("name", name);
             instances.add(new Instance(name, adminEndpoint, labels));
-            entry.end();
+            entry.rejectUnknownFields();
         }
-        input.end();
+        input.rejectUnknownFields();
     }
 
     /** Reads all settings; reports all errors together, one per line. */
-    public static FleetSettings of(Fields fields) throws Malformed {
-        Sheet input = new Sheet(fields);
+    public static FleetSettings of(JsonObject fields) throws Malformed {
+        SettingsReader input = new SettingsReader(fields);
         FleetSettings settings = new FleetSettings(input);
-        if (!input.noted().isEmpty()) {
-            throw new Malformed(String.join("\n", input.noted()));
+        if (!input.errors().isEmpty()) {
+            throw new Malformed(String.join("\n", input.errors()));
         }
         return settings;
     }
--- a/src/main/java/honeygap/manage/host/Manager.java
+++ b/src/main/java/honeygap/manage/host/Manager.java
@@ -10,7 +10,7 @@
 import honeygap.manage.Operation;
 import honeygap.manage.OperationScheduler;
 import honeygap.manage.Step;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -48,7 +48,7 @@
 
     /** Latest report of an agent, and the latest failure to get one. */
     private static final class AgentReport {
-        Fields inspection;
+        JsonObject inspection;
         long receivedAtMs;
         String fault = "unheard";
     }
@@ -150,7 +150,7 @@
 
     private interface ResponseHandler {
 
-        void handle(int status, Fields response);
+        void handle(int status, JsonObject response);
     }
 
     /**
@@ -178,7 +178,7 @@
                         (cause instanceof ConnectException ? onUnreachable : onNoAnswer).run();
                     } else {
                         try (JsonParser parser = new JsonFactory().createParser(response.body())) {
-                            handler.handle(response.statusCode(), Fields.document(parser));
+                            handler.handle(response.statusCode(), JsonObject.parse(parser));
                         } catch (IOException | Malformed e) {
                             reports.get(name).fault = "malformed response";
                             onNoAnswer.run();
@@ -204,7 +204,7 @@
                     if (membership.recordHeartbeat(instance.name(), Long.parseLong(inspection.text("generation")))) {
                         Logger.info("instance {} is now a different process", instance.name());
                     }
-                    scheduler.setDrained(instance.name(), inspection.flag("drained"));
+                    scheduler.setDrained(instance.name(), inspection.bool("drained"));
                 } catch (Malformed | NumberFormatException e) {
                     report.fault = "unexpected response: " + e.getMessage();
                 }
@@ -258,7 +258,7 @@
                 }, () -> scheduler.onUnreachable(operation, step), () -> scheduler.onNoAnswer(operation, step));
     }
 
-    private static String textOrEmpty(Fields response, String name) {
+    private static String textOrEmpty(JsonObject response, String name) {
         try {
             return response.text(name, "");
         } catch (Malformed e) {
@@ -361,9 +361,9 @@
     }
 
     private Answer createOperation(byte[] body) throws IOException, Malformed {
-        Fields request;
+        JsonObject request;
         try (JsonParser parser = new JsonFactory().createParser(body)) {
-            request = Fields.document(parser);
+            request = JsonObject.parse(parser);
         }
         List<String> instances = new ArrayList<>();
         for (String name : request.text("instances").split(",")) {
@@ -375,9 +375,9 @@
         OperationScheduler.Admission[] admission = new OperationScheduler.Admission[1];
         Operation operation = scheduler.request(request.text("id"), request.text("action"),
                 request.text("argument", ""), instances,
-                request.index("atOnce", 1), request.index("failuresToPause", 1),
-                10L * request.index("withinMs", 60_000),
-                request.flag("again", false), admission);
+                request.intValue("atOnce", 1), request.intValue("failuresToPause", 1),
+                10L * request.intValue("withinMs", 60_000),
+                request.bool("again", false), admission);
         if (admission[0] == OperationScheduler.Admission.NEW) {
             persistNew(operation);
         }
@@ -440,9 +440,9 @@
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    private static long clientCount(Fields inspection) {
+    private static long clientCount(JsonObject inspection) {
         try {
-            return inspection.whole("clients", -1);
+            return inspection.longValue("clients", -1);
         } catch (Malformed e) {
             return -1;
         }
--- a/src/main/java/honeygap/manage/host/OperationStore.java
+++ b/src/main/java/honeygap/manage/host/OperationStore.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import honeygap.manage.Operation;
 import honeygap.manage.Step;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -108,15 +108,15 @@
 
     static Operation.Snapshot parse(String json) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
-            Fields fields = Fields.document(parser);
+            JsonObject fields = JsonObject.parse(parser);
             List<Operation.StepSnapshot> steps = new ArrayList<>();
-            for (Fields step : fields.objects("steps")) {
+            for (JsonObject step : fields.objects("steps")) {
                 steps.add(new Operation.StepSnapshot(step.text("instance"), Step.State.valueOf(step.text("state")),
-                        Long.parseLong(step.text("generation")), step.index("tries"), step.text("word")));
+                        Long.parseLong(step.text("generation")), step.intValue("tries"), step.text("word")));
             }
-            return new Operation.Snapshot(fields.text("id"), fields.whole("number"), fields.text("action"),
-                    fields.text("argument"), fields.index("atOnce"), fields.index("failuresToPause"),
-                    fields.whole("askedAt"), fields.whole("deadline"),
+            return new Operation.Snapshot(fields.text("id"), fields.longValue("number"), fields.text("action"),
+                    fields.text("argument"), fields.intValue("atOnce"), fields.intValue("failuresToPause"),
+                    fields.longValue("askedAt"), fields.longValue("deadline"),
                     Operation.State.valueOf(fields.text("state")), steps);
         } catch (Malformed | IllegalArgumentException e) {
             throw new IOException("malformed stored operation: " + e.getMessage(), e);
--- a/src/main/java/honeygap/manage/host/Selector.java
+++ b/src/main/java/honeygap/manage/host/Selector.java
@@ -1,6 +1,6 @@
 package honeygap.manage.host;
 
-import honeygap.read.Signs;
+import honeygap.read.ComparisonOperators;
 import java.util.Map;
 import java.util.function.Predicate;
 import org.antlr.v4.runtime.BaseErrorListener;
@@ -53,6 +53,6 @@
         boolean areNumbers = actual.matches("-?[0-9]{1,15}") && expected.matches("-?[0-9]{1,15}");
         int order = areNumbers ? Long.compare(Long.parseLong(actual), Long.parseLong(expected))
                 : actual.compareTo(expected);
-        return Signs.holds(operator, order);
+        return ComparisonOperators.matches(operator, order);
     }
 }
--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -18,7 +18,7 @@
 import honeygap.net.list.DiscoveryClient;
 import honeygap.net.ofrep.EvaluationDispatcher;
 import honeygap.net.servers.FlagServerConnection;
-import honeygap.read.FlagSheet;
+import honeygap.read.FlagSettings;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -35,7 +35,7 @@
     private static final int BACKLOG = 1024;
 
     private final Loop loop;
-    private final FlagSheet settings;
+    private final FlagSettings settings;
     private final DecisionEngine rules;
     private final EngineAdapter engine;
     private final EvaluationDispatcher exchange;
@@ -47,30 +47,30 @@
     private final VoteSubmitter votes;
     private final RolloutStatusStream statusStream;
 
-    public FlagProtocol(Loop loop, FlagSheet settings, long seed) {
+    public FlagProtocol(Loop loop, FlagSettings settings, long seed) {
         this.loop = loop;
         this.settings = settings;
         rules = settings.rules(loop.clock(), seed);
         engine = new EngineAdapter(loop, rules, settings.methods.size(), "flags");
-        EvaluationCoordinator answerCache = new EvaluationCoordinator(settings.sharing, settings.step, settings.allowances,
-                new VersionFloors(settings.keys, settings.cells),
-                new AnswerCache(settings.allowances.isEmpty() ? 0 : settings.keptBytes));
-        exchange = new EvaluationDispatcher(loop, rules, answerCache, new RetryAfterLimits(settings.retryAfterMost));
+        EvaluationCoordinator answerCache = new EvaluationCoordinator(settings.coalesceRequests, settings.tickInterval, settings.cacheRules,
+                new VersionFloors(settings.maxVersionedKeys, settings.maxVersionCells),
+                new AnswerCache(settings.cacheRules.isEmpty() ? 0 : settings.cacheBytes));
+        exchange = new EvaluationDispatcher(loop, rules, answerCache, new RetryAfterLimits(settings.maxRetryAfter));
         flagClients = new FlagClients(loop, exchange, settings.methods.get(0), settings.methods.get(1),
-                settings.methods.get(2), settings.methods.get(3), settings.step, settings.clients, settings.longestBody);
+                settings.methods.get(2), settings.methods.get(3), settings.tickInterval, settings.maxClients, settings.maxRequestBytes);
         connections = new ConnectionPool(loop, rules,
-                (pool, appliance) -> new FlagServerConnection(pool, appliance, settings.longestAnswer),
-                settings.step, settings.connectWithin, settings.idleClose, settings.links);
+                (pool, appliance) -> new FlagServerConnection(pool, appliance, settings.maxResponseBytes),
+                settings.tickInterval, settings.connectTimeout, settings.idleTimeout, settings.maxServerConnections);
         staticList = new StaticList(rules, connections, engine::build);
-        discovery = settings.list == null ? null
-                : new DiscoveryClient(loop, rules, connections, engine::build, settings.list, settings.askWithin);
-        localRollout = settings.desk == null ? new LocalRollout(settings.caps, Fleet.LONG_AGO) : null;
+        discovery = settings.listAddress == null ? null
+                : new DiscoveryClient(loop, rules, connections, engine::build, settings.listAddress, settings.listMaxAge);
+        localRollout = settings.deskAddress == null ? new LocalRollout(settings.caps, Fleet.LONG_AGO) : null;
         RolloutStatusParser rolloutStatus = new RolloutStatusParser(loop, rules, engine::build, Map.of("one", settings.methods.get(0), "all",
                 settings.methods.get(1), "track", settings.methods.get(2), "tracked", settings.methods.get(3)));
         votes = localRollout != null ? null
-                : new VoteSubmitter(loop, rules, rolloutStatus, settings.desk, settings.callTimeout);
+                : new VoteSubmitter(loop, rules, rolloutStatus, settings.deskAddress, settings.deskCallTimeout);
         statusStream = localRollout != null ? null
-                : new RolloutStatusStream(loop, rolloutStatus, settings.desk, Math.max(settings.callTimeout, 30_000), seed);
+                : new RolloutStatusStream(loop, rolloutStatus, settings.deskAddress, Math.max(settings.deskCallTimeout, 30_000), seed);
         engine.attach(connections, discovery != null ? discovery : staticList,
                 localRollout != null ? this::vote : votes);
     }
@@ -122,7 +122,7 @@
         applyServers(settings);
     }
 
-    private void applyServers(FlagSheet newSettings) {
+    private void applyServers(FlagSettings newSettings) {
         if (discovery != null) {
             return;
         }
@@ -143,17 +143,17 @@
      * Reads discovery, desk and static servers from the new settings; all other settings stay until a restart.
      * Returns the change to apply on the loop.
      */
-    public Runnable reload(FlagSheet newSettings) {
+    public Runnable reload(FlagSettings newSettings) {
         return () -> applyReload(newSettings);
     }
 
-    private void applyReload(FlagSheet newSettings) {
-        if (discovery != null && newSettings.list != null) {
-            discovery.changeAddress(newSettings.list);
+    private void applyReload(FlagSettings newSettings) {
+        if (discovery != null && newSettings.listAddress != null) {
+            discovery.changeAddress(newSettings.listAddress);
         }
-        if (votes != null && newSettings.desk != null) {
-            votes.changeAddress(newSettings.desk);
-            statusStream.changeAddress(newSettings.desk);
+        if (votes != null && newSettings.deskAddress != null) {
+            votes.changeAddress(newSettings.deskAddress);
+            statusStream.changeAddress(newSettings.deskAddress);
         }
         applyServers(newSettings);
     }
--- a/src/main/java/honeygap/net/PostgresProtocol.java
+++ b/src/main/java/honeygap/net/PostgresProtocol.java
@@ -9,8 +9,8 @@
 import honeygap.net.desk.RolloutStatusParser;
 import honeygap.net.links.ConnectionPool;
 import honeygap.net.list.DiscoveryClient;
-import honeygap.read.Deployment;
-import honeygap.read.Fields;
+import honeygap.read.DeploymentSettings;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import honeygap.terms.ListSettings;
@@ -46,15 +46,15 @@
     private final RolloutStatusStream statusStream;
     private final InetSocketAddress listenAddress;
     private final int maxConnections;
-    private final Fields settings;
+    private final JsonObject settings;
     private final WarmUp warmUp;
     private volatile long longestDeadline;
 
-    public PostgresProtocol(Loop loop, Fields config) throws Malformed {
+    public PostgresProtocol(Loop loop, JsonObject config) throws Malformed {
         this.loop = loop;
         settings = config.object("settings");
-        Fields desk = config.object("rollouts");
-        List<Method> methods = Deployment.methods(settings);
+        JsonObject desk = config.object("rollouts");
+        List<Method> methods = DeploymentSettings.methods(settings);
         longestDeadline = longestDeadlineOf(methods);
         long seed;
         try {
@@ -64,26 +64,26 @@
         }
         listenAddress = config.address("listen");
         // Each client connection may need a connection to an appliance.
-        int sockets = config.part("limits").index("sockets", 1024);
+        int sockets = config.objectOrEmpty("limits").intValue("sockets", 1024);
         maxConnections = Math.max(2, sockets - RESERVED_DESCRIPTORS) / 2;
-        ListSettings listing = Deployment.onSockets(settings);
-        rules = Deployment.rules(loop.clock(), seed, methods, settings, listing);
+        ListSettings listing = DeploymentSettings.socketListing(settings);
+        rules = DeploymentSettings.rules(loop.clock(), seed, methods, settings, listing);
         Map<String, Method> methodsByName = new HashMap<>();
         int index = 0;
-        for (Fields method : settings.objects("Classes")) {
+        for (JsonObject method : settings.objects("Classes")) {
             methodsByName.put(method.text("Name"), methods.get(index++));
         }
         engine = new EngineAdapter(loop, rules, methods.size(), "");
         clients = new PgClients(loop, rules, methodsByName, settings, maxConnections,
                 sockets / CLIENT_DESCRIPTOR_DIVISOR / 2);
-        Fields ceilings = settings.part("Ceilings");
-        connections = new ConnectionPool(loop, rules, PostgresConnection::new, settings.tenths("TickNs"),
-                ceilings.tenths("ConnectTimeoutNs", 2500), ceilings.tenths("IdleCloseNs", 100_000), maxConnections);
+        JsonObject ceilings = settings.objectOrEmpty("Ceilings");
+        connections = new ConnectionPool(loop, rules, PostgresConnection::new, settings.tenthsOfMs("TickNs"),
+                ceilings.tenthsOfMs("ConnectTimeoutNs", 2500), ceilings.tenthsOfMs("IdleCloseNs", 100_000), maxConnections);
         discovery = new DiscoveryClient(loop, rules, connections, engine::build, config.address("discovery"),
                 listing.callInterval());
         RolloutStatusParser rolloutStatus = new RolloutStatusParser(loop, rules, engine::build, methodsByName);
         InetSocketAddress deskAddress = desk.address("address");
-        long callTimeout = settings.part("FamilyInfo").tenths("CallTimeoutNs", 20_000);
+        long callTimeout = settings.objectOrEmpty("FamilyInfo").tenthsOfMs("CallTimeoutNs", 20_000);
         votes = new VoteSubmitter(loop, rules, rolloutStatus, deskAddress, callTimeout);
         engine.attach(connections, discovery, votes);
         statusStream = new RolloutStatusStream(loop, rolloutStatus, deskAddress, Math.max(callTimeout, 30_000), seed);
@@ -129,13 +129,13 @@
      * Reads the addresses of discovery and the desk from a reloaded configuration; all other settings stay until a
      * restart. Returns the change to apply on the loop.
      */
-    public Runnable reload(Fields config) throws Malformed {
+    public Runnable reload(JsonObject config) throws Malformed {
         InetSocketAddress discoveryAddress = config.address("discovery");
         InetSocketAddress deskAddress = config.object("rollouts").address("address");
         // The supervisor may derive its stop timeout from the old or the new file: the shorter deadline is within
         // both.
         long deadline = config.has("settings") ? Math.min(longestDeadline,
-                longestDeadlineOf(Deployment.methods(config.object("settings")))) : longestDeadline;
+                longestDeadlineOf(DeploymentSettings.methods(config.object("settings")))) : longestDeadline;
         return () -> {
             longestDeadline = deadline;
             discovery.changeAddress(discoveryAddress);
--- a/src/main/java/honeygap/net/WarmUp.java
+++ b/src/main/java/honeygap/net/WarmUp.java
@@ -13,8 +13,8 @@
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.Deployment;
-import honeygap.read.Fields;
+import honeygap.read.DeploymentSettings;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -36,9 +36,9 @@
     private final Tenant tenant = new Tenant();
     private long now;
 
-    WarmUp(Fields settings) throws Malformed {
-        methods = Deployment.methods(settings);
-        rules = Deployment.rules(0, 1, methods, settings, Deployment.onSockets(settings));
+    WarmUp(JsonObject settings) throws Malformed {
+        methods = DeploymentSettings.methods(settings);
+        rules = DeploymentSettings.rules(0, 1, methods, settings, DeploymentSettings.socketListing(settings));
         rules.listStarted(true, true);
         Build stable = new Build(1, methods.size());
         Build trial = new Build(2, methods.size());
--- a/src/main/java/honeygap/net/clients/PgClients.java
+++ b/src/main/java/honeygap/net/clients/PgClients.java
@@ -17,7 +17,7 @@
 import honeygap.net.pg.PgMessages;
 import honeygap.net.shutdown.ShutdownEvent;
 import honeygap.net.shutdown.ShutdownLog;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.util.EnumMap;
@@ -62,7 +62,7 @@
      * @param maxConnections how many connections may stay open
      * @param idleCloseThreshold number of connections above which idle ones are closed
      */
-    public PgClients(Loop loop, DecisionEngine rules, Map<String, Method> methods, Fields info,
+    public PgClients(Loop loop, DecisionEngine rules, Map<String, Method> methods, JsonObject info,
                    int maxConnections, int idleCloseThreshold) throws Malformed {
         this.loop = loop;
         this.rules = rules;
@@ -71,10 +71,10 @@
         shutdownLog = new ShutdownLog(loop);
         failureLogBudget = new LogRateLimiter(loop, MAX_FAILURE_LINES_PER_SECOND);
         connections = new ClientConnections(loop, maxConnections, idleCloseThreshold, IDLE_TIMEOUT, shutdownLog);
-        tick = Math.max(1, info.tenths("TickNs"));
-        maxOpenRpcs = info.part("Ceilings").index("MaxOpen", Integer.MAX_VALUE);
+        tick = Math.max(1, info.tenthsOfMs("TickNs"));
+        maxOpenRpcs = info.objectOrEmpty("Ceilings").intValue("MaxOpen", Integer.MAX_VALUE);
         if (info.has("Accounts")) {
-            for (Fields account : info.objects("Accounts")) {
+            for (JsonObject account : info.objects("Accounts")) {
                 tenants.put(account.text("Name"), new Tenant());
             }
         }
--- a/src/main/java/honeygap/net/desk/RolloutStatusParser.java
+++ b/src/main/java/honeygap/net/desk/RolloutStatusParser.java
@@ -5,7 +5,7 @@
 import honeygap.fleet.Method;
 import honeygap.fleet.Pick;
 import honeygap.net.Loop;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
@@ -29,9 +29,9 @@
     }
 
     /** Parses the status in the configuration that an agent starts with. */
-    public Runnable parseInitial(Fields status) throws Malformed {
-        return statusUpdate(status.rounded("Revision"), status.rounded("Wave"), status.text("State"),
-                status.number("MaxShare"), status.number("AgeMs"), false);
+    public Runnable parseInitial(JsonObject status) throws Malformed {
+        return statusUpdate(status.roundedInt("Revision"), status.roundedInt("Wave"), status.text("State"),
+                status.doubleValue("MaxShare"), status.doubleValue("AgeMs"), false);
     }
 
     /** Parses the response to a vote that was counted. */
--- a/src/main/java/honeygap/net/door/AdminEndpoint.java
+++ b/src/main/java/honeygap/net/door/AdminEndpoint.java
@@ -10,7 +10,7 @@
 import honeygap.net.guests.ClientConnections;
 import honeygap.net.http.Refusal;
 import honeygap.net.shutdown.ShutdownLog;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -162,7 +162,7 @@
             case "POST /v1/look":
                 return outcomeOf(ledger.entry(text(fields(body), "id")));
             case "POST /v1/calloff":
-                Fields request = fields(body);
+                JsonObject request = fields(body);
                 String id = text(request, "id");
                 long number = number(request, "number");
                 if (ledger.entry(id) == null) {
@@ -174,15 +174,15 @@
         }
     }
 
-    private static Fields fields(byte[] body) throws Refusal {
+    private static JsonObject fields(byte[] body) throws Refusal {
         try (JsonParser parser = new JsonFactory().createParser(body)) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         } catch (Malformed | IOException e) {
             throw new Refusal(400, "not JSON", "the body is not a JSON object");
         }
     }
 
-    private static String text(Fields fields, String name) throws Refusal {
+    private static String text(JsonObject fields, String name) throws Refusal {
         try {
             return fields.text(name);
         } catch (Malformed e) {
@@ -190,7 +190,7 @@
         }
     }
 
-    private static long number(Fields fields, String name) throws Refusal {
+    private static long number(JsonObject fields, String name) throws Refusal {
         try {
             return Long.parseLong(text(fields, name));
         } catch (NumberFormatException e) {
@@ -229,7 +229,7 @@
         return json(out -> out.writeStringField("outcome", entry == null ? "" : entry.outcome()));
     }
 
-    private byte[] command(Fields request) throws Refusal, IOException {
+    private byte[] command(JsonObject request) throws Refusal, IOException {
         String id = text(request, "id");
         long number = number(request, "number");
         String action = text(request, "action");
--- a/src/main/java/honeygap/net/door/LedgerFile.java
+++ b/src/main/java/honeygap/net/door/LedgerFile.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import honeygap.manage.Ledger;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -119,8 +119,8 @@
             return;
         }
         try (JsonParser parser = new JsonFactory().createParser(line)) {
-            Fields fields = Fields.document(parser);
-            ledger.restore(new Ledger.Entry(fields.text("id"), fields.whole("number"), fields.text("action"),
+            JsonObject fields = JsonObject.parse(parser);
+            ledger.restore(new Ledger.Entry(fields.text("id"), fields.longValue("number"), fields.text("action"),
                     fields.text("outcome")));
         } catch (Malformed | IOException e) {
             if (!isLast) {
--- a/src/main/java/honeygap/net/list/DiscoveryClient.java
+++ b/src/main/java/honeygap/net/list/DiscoveryClient.java
@@ -14,7 +14,7 @@
 import honeygap.net.http.ResponseStream;
 import honeygap.net.http.StreamEnd;
 import honeygap.net.links.RemoteAppliance;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -81,7 +81,7 @@
     }
 
     /** Applies the list that was stored on disk, which may be arbitrarily old. */
-    public void restore(Fields list) throws Malformed {
+    public void restore(JsonObject list) throws Malformed {
         apply(list, true);
     }
 
@@ -183,9 +183,9 @@
         loop.defer(rules::listCallFailed);
     }
 
-    private Fields parse(byte[] bytes, int length) throws Malformed {
+    private JsonObject parse(byte[] bytes, int length) throws Malformed {
         try (JsonParser parser = jsonFactory.createParser(bytes, 0, length)) {
-            Fields document = Fields.document(parser);
+            JsonObject document = JsonObject.parse(parser);
             if (parser.nextToken() != null) {
                 throw new Malformed("more than one JSON object");
             }
@@ -199,9 +199,9 @@
      * Applies a complete list or a set of changes. A malformed entry is skipped alone: it must not prevent the drain
      * of another appliance from being applied, nor remove the appliance that it names from a complete list.
      */
-    private void apply(Fields list, boolean isFromDisk) throws Malformed {
-        boolean isFull = list.flag("snapshot", false);
-        long listVersion = list.whole("index");
+    private void apply(JsonObject list, boolean isFromDisk) throws Malformed {
+        boolean isFull = list.bool("snapshot", false);
+        long listVersion = list.longValue("index");
         List<ListEntry> entries = new ArrayList<>();
         Set<String> unreadableNames = new HashSet<>();
         boolean haveAllNames = readEntries(list, isFromDisk, entries, unreadableNames);
@@ -228,14 +228,14 @@
      * Reads all entries and collects the names of malformed ones. Returns whether every malformed entry at least has a
      * name. In a list from disk, which the operator provides, a malformed entry is an error.
      */
-    private boolean readEntries(Fields list, boolean isFromDisk, List<ListEntry> entries, Set<String> unreadableNames)
+    private boolean readEntries(JsonObject list, boolean isFromDisk, List<ListEntry> entries, Set<String> unreadableNames)
             throws Malformed {
         if (!(list.value("endpoints") instanceof List<?> elements)) {
-            throw list.fault("endpoints", "is not a list");
+            throw list.error("endpoints", "is not a list");
         }
         boolean haveAllNames = true;
         for (Object element : elements) {
-            Fields entry = element instanceof Fields fields ? fields : new Fields();
+            JsonObject entry = element instanceof JsonObject fields ? fields : new JsonObject();
             try {
                 entries.add(ListEntry.parse(entry));
             } catch (Malformed e) {
--- a/src/main/java/honeygap/net/list/ListEntry.java
+++ b/src/main/java/honeygap/net/list/ListEntry.java
@@ -1,7 +1,7 @@
 package honeygap.net.list;
 
 import honeygap.fleet.Appliance;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.net.InetSocketAddress;
 
@@ -19,14 +19,14 @@
 record ListEntry(String name, int state, InetSocketAddress address, long startedAtMs, int release, String zone,
                  int cell) {
 
-    static ListEntry parse(Fields entry) throws Malformed {
+    static ListEntry parse(JsonObject entry) throws Malformed {
         String name = entry.text("name");
         int state = state(entry.text("status"));
         boolean hasAddress = state != Appliance.REMOVED || entry.has("address");
         return new ListEntry(name, state, hasAddress ? entry.address("address") : null,
-                entry.has("since_ms") ? Math.round(entry.number("since_ms")) : 0,
-                entry.has("release") ? entry.rounded("release") : 0, entry.text("zone", ""),
-                entry.has("group") ? entry.rounded("group") : 0);
+                entry.has("since_ms") ? Math.round(entry.doubleValue("since_ms")) : 0,
+                entry.has("release") ? entry.roundedInt("release") : 0, entry.text("zone", ""),
+                entry.has("group") ? entry.roundedInt("group") : 0);
     }
 
     private static int state(String status) throws Malformed {
--- a/src/main/java/honeygap/net/list/StaticList.java
+++ b/src/main/java/honeygap/net/list/StaticList.java
@@ -9,7 +9,7 @@
 import honeygap.net.EngineAdapter;
 import honeygap.net.Counters;
 import honeygap.net.links.RemoteAppliance;
-import honeygap.read.FlagSheet;
+import honeygap.read.FlagSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -27,7 +27,7 @@
     private final IntFunction<Build> builds;
     private final Map<String, RemoteAppliance> remotes = new HashMap<>();
     private final Map<String, Zone> locations = new HashMap<>();
-    private List<FlagSheet.Named> servers = List.of();
+    private List<FlagSettings.StaticServer> servers = List.of();
     private IntPredicate buildFilter = build -> true;
     private long nextId;
     private boolean isFirstList = true;
@@ -39,7 +39,7 @@
     }
 
     /** Replaces the configured servers without publishing them; returns the builds that they run. */
-    public Set<Integer> setServers(List<FlagSheet.Named> servers) {
+    public Set<Integer> setServers(List<FlagSettings.StaticServer> servers) {
         this.servers = List.copyOf(servers);
         Set<Integer> serverBuilds = new TreeSet<>();
         servers.forEach(server -> serverBuilds.add(server.build()));
@@ -54,7 +54,7 @@
         this.buildFilter = buildFilter;
         List<RemoteAppliance> listed = new ArrayList<>();
         rules.listStarted(true, false);
-        for (FlagSheet.Named server : servers) {
+        for (FlagSettings.StaticServer server : servers) {
             if (!buildFilter.test(server.build())) {
                 continue;
             }
--- a/src/main/java/honeygap/read/Signs.java
+++ b/src/main/java/honeygap/read/ComparisonOperators.java
@@ -1,13 +1,13 @@
 package honeygap.read;
 
 /** Comparison operators of filters and selectors. */
-public final class Signs {
+public final class ComparisonOperators {
 
-    private Signs() {
+    private ComparisonOperators() {
     }
 
     /** Whether the result of a comparison (negative, zero or positive) satisfies an operator. */
-    public static boolean holds(String operator, int comparison) {
+    public static boolean matches(String operator, int comparison) {
         switch (operator) {
             case "=", "==":
                 return comparison == 0;
--- a/src/main/java/honeygap/read/Fields.java
+++ b/src/main/java/honeygap/read/JsonObject.java
@@ -11,35 +11,35 @@
 import java.util.Set;
 
 /** A parsed JSON object. Reading a field that is missing or has another type throws {@link Malformed}. */
-public final class Fields {
+public final class JsonObject {
 
     /** Nanoseconds (the unit in settings) per tenth of a millisecond (the unit of the decision code). */
-    public static final long NS = 100_000;
+    public static final long NANOS_PER_TENTH_MS = 100_000;
 
     private final Map<String, Object> values = new LinkedHashMap<>();
     /** The enclosing object, null at the top level. */
-    private final Fields parent;
+    private final JsonObject parent;
     private final String name;
     /** Position in the enclosing array, negative if this object is not in an array. */
     private final int arrayIndex;
 
     /** Creates an empty top-level object. */
-    public Fields() {
+    public JsonObject() {
         this(null, "", -1);
     }
 
-    private Fields(Fields parent, String name, int arrayIndex) {
+    private JsonObject(JsonObject parent, String name, int arrayIndex) {
         this.parent = parent;
         this.name = name;
         this.arrayIndex = arrayIndex;
     }
 
     /** Reads an object whose start token the parser has just consumed. */
-    public static Fields read(JsonParser parser) throws IOException {
-        return read(parser, new Fields(null, "", -1));
+    public static JsonObject read(JsonParser parser) throws IOException {
+        return read(parser, new JsonObject(null, "", -1));
     }
 
-    private static Fields read(JsonParser parser, Fields object) throws IOException {
+    private static JsonObject read(JsonParser parser, JsonObject object) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
@@ -49,17 +49,17 @@
     }
 
     /** Parses a whole document, which has to be an object. */
-    public static Fields document(JsonParser parser) throws IOException, Malformed {
+    public static JsonObject parse(JsonParser parser) throws IOException, Malformed {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new Malformed("not an object");
         }
         return read(parser);
     }
 
-    private static Object value(JsonParser parser, Fields parent, String name, int arrayIndex) throws IOException {
+    private static Object value(JsonParser parser, JsonObject parent, String name, int arrayIndex) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT:
-                return read(parser, new Fields(parent, name, arrayIndex));
+                return read(parser, new JsonObject(parent, name, arrayIndex));
             case START_ARRAY:
                 List<Object> list = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -87,7 +87,7 @@
         return values.keySet();
     }
 
-    /** The value of a field: a string, number, boolean, list, {@link Fields} or null. */
+    /** The value of a field: a string, number, boolean, list, {@link JsonObject} or null. */
     public Object value(String name) {
         return values.get(name);
     }
@@ -96,51 +96,51 @@
         return values.get(name) != null;
     }
 
-    public long whole(String name) throws Malformed {
+    public long longValue(String name) throws Malformed {
         return get(name, Long.class, "a whole number");
     }
 
-    public long whole(String name, long ifAbsent) throws Malformed {
-        return has(name) ? whole(name) : ifAbsent;
+    public long longValue(String name, long ifAbsent) throws Malformed {
+        return has(name) ? longValue(name) : ifAbsent;
     }
 
     /** A non-negative integer that fits an {@code int}. */
-    public int index(String name) throws Malformed {
-        return toInt(name, whole(name));
+    public int intValue(String name) throws Malformed {
+        return toInt(name, longValue(name));
     }
 
-    public int index(String name, int ifAbsent) throws Malformed {
-        return has(name) ? index(name) : ifAbsent;
+    public int intValue(String name, int ifAbsent) throws Malformed {
+        return has(name) ? intValue(name) : ifAbsent;
     }
 
     /** A time or duration in nanoseconds, rounded down to tenths of a millisecond. */
-    public long tenths(String name) throws Malformed {
-        return Math.floorDiv(whole(name), NS);
+    public long tenthsOfMs(String name) throws Malformed {
+        return Math.floorDiv(longValue(name), NANOS_PER_TENTH_MS);
     }
 
-    public long tenths(String name, long ifAbsent) throws Malformed {
-        return has(name) ? tenths(name) : ifAbsent;
+    public long tenthsOfMs(String name, long ifAbsent) throws Malformed {
+        return has(name) ? tenthsOfMs(name) : ifAbsent;
     }
 
-    public double number(String name) throws Malformed {
+    public double doubleValue(String name) throws Malformed {
         return get(name, Number.class, "a number").doubleValue();
     }
 
-    public double number(String name, double ifAbsent) throws Malformed {
-        return has(name) ? number(name) : ifAbsent;
+    public double doubleValue(String name, double ifAbsent) throws Malformed {
+        return has(name) ? doubleValue(name) : ifAbsent;
     }
 
     /** A non-negative integer that may be written as a decimal number, such as 3.0. */
-    public int rounded(String name) throws Malformed {
-        return toInt(name, Math.round(number(name)));
+    public int roundedInt(String name) throws Malformed {
+        return toInt(name, Math.round(doubleValue(name)));
     }
 
-    public boolean flag(String name) throws Malformed {
+    public boolean bool(String name) throws Malformed {
         return get(name, Boolean.class, "true or false");
     }
 
-    public boolean flag(String name, boolean ifAbsent) throws Malformed {
-        return has(name) ? flag(name) : ifAbsent;
+    public boolean bool(String name, boolean ifAbsent) throws Malformed {
+        return has(name) ? bool(name) : ifAbsent;
     }
 
     public String text(String name) throws Malformed {
@@ -151,17 +151,17 @@
         return has(name) ? text(name) : ifAbsent;
     }
 
-    public Fields object(String name) throws Malformed {
-        return get(name, Fields.class, "an object");
+    public JsonObject object(String name) throws Malformed {
+        return get(name, JsonObject.class, "an object");
     }
 
     /** An optional object; empty if absent. */
-    public Fields part(String name) throws Malformed {
-        return has(name) ? object(name) : new Fields(this, name, -1);
+    public JsonObject objectOrEmpty(String name) throws Malformed {
+        return has(name) ? object(name) : new JsonObject(this, name, -1);
     }
 
     /** An exception whose message gives the full path of the field. */
-    public Malformed fault(String name, String problem) {
+    public Malformed error(String name, String problem) {
         return new Malformed("field " + path() + name + " " + problem);
     }
 
@@ -171,18 +171,18 @@
 
     /** A duration in nanoseconds, converted to tenths of a millisecond, that has to be positive. */
     public long positiveTenthsOfMs(String name) throws Malformed {
-        long tenths = tenths(name);
+        long tenths = tenthsOfMs(name);
         if (tenths <= 0) {
-            throw fault(name, "is not a positive duration: " + whole(name));
+            throw error(name, "is not a positive duration: " + longValue(name));
         }
         return tenths;
     }
 
-    public List<Fields> objects(String name) throws Malformed {
-        List<Fields> objects = new ArrayList<>();
+    public List<JsonObject> objects(String name) throws Malformed {
+        List<JsonObject> objects = new ArrayList<>();
         for (Object value : get(name, List.class, "a list")) {
-            if (!(value instanceof Fields fields)) {
-                throw fault(name, "holds something other than objects");
+            if (!(value instanceof JsonObject fields)) {
+                throw error(name, "holds something other than objects");
             }
             objects.add(fields);
         }
@@ -194,7 +194,7 @@
         double[] numbers = new double[list.size()];
         for (int i = 0; i < numbers.length; i++) {
             if (!(list.get(i) instanceof Number number)) {
-                throw fault(name, "holds something other than numbers");
+                throw error(name, "holds something other than numbers");
             }
             numbers[i] = number.doubleValue();
         }
@@ -210,26 +210,26 @@
                 return new InetSocketAddress(text.substring(0, colon),
                         Integer.parseInt(text.substring(colon + 1)));
             } catch (IllegalArgumentException e) {
-                throw fault(name, "is not an address: " + text);
+                throw error(name, "is not an address: " + text);
             }
         }
-        throw fault(name, "is not an address: " + text);
+        throw error(name, "is not an address: " + text);
     }
 
     private <T> T get(String name, Class<T> type, String expected) throws Malformed {
         Object value = values.get(name);
         if (value == null) {
-            throw fault(name, "is missing");
+            throw error(name, "is missing");
         }
         if (!type.isInstance(value)) {
-            throw fault(name, "is not " + expected);
+            throw error(name, "is not " + expected);
         }
         return type.cast(value);
     }
 
     private int toInt(String name, long value) throws Malformed {
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw fault(name, "is out of range: " + value);
+            throw error(name, "is out of range: " + value);
         }
         return (int) value;
     }
--- a/src/main/java/honeygap/read/Sheet.java
+++ b/src/main/java/honeygap/read/SettingsReader.java
@@ -11,36 +11,36 @@
 /**
  * Reads an operator's settings field by field. An invalid field does not stop the reading: the error is recorded
  * with the field's path, the expected type or unit and the value found, and a harmless value is returned instead.
- * The settings may be used only if {@link #noted} is empty at the end.
+ * The settings may be used only if {@link #errors} is empty at the end.
  */
-public final class Sheet {
+public final class SettingsReader {
 
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(\\.[0-9])?(ms|s|m|h)");
     private static final InetSocketAddress PLACEHOLDER_ADDRESS = new InetSocketAddress(0);
 
-    private final Fields fields;
+    private final JsonObject fields;
     private final String path;
     private final List<String> errors;
     private final Set<String> knownNames = new LinkedHashSet<>();
 
     /** Creates a reader of the top-level object. */
-    public Sheet(Fields fields) {
+    public SettingsReader(JsonObject fields) {
         this(fields, "", new ArrayList<>());
     }
 
-    private Sheet(Fields fields, String path, List<String> errors) {
+    private SettingsReader(JsonObject fields, String path, List<String> errors) {
         this.fields = fields;
         this.path = path;
         this.errors = errors;
     }
 
     /** All errors found so far in the whole document, one line each. */
-    public List<String> noted() {
+    public List<String> errors() {
         return errors;
     }
 
     /** Reports all fields of this section that were never read, as unknown. Call it last. */
-    public void end() {
+    public void rejectUnknownFields() {
         for (String name : fields.names()) {
             if (!knownNames.contains(name)) {
                 errors.add(path + name + ": unknown field; known fields: " + String.join(", ", knownNames));
@@ -49,10 +49,10 @@
     }
 
     /** Records that a field does not have the expected value. */
-    public void fault(String name, String expected) {
+    public void reportExpected(String name, String expected) {
         Object found = fields.value(name);
         errors.add(path + name + ": " + expected + " expected, " + (found == null ? "nothing"
-                : found instanceof Fields ? "an object" : found instanceof List ? "a list"
+                : found instanceof JsonObject ? "an object" : found instanceof List ? "a list"
                 : found instanceof String ? '"' + found.toString() + '"' : found.toString()) + " found");
     }
 
@@ -66,20 +66,20 @@
     }
 
     public boolean bool(String name, boolean ifAbsent) {
-        return has(name) ? readOrReport(name, () -> fields.flag(name), ifAbsent, "true or false") : ifAbsent;
+        return has(name) ? readOrReport(name, () -> fields.bool(name), ifAbsent, "true or false") : ifAbsent;
     }
 
     /** One of several string values; the first is the default. */
     public String choice(String name, String... choices) {
         String value = text(name, choices[0]);
         if (!List.of(choices).contains(value)) {
-            fault(name, "one of " + String.join(", ", choices));
+            reportExpected(name, "one of " + String.join(", ", choices));
             return choices[0];
         }
         return value;
     }
 
-    public long whole(String name, long ifAbsent, long min, long max) {
+    public long integer(String name, long ifAbsent, long min, long max) {
         if (!has(name)) {
             return ifAbsent;
         }
@@ -90,7 +90,7 @@
                 && number.doubleValue() >= min && number.doubleValue() <= max) {
             return number.longValue();
         }
-        fault(name, expected);
+        reportExpected(name, expected);
         return min;
     }
 
@@ -102,7 +102,7 @@
                 && number.doubleValue() <= max) {
             return number.doubleValue();
         }
-        fault(name, "a number from " + min + " to " + max);
+        reportExpected(name, "a number from " + min + " to " + max);
         return min;
     }
 
@@ -119,7 +119,7 @@
             }
             return numbers;
         } catch (Malformed e) {
-            fault(name, "a list of numbers from " + min + " to " + max);
+            reportExpected(name, "a list of numbers from " + min + " to " + max);
             return ifAbsent;
         }
     }
@@ -129,7 +129,7 @@
         String text = has(name) ? fields.value(name).toString() : ifAbsent;
         Matcher matcher = DURATION.matcher(text);
         if (!matcher.matches() || has(name) && !(fields.value(name) instanceof String)) {
-            fault(name, "a time with its unit, such as \"250ms\", \"1.5s\", \"2m\" or \"1h\",");
+            reportExpected(name, "a time with its unit, such as \"250ms\", \"1.5s\", \"2m\" or \"1h\",");
             return 1;
         }
         long unit = switch (matcher.group(3)) {
@@ -149,24 +149,24 @@
     }
 
     /** An optional nested object; its errors are added to those of this reader. */
-    public Sheet part(String name) {
-        Fields object = has(name) ? readOrReport(name, () -> fields.object(name), null, "an object") : null;
-        return new Sheet(object == null ? new Fields() : object, path + name + ".", errors);
+    public SettingsReader section(String name) {
+        JsonObject object = has(name) ? readOrReport(name, () -> fields.object(name), null, "an object") : null;
+        return new SettingsReader(object == null ? new JsonObject() : object, path + name + ".", errors);
     }
 
-    public List<Sheet> parts(String name) {
-        List<Sheet> sections = new ArrayList<>();
+    public List<SettingsReader> sections(String name) {
+        List<SettingsReader> sections = new ArrayList<>();
         if (has(name)) {
-            List<Fields> objects = readOrReport(name, () -> fields.objects(name), List.of(), "a list of objects");
+            List<JsonObject> objects = readOrReport(name, () -> fields.objects(name), List.of(), "a list of objects");
             for (int i = 0; i < objects.size(); i++) {
-                sections.add(new Sheet(objects.get(i), path + name + "[" + i + "].", errors));
+                sections.add(new SettingsReader(objects.get(i), path + name + "[" + i + "].", errors));
             }
         }
         return sections;
     }
 
     /** Passes each field of a section with free-form names to the action, with its value as text. */
-    public void each(java.util.function.BiConsumer<String, String> action) {
+    public void forEachField(java.util.function.BiConsumer<String, String> action) {
         for (String name : this.fields.names()) {
             knownNames.add(name);
             Object value = this.fields.value(name);
@@ -174,7 +174,7 @@
                 boolean isWhole = value instanceof Double number && number == Math.rint(number);
                 action.accept(name, isWhole ? Long.toString(((Double) value).longValue()) : value.toString());
             } else {
-                fault(name, "text or a number");
+                reportExpected(name, "text or a number");
             }
         }
     }
@@ -188,14 +188,14 @@
         try {
             return reader.read();
         } catch (Malformed e) {
-            fault(name, expected);
+            reportExpected(name, expected);
             return fallback;
         }
     }
 
     private <T> T defaultOrReport(String name, T ifAbsent, String expected) {
         if (ifAbsent == null) {
-            fault(name, expected);
+            reportExpected(name, expected);
         }
         return ifAbsent;
     }
--- a/src/main/java/honeygap/read/Template.java
+++ b/src/main/java/honeygap/read/Template.java
@@ -45,9 +45,9 @@
     }
 
     /** Evaluates a file and parses the resulting JSON object. */
-    public static Fields read(Path file) throws IOException, Malformed {
+    public static JsonObject read(Path file) throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(render(file))) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         }
     }
 }
--- a/src/main/java/honeygap/share/exchange/MessageCodec.java
+++ b/src/main/java/honeygap/share/exchange/MessageCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import honeygap.share.table.Entry;
 import honeygap.share.table.DigestEntry;
@@ -80,12 +80,12 @@
 
     public static Message read(byte[] body) throws Malformed {
         try (JsonParser parser = JSON.createParser(body)) {
-            Fields fields = Fields.document(parser);
-            Message message = new Message(fields.text("from"), fields.index("version"),
+            JsonObject fields = JsonObject.parse(parser);
+            Message message = new Message(fields.text("from"), fields.intValue("version"),
                     Message.of("").sections());
-            Fields tables = fields.part("tables");
+            JsonObject tables = fields.objectOrEmpty("tables");
             for (String name : tables.names()) {
-                Fields section = tables.object(name);
+                JsonObject section = tables.object(name);
                 List<DigestEntry> digest = new ArrayList<>();
                 for (Object item : listField(section, name, "digest")) {
                     List<?> values = requireArray(item, 3, name + ".digest");
@@ -94,7 +94,7 @@
                             nonNegativeAt(values, 2, name + ".digest")));
                 }
                 List<Delta> deltas = new ArrayList<>();
-                for (Fields delta : section.has("parcels") ? section.objects("parcels") : List.<Fields>of()) {
+                for (JsonObject delta : section.has("parcels") ? section.objects("parcels") : List.<JsonObject>of()) {
                     deltas.add(delta(delta, name + ".parcels"));
                 }
                 message.sections().put(name, new Message.TableSection(digest, deltas));
@@ -105,7 +105,7 @@
         }
     }
 
-    private static Delta delta(Fields delta, String location) throws Malformed {
+    private static Delta delta(JsonObject delta, String location) throws Malformed {
         List<Delta.AgedEntry> entries = new ArrayList<>();
         long lastSequence = 0;
         for (Object item : listField(delta, location, "entries")) {
@@ -127,7 +127,7 @@
         }
     }
 
-    private static List<?> listField(Fields fields, String location, String name) throws Malformed {
+    private static List<?> listField(JsonObject fields, String location, String name) throws Malformed {
         Object list = fields.value(name);
         if (list != null && !(list instanceof List)) {
             throw new Malformed(location + "." + name + ": not a list");
--- a/src/main/java/honeygap/share/host/ReplicationSettings.java
+++ b/src/main/java/honeygap/share/host/ReplicationSettings.java
@@ -1,8 +1,8 @@
 package honeygap.share.host;
 
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
-import honeygap.read.Sheet;
+import honeygap.read.SettingsReader;
 import honeygap.share.table.TableLimits;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -35,40 +35,40 @@
     /** Maximum number of picks in flight that one process may report for one appliance. */
     public final double maxInFlight;
 
-    private ReplicationSettings(Sheet input, String defaultName) {
+    private ReplicationSettings(SettingsReader input, String defaultName) {
         name = input.text("name", defaultName);
         site = input.text("site", null);
         advertise = input.has("advertise") ? input.address("advertise") : null;
         proxy = input.has("proxy") ? input.address("proxy") : null;
-        for (Sheet seed : input.parts("seeds")) {
+        for (SettingsReader seed : input.sections("seeds")) {
             seeds.add(seed.address("at"));
-            seed.end();
+            seed.rejectUnknownFields();
         }
         roundInterval = input.duration("every", "1s");
         answerTimeout = input.duration("answerWithin", "500ms");
-        workerThreads = (int) input.whole("workers", 3, 1, 16);
-        maxRoundBytes = (int) input.whole("roundBytes", 65_536, 1024, 1 << 20);
+        workerThreads = (int) input.integer("workers", 3, 1, 16);
+        maxRoundBytes = (int) input.integer("roundBytes", 65_536, 1024, 1 << 20);
         maxInFlight = input.number("mostOut", 1000, 1, 1e6);
-        limits = new TableLimits((int) input.whole("owners", 1000, 2, 100_000),
-                (int) input.whole("names", 512, 8, 100_000),
+        limits = new TableLimits((int) input.integer("owners", 1000, 2, 100_000),
+                (int) input.integer("names", 512, 8, 100_000),
                 MAX_TEXT_LENGTH, MAX_TEXT_LENGTH, input.duration("holds", "10s"));
         for (String value : new String[] {name, site}) {
             if (value != null && !value.matches("[\\w.-]{1,60}")) {
-                input.fault(value.equals(name) ? "name" : "site", "letters, digits, dots, dashes, 60 at most");
+                input.reportExpected(value.equals(name) ? "name" : "site", "letters, digits, dots, dashes, 60 at most");
             }
         }
         if (answerTimeout > roundInterval) {
-            input.fault("answerWithin", "a time no longer than every");
+            input.reportExpected("answerWithin", "a time no longer than every");
         }
-        input.end();
+        input.rejectUnknownFields();
     }
 
     /** Reads all settings; reports all errors together, one per line. */
-    public static ReplicationSettings of(Fields fields, String defaultName) throws Malformed {
-        Sheet input = new Sheet(fields);
+    public static ReplicationSettings of(JsonObject fields, String defaultName) throws Malformed {
+        SettingsReader input = new SettingsReader(fields);
         ReplicationSettings settings = new ReplicationSettings(input, defaultName);
-        if (!input.noted().isEmpty()) {
-            throw new Malformed(String.join("\n", input.noted()));
+        if (!input.errors().isEmpty()) {
+            throw new Malformed(String.join("\n", input.errors()));
         }
         return settings;
     }
--- a/src/main/java/honeygap/standin/FlagServer.java
+++ b/src/main/java/honeygap/standin/FlagServer.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -41,7 +41,7 @@
     private volatile long delayMs;
 
     /** Starts the server; port 0 selects any free port. */
-    public FlagServer(InetSocketAddress address, Fields flags) throws IOException, Malformed {
+    public FlagServer(InetSocketAddress address, JsonObject flags) throws IOException, Malformed {
         flagSet = new FlagSet(flags);
         server = HttpServer.create(address, 1024);
         threads = Executors.newFixedThreadPool(8, task -> {
@@ -69,7 +69,7 @@
         return tracked.get();
     }
 
-    public void take(Fields flags) throws Malformed {
+    public void setFlags(JsonObject flags) throws Malformed {
         flagSet = new FlagSet(flags);
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Answers this share of the requests with this HTTP status; status 0 ends it. */
-    public void fail(int status, double share) {
+    public void setFailure(int status, double share) {
         failStatus = status;
         failShare = share;
     }
@@ -122,9 +122,9 @@
     }
 
     /** The evaluation context of a request; null if the body is malformed. */
-    private Fields readContext(HttpExchange exchange) throws IOException {
+    private JsonObject readContext(HttpExchange exchange) throws IOException {
         try (JsonParser parser = jsonFactory.createParser(exchange.getRequestBody().readAllBytes())) {
-            return Fields.document(parser).part("context");
+            return JsonObject.parse(parser).objectOrEmpty("context");
         } catch (Malformed | com.fasterxml.jackson.core.JacksonException e) {
             return null;
         }
@@ -145,7 +145,7 @@
     }
 
     private void evaluate(HttpExchange exchange) throws IOException {
-        Fields context = readContext(exchange);
+        JsonObject context = readContext(exchange);
         if (delayAndMaybeFail(exchange)) {
             return;
         }
@@ -172,7 +172,7 @@
         }
     }
 
-    private void evaluateOne(HttpExchange exchange, FlagSet current, String name, Fields context) throws IOException {
+    private void evaluateOne(HttpExchange exchange, FlagSet current, String name, JsonObject context) throws IOException {
         try {
             FlagSet.Result result = current.evaluate(name, context);
             if (result == null) {
@@ -198,13 +198,13 @@
     private void control(HttpExchange exchange) throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
         try (JsonParser parser = jsonFactory.createParser(body.length == 0 ? "{}".getBytes(StandardCharsets.UTF_8) : body)) {
-            Fields parameters = Fields.document(parser);
+            JsonObject parameters = JsonObject.parse(parser);
             switch (exchange.getRequestURI().getPath()) {
                 case "/standin/drain" -> setDraining(true);
                 case "/standin/undrain" -> setDraining(false);
-                case "/standin/flags" -> take(parameters);
-                case "/standin/fail" -> fail(parameters.index("status", 0), parameters.number("share", 1));
-                case "/standin/delay" -> setDelay(parameters.index("ms", 0));
+                case "/standin/flags" -> setFlags(parameters);
+                case "/standin/fail" -> setFailure(parameters.intValue("status", 0), parameters.doubleValue("share", 1));
+                case "/standin/delay" -> setDelay(parameters.intValue("ms", 0));
                 default -> throw new Malformed("unknown path");
             }
             respond(exchange, 200, out -> out.writeStringField("version", String.valueOf(flagSet.version)));
--- a/src/main/java/honeygap/standin/FlagSet.java
+++ b/src/main/java/honeygap/standin/FlagSet.java
@@ -1,7 +1,7 @@
 package honeygap.standin;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -21,31 +21,31 @@
     record Result(String variant, Object value, String reason) { }
 
     /** Selects a variant for contexts that have all of these field values. */
-    private record Rule(Fields conditions, String variant) { }
+    private record Rule(JsonObject conditions, String variant) { }
 
     private static final class Flag {
-        Fields variants;
+        JsonObject variants;
         String defaultVariant;
         final List<Rule> rules = new ArrayList<>();
-        Fields percentages;
+        JsonObject percentages;
         boolean isDisabled;
     }
 
     final long version;
     private final Map<String, Flag> flags = new LinkedHashMap<>();
 
-    FlagSet(Fields definition) throws Malformed {
-        version = definition.whole("version");
-        Fields flagDefinitions = definition.object("flags");
+    FlagSet(JsonObject definition) throws Malformed {
+        version = definition.longValue("version");
+        JsonObject flagDefinitions = definition.object("flags");
         for (String name : flagDefinitions.names()) {
-            Fields flagDefinition = flagDefinitions.object(name);
+            JsonObject flagDefinition = flagDefinitions.object(name);
             Flag flag = new Flag();
             flag.variants = flagDefinition.object("variants");
             flag.defaultVariant = flagDefinition.text("default");
-            flag.isDisabled = flagDefinition.flag("off", false);
-            flag.percentages = flagDefinition.part("split");
+            flag.isDisabled = flagDefinition.bool("off", false);
+            flag.percentages = flagDefinition.objectOrEmpty("split");
             if (flagDefinition.has("rules")) {
-                for (Fields rule : flagDefinition.objects("rules")) {
+                for (JsonObject rule : flagDefinition.objects("rules")) {
                     flag.rules.add(new Rule(rule.object("when"), rule.text("variant")));
                 }
             }
@@ -58,7 +58,7 @@
     }
 
     /** Evaluates a flag; null if the flag is not in the set. */
-    Result evaluate(String name, Fields context) throws Malformed {
+    Result evaluate(String name, JsonObject context) throws Malformed {
         Flag flag = flags.get(name);
         if (flag == null) {
             return null;
@@ -76,7 +76,7 @@
             byte[] bytes = (name + '\0' + key).getBytes(StandardCharsets.UTF_8);
             double remainingPercent = 100.0 * (MurmurHash3.hash32x86(bytes) >>> 1) / (1L << 31);
             for (String variant : flag.percentages.names()) {
-                remainingPercent -= flag.percentages.number(variant);
+                remainingPercent -= flag.percentages.doubleValue(variant);
                 if (remainingPercent < 0) {
                     return result(flag, variant, "SPLIT");
                 }
@@ -104,7 +104,7 @@
     }
 
     private static void writeValue(JsonGenerator out, Object value) throws IOException {
-        if (value instanceof Fields fields) {
+        if (value instanceof JsonObject fields) {
             out.writeStartObject();
             for (String name : fields.names()) {
                 out.writeFieldName(name);
--- a/src/main/java/honeygap/wire/WireAgent.java
+++ b/src/main/java/honeygap/wire/WireAgent.java
@@ -10,8 +10,8 @@
 import honeygap.fleet.Method;
 import honeygap.fleet.Rpc;
 import honeygap.fleet.Tenant;
-import honeygap.read.Deployment;
-import honeygap.read.Fields;
+import honeygap.read.DeploymentSettings;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -33,14 +33,14 @@
     private RuntimeException failure;
     private JsonGenerator out;
 
-    WireAgent(long id, long now, long seed, Fields info) throws Malformed {
+    WireAgent(long id, long now, long seed, JsonObject info) throws Malformed {
         this.id = id;
-        methods = Deployment.methods(info);
-        rules = Deployment.rules(now, seed, methods, info, Deployment.onWire(info));
+        methods = DeploymentSettings.methods(info);
+        rules = DeploymentSettings.rules(now, seed, methods, info, DeploymentSettings.simulatorListing(info));
     }
 
     /** Applies one event. An exception in the rules is saved for the reply; a malformed event is thrown. */
-    void handleEvent(long now, String name, Fields event, Map<Long, List<Fields>> lists) throws Malformed {
+    void handleEvent(long now, String name, JsonObject event, Map<Long, List<JsonObject>> lists) throws Malformed {
         if (failure != null) {
             return;
         }
@@ -52,13 +52,13 @@
         }
     }
 
-    private void dispatch(long now, String name, Fields event, Map<Long, List<Fields>> lists) throws Malformed {
+    private void dispatch(long now, String name, JsonObject event, Map<Long, List<JsonObject>> lists) throws Malformed {
         switch (name) {
             case "NewRequest":
                 Rpc rpc = new Rpc(event.text("Xid"), method(event),
-                        tenants.computeIfAbsent(event.index("UserGroup", 0), n -> new Tenant()),
-                        event.text("NameKey", null), now, now + event.tenths("TimeBudgetNs"),
-                        event.tenths("SizeHintNs", 0), event.flag("Retry", false));
+                        tenants.computeIfAbsent(event.intValue("UserGroup", 0), n -> new Tenant()),
+                        event.text("NameKey", null), now, now + event.tenthsOfMs("TimeBudgetNs"),
+                        event.tenthsOfMs("SizeHintNs", 0), event.bool("Retry", false));
                 rpcs.put(rpc.id, rpc);
                 rules.rpcReceived(rpc);
                 break;
@@ -76,17 +76,17 @@
                 applyList(event, lists);
                 break;
             case "ShipState":
-                rules.rolloutReported(build(event.index("Image", 0)), event.index("Phase", 0), event.index("Tranche", 0),
-                        event.number("Exposure", 0), event.index("Sense", 0) == 1,
-                        now - event.tenths("LatenessNs", 0), event.index("Reason"));
+                rules.rolloutReported(build(event.intValue("Image", 0)), event.intValue("Phase", 0), event.intValue("Tranche", 0),
+                        event.doubleValue("Exposure", 0), event.intValue("Sense", 0) == 1,
+                        now - event.tenthsOfMs("LatenessNs", 0), event.intValue("Reason"));
                 break;
             case "Digest":
-                rules.countsReceived(build(event.index("Image")), method(event), event.whole("Many"),
-                        event.whole("Bad"), event.tenths("LagNs", 0), event.tenths("LatenessNs", 0));
+                rules.countsReceived(build(event.intValue("Image")), method(event), event.longValue("Many"),
+                        event.longValue("Bad"), event.tenthsOfMs("LagNs", 0), event.tenthsOfMs("LatenessNs", 0));
                 break;
             case "Contested":
-                rules.wrongAnswerReported(appliance(event.whole("Appliance")), method(event),
-                        event.tenths("LatenessNs", 0));
+                rules.wrongAnswerReported(appliance(event.longValue("Appliance")), method(event),
+                        event.tenthsOfMs("LatenessNs", 0));
                 break;
             case "Fired":
                 rules.wakeUpReceived();
@@ -96,35 +96,35 @@
         }
     }
 
-    private void completed(Fields event) throws Malformed {
+    private void completed(JsonObject event) throws Malformed {
         Rpc rpc = rpcs.get(event.text("Xid"));
         if (rpc == null) {
             return;
         }
-        int pickIndex = event.index("Go");
+        int pickIndex = event.intValue("Go");
         if (pickIndex >= rpc.picks.size()) {
             throw new Malformed("attempt " + pickIndex + " was never sent");
         }
-        rules.pickEnded(rpc, pickIndex, event.index("Reason"), event.flag("NoMore", false), event.tenths("LagNs"));
+        rules.pickEnded(rpc, pickIndex, event.intValue("Reason"), event.bool("NoMore", false), event.tenthsOfMs("LagNs"));
         removeIfDone(rpc);
     }
 
-    private void applyList(Fields event, Map<Long, List<Fields>> lists) throws Malformed {
+    private void applyList(JsonObject event, Map<Long, List<JsonObject>> lists) throws Malformed {
         String mode = event.text("Mode");
         if (mode.equals("error")) {
             rules.listCallFailed();
             return;
         }
-        long listId = event.whole("Sheet");
+        long listId = event.longValue("Sheet");
         if (!lists.containsKey(listId)) {
             throw new Malformed("list " + listId + " was not sent");
         }
         rules.listStarted(!mode.equals("diff"), mode.equals("disk"));
-        for (Fields entry : lists.get(listId)) {
-            rules.applianceListed(appliance(entry.whole("Appliance")), build(entry.rounded("Edition")),
-                    location(entry.index("RegionPart", 0)), entry.index("Pack", 0),
+        for (JsonObject entry : lists.get(listId)) {
+            rules.applianceListed(appliance(entry.longValue("Appliance")), build(entry.roundedInt("Edition")),
+                    location(entry.intValue("RegionPart", 0)), entry.intValue("Pack", 0),
                     parseState(entry.text("Availability")),
-                    entry.whole("LastStartNs", 0) == 0 ? Fleet.LONG_AGO : entry.tenths("LastStartNs"));
+                    entry.longValue("LastStartNs", 0) == 0 ? Fleet.LONG_AGO : entry.tenthsOfMs("LastStartNs"));
         }
         rules.listCompleted();
     }
@@ -142,8 +142,8 @@
         }
     }
 
-    private Method method(Fields event) throws Malformed {
-        int index = event.index("Category");
+    private Method method(JsonObject event) throws Malformed {
+        int index = event.intValue("Category");
         if (index >= methods.size()) {
             throw new Malformed("unknown Category " + index);
         }
@@ -191,7 +191,7 @@
         write("PassOn", () -> {
             out.writeStringField("Xid", rpc.id);
             out.writeNumberField("Appliance", appliance.id);
-            out.writeNumberField("WithinNs", within * Fields.NS);
+            out.writeNumberField("WithinNs", within * JsonObject.NANOS_PER_TENTH_MS);
         });
     }
 
@@ -199,7 +199,7 @@
     public void pushBack(Rpc rpc, long retryAfter) {
         write("TurnAway", () -> {
             out.writeStringField("Xid", rpc.id);
-            out.writeNumberField("NotBeforeForNs", retryAfter * Fields.NS);
+            out.writeNumberField("NotBeforeForNs", retryAfter * JsonObject.NANOS_PER_TENTH_MS);
         });
         removeIfDone(rpc);
     }
@@ -245,7 +245,7 @@
     @Override
     public void wakeAfter(long delay) {
         write("SetAlarm", () -> {
-            out.writeNumberField("FromNowNs", delay * Fields.NS);
+            out.writeNumberField("FromNowNs", delay * JsonObject.NANOS_PER_TENTH_MS);
             out.writeNumberField("Token", 0);
         });
     }
--- a/src/main/java/honeygap/wire/WireHost.java
+++ b/src/main/java/honeygap/wire/WireHost.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
@@ -33,7 +33,7 @@
     private final Map<Long, WireAgent> agents = new HashMap<>();
     /** Agents whose rules have thrown an exception; their events are ignored until they boot again. */
     private final Set<Long> failedAgents = new LinkedHashSet<>();
-    private final Map<Long, List<Fields>> lists = new HashMap<>();
+    private final Map<Long, List<JsonObject>> lists = new HashMap<>();
     private byte[] line = new byte[1 << 16];
     private int length;
 
@@ -63,16 +63,16 @@
     }
 
     private void answerBatch() throws IOException, Malformed {
-        Fields batch;
+        JsonObject batch;
         try (JsonParser parser = jsonFactory.createParser(line, 0, length)) {
-            batch = Fields.document(parser);
+            batch = JsonObject.parse(parser);
             if (parser.nextToken() != null) {
                 throw new Malformed("more than one value");
             }
         }
-        long now = batch.tenths("TimeNs");
+        long now = batch.tenthsOfMs("TimeNs");
         Set<Long> affectedAgents = new LinkedHashSet<>();
-        for (Fields event : batch.objects("msgs")) {
+        for (JsonObject event : batch.objects("msgs")) {
             handleEvent(now, event, affectedAgents);
         }
         JsonGenerator reply = jsonFactory.createGenerator(out, JsonEncoding.UTF8);
@@ -89,19 +89,19 @@
         out.flush();
     }
 
-    private void handleEvent(long now, Fields event, Set<Long> affectedAgents) throws Malformed {
+    private void handleEvent(long now, JsonObject event, Set<Long> affectedAgents) throws Malformed {
         String name = event.text("cmd");
         if (name.equals("Table")) {
-            lists.put(event.whole("Sheet"), event.objects("MembersList"));
+            lists.put(event.longValue("Sheet"), event.objects("MembersList"));
             return;
         }
         if (!EVENTS.contains(name)) {
             return;
         }
-        long agentId = event.whole("Who");
+        long agentId = event.longValue("Who");
         if (name.equals("Boot")) {
             failedAgents.remove(agentId);
-            agents.put(agentId, new WireAgent(agentId, now, event.whole("InitSeed"), event.object("BootInfo")));
+            agents.put(agentId, new WireAgent(agentId, now, event.longValue("InitSeed"), event.object("BootInfo")));
             affectedAgents.add(agentId);
             return;
         }
--- a/src/test/java/honeygap/capture/RoundTripTest.java
+++ b/src/test/java/honeygap/capture/RoundTripTest.java
@@ -25,8 +25,8 @@
 import honeygap.net.FlagProtocol;
 import honeygap.net.Loop;
 import honeygap.net.PostgresProtocol;
-import honeygap.read.Fields;
-import honeygap.read.FlagSheet;
+import honeygap.read.JsonObject;
+import honeygap.read.FlagSettings;
 import honeygap.standin.FlagServer;
 import honeygap.standin.StoreServer;
 import java.io.IOException;
@@ -100,9 +100,9 @@
                 + "'WindowNs':5000000000},"
                 + "{'Name':'assign','AimNs':400000000,'Effect':'non_idempotent','GiveUpNs':2000000000}],"
                 + "'Ceilings':{'MaxAttempts':2},'FamilyInfo':{}}}";
-        Fields settings;
+        JsonObject settings;
         try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
-            settings = Fields.document(parser);
+            settings = JsonObject.parse(parser);
         }
         Loop loop = new Loop();
         recorder = new Recorder(folder.resolve("recording"), "agent", maxFileBytes, 3600 * SECOND, maxFiles, ringBytes, mask);
@@ -424,7 +424,7 @@
         FlagServer server;
         try (java.io.InputStream in = getClass().getResourceAsStream("/flags.json");
                 JsonParser parser = new JsonFactory().createParser(in)) {
-            server = new FlagServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), Fields.document(parser));
+            server = new FlagServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), JsonObject.parse(parser));
         }
         Loop loop = new Loop();
         recorder = new Recorder(folder.resolve("recording"), "agent", 1 << 30, 3600 * SECOND, 3, 8 << 20,
@@ -432,11 +432,11 @@
         loop.setTrafficListener(recorder);
         String json = "{'listen':'127.0.0.1:0','servers':[{'name':'s','address':'127.0.0.1:"
                 + server.address().getPort() + "'}]}";
-        Fields settings;
+        JsonObject settings;
         try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
-            settings = Fields.document(parser);
+            settings = JsonObject.parse(parser);
         }
-        agent = new Agent(loop, List.of(new FlagProtocol(loop, FlagSheet.of(settings), 1)));
+        agent = new Agent(loop, List.of(new FlagProtocol(loop, FlagSettings.parse(settings), 1)));
         agent.start();
         HttpClient http = HttpClient.newHttpClient();
         String base = "http://127.0.0.1:" + agent.address(0).getPort() + "/ofrep/v1/";
--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -10,8 +10,8 @@
 import honeygap.net.FlagProtocol;
 import honeygap.net.Loop;
 import honeygap.net.door.AdminEndpoint;
-import honeygap.read.FlagSheet;
-import honeygap.read.Fields;
+import honeygap.read.FlagSettings;
+import honeygap.read.JsonObject;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
@@ -62,7 +62,7 @@
 
         void start(long generation) throws Exception {
             Loop loop = new Loop();
-            FlagProtocol flags = new FlagProtocol(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0','servers':[{'name':'s',"
+            FlagProtocol flags = new FlagProtocol(loop, FlagSettings.parse(fields("{'listen':'127.0.0.1:0','servers':[{'name':'s',"
                     + "'address':'127.0.0.1:9'}]}")), 1);
             agent = new Agent(loop, List.of(flags));
             adminEndpoint = new AdminEndpoint(loop, agent, "a" + number, folder.resolve("ledger" + number), "open", generation,
@@ -81,9 +81,9 @@
         }
     }
 
-    private static Fields fields(String json) throws Exception {
+    private static JsonObject fields(String json) throws Exception {
         try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         }
     }
 
@@ -136,12 +136,12 @@
                 + names + "\",\"atOnce\":" + maxConcurrent + ",\"failuresToPause\":0,\"withinMs\":4000}");
     }
 
-    private Fields operationReport(String id) throws Exception {
+    private JsonObject operationReport(String id) throws Exception {
         return fields(sendToManager("GET", "/v1/operations/" + id, "").substring(4));
     }
 
-    private Fields awaitEnd(String id) throws Exception {
-        Fields report = operationReport(id);
+    private JsonObject awaitEnd(String id) throws Exception {
+        JsonObject report = operationReport(id);
         while (Set.of("RUNNING", "CANCELLING").contains(report.text("state"))) {
             Thread.sleep(20);
             report = operationReport(id);
@@ -158,8 +158,8 @@
     }
 
     /** Checks the report against each agent's own ledger: no command is attributed wrongly or applied twice. */
-    private void assertMatchesLedgers(String id, Fields report) throws Exception {
-        for (Fields step : report.objects("steps")) {
+    private void assertMatchesLedgers(String id, JsonObject report) throws Exception {
+        for (JsonObject step : report.objects("steps")) {
             Instance instance = instances.get(Integer.parseInt(step.text("instance").substring(1)));
             String ledger = Files.readString(folder.resolve("ledger" + instance.number));
             int times = ledger.split("\"id\":\"" + id + "\",\"number\":\\d+,\"action\":\"(drain|update|undrain)\"",
@@ -204,11 +204,11 @@
         });
         assertTrue(startOperation("op", "update", names(AGENT_COUNT), 1).startsWith("200"));
         killer.start();
-        Fields report = awaitEnd("op");
+        JsonObject report = awaitEnd("op");
         killer.join();
         assertMatchesLedgers("op", report);
         int applied = 0;
-        for (Fields step : report.objects("steps")) {
+        for (JsonObject step : report.objects("steps")) {
             applied += step.text("state").equals("APPLIED") ? 1 : 0;
         }
         assertTrue(applied >= AGENT_COUNT - 1, "applied " + applied);
@@ -268,7 +268,7 @@
                 "{\"context\":{}}", "");
         assertTrue(response.startsWith("503"), response);
         sendToManager("POST", "/v1/operations/d/cancel", "");
-        Fields report = awaitEnd("d");
+        JsonObject report = awaitEnd("d");
         assertEquals("CANCELLED", report.text("state"));
         assertMatchesLedgers("d", report);
         startOperation("u", "undrain", "a" + first.number + ",a" + drained.get(1).number, 2);
@@ -279,7 +279,7 @@
 
     /** Age in ms of the manager's latest report of the first agent. */
     private long reportAgeMs() throws Exception {
-        return fields(sendToManager("GET", "/v1/fleet", "").substring(4)).objects("instances").get(0).whole("ageMs");
+        return fields(sendToManager("GET", "/v1/fleet", "").substring(4)).objects("instances").get(0).longValue("ageMs");
     }
 
     /** A manager that is closed during an operation continues it after a restart. */
@@ -293,7 +293,7 @@
         }
         manager.close();
         startManager();
-        Fields report = awaitEnd("op");
+        JsonObject report = awaitEnd("op");
         assertEquals("DONE", report.text("state"));
         assertMatchesLedgers("op", report);
         for (Instance instance : instances) {
--- a/src/test/java/honeygap/net/FlagStressTest.java
+++ b/src/test/java/honeygap/net/FlagStressTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.read.FlagSheet;
+import honeygap.read.FlagSettings;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -184,11 +184,11 @@
         }
     }
 
-    private static FlagSheet settings(List<Server> servers) throws Exception {
+    private static FlagSettings settings(List<Server> servers) throws Exception {
         List<String> entries = new ArrayList<>();
         servers.stream().filter(server -> !server.status.equals("removed"))
                 .forEach(server -> entries.add(server.settingsEntry()));
-        return FlagSheet.of(FlagsTest.fields("{'listen':'127.0.0.1:0','methods':{'one':{'aim':'100ms','deadline':'1s'},"
+        return FlagSettings.parse(FlagsTest.fields("{'listen':'127.0.0.1:0','methods':{'one':{'aim':'100ms','deadline':'1s'},"
                 + "'all':{'aim':'100ms','deadline':'1s'},'track':{'deadline':'1s'},'tracked':{'deadline':'1s',"
                 + "'window':'" + TOKEN_WINDOW_MS + "ms'}},'rollout':{'caps':[" + CAP + "],'window':'" + EXPOSURE_WINDOW_MS
                 + "ms','soak':'1h','guarded':1},'cold':{'from':0.5,'warmAfter':'" + COLD_PERIOD_MS + "ms'},"
@@ -265,7 +265,7 @@
 
     /** Reloads the settings and returns once the agent has applied them. */
     private static void reloadAndWait(Agent agent, FlagProtocol flags, List<Server> servers) throws Exception {
-        FlagSheet settings = settings(servers);
+        FlagSettings settings = settings(servers);
         agent.reload(List.of(() -> flags.reload(settings)));
         CountDownLatch processed = new CountDownLatch(1);
         agent.runOnLoop(() -> agent.runOnLoop(() -> agent.runOnLoop(processed::countDown)));
--- a/src/test/java/honeygap/net/FlagsTest.java
+++ b/src/test/java/honeygap/net/FlagsTest.java
@@ -6,8 +6,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import honeygap.read.Fields;
-import honeygap.read.FlagSheet;
+import honeygap.read.JsonObject;
+import honeygap.read.FlagSettings;
 import honeygap.read.Malformed;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
@@ -251,9 +251,9 @@
         }
     }
 
-    static Fields fields(String json) throws IOException, Malformed {
+    static JsonObject fields(String json) throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         }
     }
 
@@ -272,8 +272,8 @@
         agent.start();
     }
 
-    private static FlagSheet configuration(String settings, String... servers) throws IOException, Malformed {
-        return FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + (settings.contains("'methods'") ? "" : SHORT_DEADLINES)
+    private static FlagSettings configuration(String settings, String... servers) throws IOException, Malformed {
+        return FlagSettings.parse(fields("{'listen':'127.0.0.1:0'," + (settings.contains("'methods'") ? "" : SHORT_DEADLINES)
                 + settings + "'servers':[" + String.join(",", servers) + "]}"));
     }
 
@@ -710,7 +710,7 @@
             in.read();
         });
         Loop loop = new Loop();
-        flags = new FlagProtocol(loop, FlagSheet.of(fields("{'listen':'127.0.0.1:0'," + SHORT_DEADLINES + "'list':{'address':'127.0.0.1:"
+        flags = new FlagProtocol(loop, FlagSettings.parse(fields("{'listen':'127.0.0.1:0'," + SHORT_DEADLINES + "'list':{'address':'127.0.0.1:"
                 + list.getLocalPort() + "'},'rollout':{'desk':{'address':'127.0.0.1:" + desk.getLocalPort()
                 + "'},'caps':[0.5],'soak':'1h'}}")), 7);
         agent = new Agent(loop, List.of(flags));
@@ -752,7 +752,7 @@
     @Test
     void malformedFileIsIgnored() throws Exception {
         ScriptedServer server = start("ok");
-        agent.reload(List.of(() -> flags.reload(FlagSheet.of(fields("{'listen':5}")))));
+        agent.reload(List.of(() -> flags.reload(FlagSettings.parse(fields("{'listen':5}")))));
         while (counter("agent", "not read") == 0) {
             Thread.onSpinWait();
         }
--- a/src/test/java/honeygap/net/Loopback.java
+++ b/src/test/java/honeygap/net/Loopback.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import honeygap.read.Fields;
+import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -542,9 +542,9 @@
         agent = new Agent(loop, List.of(queries));
     }
 
-    static Fields fields(String json) throws IOException, Malformed {
+    static JsonObject fields(String json) throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(json.replace('\'', '"'))) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         }
     }
 
--- a/src/test/java/honeygap/net/SdkTest.java
+++ b/src/test/java/honeygap/net/SdkTest.java
@@ -13,8 +13,8 @@
 import dev.openfeature.sdk.MutableContext;
 import dev.openfeature.sdk.OpenFeatureAPI;
 import dev.openfeature.sdk.Value;
-import honeygap.read.Fields;
-import honeygap.read.FlagSheet;
+import honeygap.read.JsonObject;
+import honeygap.read.FlagSettings;
 import honeygap.standin.FlagServer;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -43,10 +43,10 @@
         try (InputStream in = getClass().getResourceAsStream("/flags.json");
                 JsonParser parser = new JsonFactory().createParser(in)) {
             server = new FlagServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    Fields.document(parser));
+                    JsonObject.parse(parser));
         }
         Loop loop = new Loop();
-        FlagProtocol flags = new FlagProtocol(loop, FlagSheet.of(FlagsTest.fields("{'listen':'127.0.0.1:0','servers':["
+        FlagProtocol flags = new FlagProtocol(loop, FlagSettings.parse(FlagsTest.fields("{'listen':'127.0.0.1:0','servers':["
                 + FlagsTest.server("s", "127.0.0.1:" + server.address().getPort(), 1, "up") + "]}")), 7);
         agent = new Agent(loop, List.of(flags));
         agent.start();
@@ -90,11 +90,11 @@
         assertEquals("mine FLAG_NOT_FOUND", missing.getValue() + " " + missing.getErrorCode());
         FlagEvaluationDetails<Boolean> mismatch = client.getBooleanDetails("banner", true, context);
         assertEquals("true TYPE_MISMATCH", mismatch.getValue() + " " + mismatch.getErrorCode());
-        server.fail(500, 1);
+        server.setFailure(500, 1);
         FlagEvaluationDetails<String> failed = client.getStringDetails("banner", "mine", context);
         assertEquals("mine", failed.getValue());
         assertEquals(ErrorCode.GENERAL, failed.getErrorCode());
-        server.fail(0, 0);
+        server.setFailure(0, 0);
     }
 
     @Test
@@ -109,12 +109,12 @@
         poll.header("If-None-Match", entityTag);
         HttpResponse<String> unchanged = http.send(poll.build(), HttpResponse.BodyHandlers.ofString());
         assertEquals("304 ", unchanged.statusCode() + " " + unchanged.body());
-        server.take(FlagsTest.fields("{'version':2,'flags':{'banner':{'variants':{'a':'new'},'default':'a'}}}"));
+        server.setFlags(FlagsTest.fields("{'version':2,'flags':{'banner':{'variants':{'a':'new'},'default':'a'}}}"));
         HttpResponse<String> changed = http.send(poll.build(), HttpResponse.BodyHandlers.ofString());
         assertEquals(200, changed.statusCode());
         // After a rollback the flag set is older than what this client has received; neither the client nor its
         // targeting key may go back to it.
-        server.take(FlagsTest.fields("{'version':1,'flags':{'banner':{'variants':{'a':'old'},'default':'a'}}}"));
+        server.setFlags(FlagsTest.fields("{'version':1,'flags':{'banner':{'variants':{'a':'old'},'default':'a'}}}"));
         FlagEvaluationDetails<String> afterRollback =
                 client.getStringDetails("banner", "mine", new MutableContext("u1"));
         assertEquals("mine", afterRollback.getValue());
--- a/src/test/java/honeygap/read/DeploymentTest.java
+++ b/src/test/java/honeygap/read/DeploymentTest.java
@@ -51,9 +51,9 @@
              "FamilyInfo": {"GateMode": "first_voice", "SampledShare": 0.5, "KeysStay": true}}
             """;
 
-    private static Fields parse(String json) throws IOException, Malformed {
+    private static JsonObject parse(String json) throws IOException, Malformed {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
-            return Fields.document(parser);
+            return JsonObject.parse(parser);
         }
     }
 
@@ -62,39 +62,39 @@
                 method.utility, method.lateUtility);
     }
 
-    private static void assertFirstSettings(Fields info) throws Malformed {
-        List<Method> methods = Deployment.methods(info);
+    private static void assertFirstSettings(JsonObject info) throws Malformed {
+        List<Method> methods = DeploymentSettings.methods(info);
         assertEquals(3, methods.size());
         assertEquals(List.of(Method.IDEMPOTENT, Method.SCOPE_ALL, 0L, 3500L, 10_000L, 2.0, 0.1), propertiesOf(methods.get(0)));
         assertEquals(List.of(Method.TOKENED, Method.SCOPE_ALL, 7000L, 4500L, 12_000L, 6.0, 0.0), propertiesOf(methods.get(1)));
         assertEquals(List.of(Method.NON_IDEMPOTENT, Method.SCOPE_ALL, 0L, 2500L, 8000L, 1.0, 0.0), propertiesOf(methods.get(2)));
-        assertEquals(new RetryLimits(4, true, 4000), Deployment.tries(info));
-        assertEquals(new ColdStartSettings(0.4, 20_000, 3, 12_000), Deployment.cold(info));
-        assertEquals(new DeskSettings(DeskSettings.BY_COUNT, 50_000, 15_000, 15_000, 2, 60, 0.25, 15_000), Deployment.desk(info));
-        ExposureSettings exposure = Deployment.exposure(info);
+        assertEquals(new RetryLimits(4, true, 4000), DeploymentSettings.tries(info));
+        assertEquals(new ColdStartSettings(0.4, 20_000, 3, 12_000), DeploymentSettings.cold(info));
+        assertEquals(new DeskSettings(DeskSettings.BY_COUNT, 50_000, 15_000, 15_000, 2, 60, 0.25, 15_000), DeploymentSettings.desk(info));
+        ExposureSettings exposure = DeploymentSettings.exposure(info);
         assertArrayEquals(new double[] {0.1, 0.3, 1}, exposure.caps());
         assertArrayEquals(new double[] {0.05, 0.2, 1}, exposure.stageShares());
         assertEquals(List.of(25_000L, 1.0, true, 1, false), List.of(exposure.window(), exposure.freeAllowance(),
                 exposure.perMethod(), exposure.idempotentOnlyStages(), exposure.stickyKeys()));
-        assertEquals(new ListSettings(false, true, 0, 0), Deployment.onWire(info));
-        assertEquals(new ListSettings(true, true, 60_000, 0), Deployment.onSockets(info));
+        assertEquals(new ListSettings(false, true, 0, 0), DeploymentSettings.simulatorListing(info));
+        assertEquals(new ListSettings(true, true, 60_000, 0), DeploymentSettings.socketListing(info));
     }
 
-    private static void assertSecondSettings(Fields info) throws Malformed {
-        List<Method> methods = Deployment.methods(info);
+    private static void assertSecondSettings(JsonObject info) throws Malformed {
+        List<Method> methods = DeploymentSettings.methods(info);
         assertEquals(2, methods.size());
         assertEquals(List.of(Method.IDEMPOTENT, Method.SCOPE_ALL, 0L, 9000L, 35_000L, 1.0, 0.0), propertiesOf(methods.get(0)));
         assertEquals(List.of(Method.TOKENED, Method.SCOPE_ZONE, 80_000L, 13_000L, 45_000L, 5.0, 0.0),
                 propertiesOf(methods.get(1)));
-        assertEquals(new RetryLimits(2, false, 0), Deployment.tries(info));
-        assertEquals(new ColdStartSettings(1, 0, 1, 0), Deployment.cold(info));
-        assertEquals(new DeskSettings(DeskSettings.FIRST_VOTE, 0, 20_000, 0, 1, 1, 0, 0), Deployment.desk(info));
-        ExposureSettings exposure = Deployment.exposure(info);
+        assertEquals(new RetryLimits(2, false, 0), DeploymentSettings.tries(info));
+        assertEquals(new ColdStartSettings(1, 0, 1, 0), DeploymentSettings.cold(info));
+        assertEquals(new DeskSettings(DeskSettings.FIRST_VOTE, 0, 20_000, 0, 1, 1, 0, 0), DeploymentSettings.desk(info));
+        ExposureSettings exposure = DeploymentSettings.exposure(info);
         assertEquals(List.of(0, 0, 0L, 0.0, false, 0, true), List.of(exposure.caps().length, exposure.stageShares().length,
                 exposure.window(), exposure.freeAllowance(), exposure.perMethod(), exposure.idempotentOnlyStages(),
                 exposure.stickyKeys()));
-        assertEquals(new ListSettings(true, false, 90_000, 0), Deployment.onWire(info));
-        assertEquals(new ListSettings(true, false, 90_000, 0), Deployment.onSockets(info));
+        assertEquals(new ListSettings(true, false, 90_000, 0), DeploymentSettings.simulatorListing(info));
+        assertEquals(new ListSettings(true, false, 90_000, 0), DeploymentSettings.socketListing(info));
     }
 
     /** With a drain rule the list has a lease: the maximum poll interval, at most the protocol's six seconds. */
@@ -103,9 +103,9 @@
         "'\"StopSendingWithinNs\": 500000000, \"MustAskInNs\": 10000000000', 60000",
         "'\"StopSendingWithinNs\": 500000000, \"MustAskInNs\": 2000000000', 20000"})
     void leaseOfTheList(String rules, long lease) throws Exception {
-        Fields info = parse("{\"RegistryMode\": \"ask\", \"Rules\": {" + rules + "}}");
-        assertEquals(lease, Deployment.onSockets(info).lease());
-        assertEquals(0, Deployment.onWire(info).lease());
+        JsonObject info = parse("{\"RegistryMode\": \"ask\", \"Rules\": {" + rules + "}}");
+        assertEquals(lease, DeploymentSettings.socketListing(info).lease());
+        assertEquals(0, DeploymentSettings.simulatorListing(info).lease());
     }
 
     /** Parses both deployments alternately in one process: no state may carry over from one to the other. */
@@ -147,7 +147,7 @@
                 """.formatted(FIRST);
         // The settings are accepted without the modification.
         new PostgresProtocol(new Loop(), parse(valid));
-        Fields malformed = parse(valid.replace(original, replacement));
+        JsonObject malformed = parse(valid.replace(original, replacement));
         assertEquals("field " + expected, assertThrows(Malformed.class, () -> new PostgresProtocol(new Loop(), malformed)).getMessage());
     }
 
@@ -161,7 +161,7 @@
                  "settings": %s}
                 """.formatted(SECOND);
         PostgresProtocol queries = new PostgresProtocol(new Loop(), parse(valid));
-        Fields malformed = parse(update);
+        JsonObject malformed = parse(update);
         assertEquals("field " + expected, assertThrows(Malformed.class, () -> queries.reload(malformed)).getMessage());
     }
 }
