--- a/src/main/java/honeygap/lab/Member.java
+++ b/src/main/java/honeygap/lab/AgentProcess.java
@@ -22,7 +22,7 @@
  * its own fault proxy. The process ends with the test JVM, even if that is killed: a parent shell reads a pipe from the
  * JVM and kills the process when the pipe is closed.
  */
-public final class Member implements AutoCloseable {
+public final class AgentProcess implements AutoCloseable {
 
     private static final int READY_S = 30;
     private static final HttpClient CLIENT = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
@@ -31,7 +31,7 @@
     public final String name;
     public final String site;
     private final Path folder;
-    private final Gate proxy;
+    private final FaultProxy proxy;
     private final List<String> jvmCommand;
     private final List<InetSocketAddress> seeds;
     private Process process;
@@ -43,7 +43,7 @@
      * @param folder working folder of this process alone
      * @param jvmCommand command line of the JVM with flags and class path, up to the main class
      */
-    public Member(String name, String site, Path folder, Gate proxy, List<String> jvmCommand,
+    public AgentProcess(String name, String site, Path folder, FaultProxy proxy, List<String> jvmCommand,
             List<InetSocketAddress> seeds) throws IOException {
         this.name = name;
         this.site = site;
@@ -116,12 +116,12 @@
     }
 
     /** Address of the admin endpoint; null before the first start. */
-    public InetSocketAddress door() {
+    public InetSocketAddress adminEndpoint() {
         return adminEndpoint;
     }
 
     /** Lines of the log that contain the given text. */
-    public String log(String part) throws IOException {
+    public String logLinesWith(String part) throws IOException {
         return Files.readAllLines(logFile()).stream().filter(line -> line.contains(part))
                 .reduce("", (a, b) -> a + b + "\n");
     }
@@ -142,7 +142,7 @@
     }
 
     /** Body of the response of the admin endpoint, read without the fault proxy; empty if there is no response. */
-    public String ask(String path) throws InterruptedException {
+    public String get(String path) throws InterruptedException {
         try {
             return CLIENT.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + adminEndpoint.getPort() + path))
                     .timeout(Duration.ofSeconds(2)).build(), HttpResponse.BodyHandlers.ofString()).body();
--- a/src/main/java/honeygap/lab/Gate.java
+++ b/src/main/java/honeygap/lab/FaultProxy.java
@@ -17,7 +17,7 @@
  * Forward proxy on loopback that carries all outgoing calls of one process, so that a test knows the caller of each
  * call and can inject a network fault into it. Uses one thread per connection; meant for tests only.
  */
-public final class Gate implements AutoCloseable {
+public final class FaultProxy implements AutoCloseable {
 
     private static final int LATE_MS = 2000;
     private static final int SILENT_MS = 10_000;
@@ -31,7 +31,7 @@
      *
      * @param faults returns the fault to inject into a call to the given address; asked once per call
      */
-    public Gate(Function<InetSocketAddress, Fault> faults) throws IOException {
+    public FaultProxy(Function<InetSocketAddress, Fault> faults) throws IOException {
         this.faults = faults;
         server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         startThread(() -> {
--- a/src/test/java/honeygap/share/SitesTest.java
+++ b/src/test/java/honeygap/share/SitesTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import honeygap.lab.Fault;
-import honeygap.lab.Gate;
-import honeygap.lab.Member;
+import honeygap.lab.FaultProxy;
+import honeygap.lab.AgentProcess;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -39,7 +39,7 @@
 
     @TempDir
     private Path folder;
-    private final List<Member> members = new ArrayList<>();
+    private final List<AgentProcess> members = new ArrayList<>();
     /** Faults by caller and callee, as "p0>p3". */
     private final Map<String, Fault> faults = new ConcurrentHashMap<>();
     private final Map<Integer, String> namesByPort = new ConcurrentHashMap<>();
@@ -49,23 +49,23 @@
         List<CompletableFuture<Void>> starting = new ArrayList<>();
         for (int i = 0; i < memberCount; i++) {
             String name = "p" + i;
-            Gate gate = new Gate(to -> faults.getOrDefault(name + ">" + namesByPort.get(to.getPort()), Fault.NONE));
-            Member member = new Member(name, "s" + i % 2, folder.resolve(name), gate, JAVA, List.copyOf(seeds));
+            FaultProxy gate = new FaultProxy(to -> faults.getOrDefault(name + ">" + namesByPort.get(to.getPort()), Fault.NONE));
+            AgentProcess member = new AgentProcess(name, "s" + i % 2, folder.resolve(name), gate, JAVA, List.copyOf(seeds));
             members.add(member);
             starting.add(CompletableFuture.runAsync(() -> startMember(member)));
             if (i < 2) {
                 // The first two are the seeds of the others.
                 starting.get(i).join();
-                seeds.add(member.door());
+                seeds.add(member.adminEndpoint());
             }
         }
         starting.forEach(CompletableFuture::join);
     }
 
-    private void startMember(Member member) {
+    private void startMember(AgentProcess member) {
         try {
             member.start();
-            namesByPort.put(member.door().getPort(), member.name);
+            namesByPort.put(member.adminEndpoint().getPort(), member.name);
         } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -73,15 +73,15 @@
 
     @AfterEach
     void closeMembers() throws IOException {
-        for (Member member : members) {
+        for (AgentProcess member : members) {
             member.close();
         }
     }
 
-    private Map<String, String> standingsSeenBy(Member member) {
+    private Map<String, String> standingsSeenBy(AgentProcess member) {
         Map<String, String> standings = new TreeMap<>();
         try {
-            Matcher matcher = STANDING.matcher(member.ask("/v1/share/members"));
+            Matcher matcher = STANDING.matcher(member.get("/v1/share/members"));
             while (matcher.find()) {
                 standings.put(matcher.group(1), matcher.group(2));
             }
@@ -91,7 +91,7 @@
         return standings;
     }
 
-    private boolean allObserve(List<Member> observers, Member observed, String standing) {
+    private boolean allObserve(List<AgentProcess> observers, AgentProcess observed, String standing) {
         return observers.stream().allMatch(member -> member == observed
                 || standing.equals(standingsSeenBy(member).get(observed.name)));
     }
@@ -107,18 +107,18 @@
             if (System.nanoTime() > end) {
                 StringBuilder report = new StringBuilder(description + ", not reached in time: ");
                 members.forEach(member -> report.append(member.name).append(' ').append(standingsSeenBy(member)).append("; "));
-                throw new AssertionError(report + members.get(0).log("WARN") + members.get(0).log("ERROR"));
+                throw new AssertionError(report + members.get(0).logLinesWith("WARN") + members.get(0).logLinesWith("ERROR"));
             }
             Thread.sleep(50);
         }
     }
 
-    private long counter(Member member, String name) throws InterruptedException {
-        Matcher matcher = Pattern.compile('"' + name + "\":([0-9]+)").matcher(member.ask("/v1/inspect"));
+    private long counter(AgentProcess member, String name) throws InterruptedException {
+        Matcher matcher = Pattern.compile('"' + name + "\":([0-9]+)").matcher(member.get("/v1/inspect"));
         return matcher.find() ? Long.parseLong(matcher.group(1)) : -1;
     }
 
-    private long generationsRaised(Member member) {
+    private long generationsRaised(AgentProcess member) {
         try {
             return Math.max(0, counter(member, "generations raised"));
         } catch (InterruptedException e) {
@@ -145,22 +145,22 @@
     void killedAndStoppedProcessesReturn() throws Exception {
         start(6);
         awaitCondition("all see each other alive", this::allAlive);
-        Member killed = members.get(4);
-        List<Member> others = members.stream().filter(member -> member != killed).toList();
+        AgentProcess killed = members.get(4);
+        List<AgentProcess> others = members.stream().filter(member -> member != killed).toList();
         killed.kill();
         awaitCondition("the killed process is considered dead", () -> allObserve(others, killed, "DEAD"));
         assertTrue(others.stream().allMatch(observed -> others.stream().allMatch(observer -> observer == observed
                 || !"DEAD".equals(standingsSeenBy(observer).get(observed.name)))));
         killed.start();
         awaitCondition("the restarted process is alive", this::allAlive);
-        Member stopped = members.get(3);
-        List<Member> running = members.stream().filter(member -> member != stopped).toList();
+        AgentProcess stopped = members.get(3);
+        List<AgentProcess> running = members.stream().filter(member -> member != stopped).toList();
         stopped.signal("STOP");
         awaitCondition("the stopped process is suspected", () -> running.stream().allMatch(observer ->
                 !"ALIVE".equals(standingsSeenBy(observer).get(stopped.name))));
         stopped.signal("CONT");
         awaitCondition("the continued process is alive", this::allAlive);
-        for (Member member : members) {
+        for (AgentProcess member : members) {
             assertEquals(0, counter(member, "locks out of order") + counter(member, "locks held over waits")
                     + counter(member, "workers died") + counter(member, "work failed"), member.name);
         }
@@ -188,9 +188,9 @@
         assertTrue(fault != Fault.SPOILT || counter(members.get(0), "spoilt") > 0);
     }
 
-    private static boolean membersContain(Member member, String expected) {
+    private static boolean membersContain(AgentProcess member, String expected) {
         try {
-            return member.ask("/v1/share/members").contains(expected);
+            return member.get("/v1/share/members").contains(expected);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -202,8 +202,8 @@
     void duplicateNameIsDetected() throws Exception {
         start(2);
         awaitCondition("both see each other alive", this::allAlive);
-        Member duplicate = new Member("p1", "s1", folder.resolve("other"), new Gate(to -> Fault.NONE), JAVA,
-                List.of(members.get(0).door()));
+        AgentProcess duplicate = new AgentProcess("p1", "s1", folder.resolve("other"), new FaultProxy(to -> Fault.NONE), JAVA,
+                List.of(members.get(0).adminEndpoint()));
         members.add(duplicate);
         duplicate.start();
         awaitCondition("the name is in doubt", () -> "DOUBTED".equals(standingsSeenBy(members.get(0)).get("p1")));
@@ -219,7 +219,7 @@
     void invalidBodiesAreRejected() throws Exception {
         start(2);
         awaitCondition("both see each other alive", this::allAlive);
-        Member receiver = members.get(0);
+        AgentProcess receiver = members.get(0);
         String[][] bodies = {
             {"{", "400"}, {"{\"from\":\"x\",\"version\":1,\"tables\":{\"load\":{\"digest\":[[1,2,3]]}}}", "400"},
             {"{\"from\":\"x\",\"version\":1,\"tables\":{\"load\":{\"digest\":[[\"a\",\"b\",\"3\"]]}}}", "400"},
@@ -236,8 +236,8 @@
      * Sends a request and returns the status. A body that is announced as too long is rejected by its header and
      * therefore not sent, as the response could get lost otherwise.
      */
-    private static String post(Member to, String body) throws IOException {
-        try (Socket socket = new Socket(to.door().getAddress(), to.door().getPort())) {
+    private static String post(AgentProcess to, String body) throws IOException {
+        try (Socket socket = new Socket(to.adminEndpoint().getAddress(), to.adminEndpoint().getPort())) {
             socket.setSoTimeout(20_000);
             String head = "POST /v1/share/exchange HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
                     + "\r\n\r\n";
