--- a/src/main/java/honeygap/capture/Reading.java
+++ b/src/main/java/honeygap/capture/MergedCaptureReader.java
@@ -17,10 +17,10 @@
 import java.util.TreeMap;
 
 /** Reads one or more capture files, merged by packet time, as packets, TCP streams or RPCs. */
-public final class Reading implements Closeable {
+public final class MergedCaptureReader implements Closeable {
 
     /** Receives each packet in order. */
-    public interface Hearer {
+    public interface PacketListener {
 
         void packet(Packet packet) throws IOException;
     }
@@ -38,7 +38,7 @@
 
         @Override
         public int compareTo(OpenFile other) {
-            int order = Long.compare(packet.at, other.packet.at);
+            int order = Long.compare(packet.timestampNs, other.packet.timestampNs);
             return order != 0 ? order : Integer.compare(number, other.number);
         }
     }
@@ -51,7 +51,7 @@
     private long firstTimestampNs = Long.MAX_VALUE;
     private long lastTimestampNs = Long.MIN_VALUE;
 
-    public Reading(List<Path> paths) throws IOException {
+    public MergedCaptureReader(List<Path> paths) throws IOException {
         try {
             for (Path path : paths) {
                 files.add(new OpenFile(new CaptureReader(path), files.size()));
@@ -82,13 +82,13 @@
         }
         packets++;
         bytes += current.packet.length;
-        firstTimestampNs = Math.min(firstTimestampNs, current.packet.at);
-        lastTimestampNs = Math.max(lastTimestampNs, current.packet.at);
+        firstTimestampNs = Math.min(firstTimestampNs, current.packet.timestampNs);
+        lastTimestampNs = Math.max(lastTimestampNs, current.packet.timestampNs);
         return current.packet;
     }
 
     /** Reads all remaining packets as conversations; returns counts of RPCs, connections and irregularities by kind. */
-    public Map<String, Long> conversations(Conversation.Hearer listener, Hearer packetListener) throws IOException {
+    public Map<String, Long> conversations(Conversation.Hearer listener, PacketListener packetListener) throws IOException {
         Conversations conversations = new Conversations(listener);
         Map<String, Long> counts = streams(conversations, packetListener);
         counts.putAll(conversations.counts());
@@ -98,14 +98,14 @@
     }
 
     /** Reads all remaining packets as TCP streams; returns counts of irregularities by kind. */
-    public Map<String, Long> streams(Reassembly.Out listener, Hearer packetListener) throws IOException {
+    public Map<String, Long> streams(Reassembly.Listener listener, PacketListener packetListener) throws IOException {
         Decoder decoder = new Decoder();
         Reassembly reassembly = new Reassembly();
         Segment segment = new Segment();
         for (Packet packet = next(); packet != null; packet = next()) {
             packetListener.packet(packet);
-            if (decoder.read(packet, segment)) {
-                reassembly.take(segment);
+            if (decoder.decode(packet, segment)) {
+                reassembly.addSegment(segment);
                 drain(reassembly, listener);
             }
         }
@@ -116,8 +116,8 @@
         return counts;
     }
 
-    private static void drain(Reassembly reassembly, Reassembly.Out listener) {
-        while (reassembly.next(listener)) {
+    private static void drain(Reassembly reassembly, Reassembly.Listener listener) {
+        while (reassembly.deliverNext(listener)) {
             continue;
         }
     }
@@ -143,11 +143,11 @@
     }
 
     /** Earliest packet time, in nanoseconds since the Unix epoch. */
-    public long firstAt() {
+    public long firstTimestampNs() {
         return firstTimestampNs;
     }
 
-    public long lastAt() {
+    public long lastTimestampNs() {
         return lastTimestampNs;
     }
 
--- a/src/main/java/honeygap/capture/file/CaptureInput.java
+++ b/src/main/java/honeygap/capture/file/CaptureInput.java
@@ -83,9 +83,9 @@
         try {
             in = isGzip ? new GZIPInputStream(raw, BUFFER_BYTES) : isZstd ? new ZstdInputStream(raw) : raw;
         } catch (ZipException e) {
-            throw new Spoilt(name, 0, "compression", "not gzip: " + e.getMessage());
+            throw new MalformedCaptureException(name, 0, "compression", "not gzip: " + e.getMessage());
         } catch (EOFException e) {
-            throw new Spoilt(name, 0, "compression", "incomplete gzip header");
+            throw new MalformedCaptureException(name, 0, "compression", "incomplete gzip header");
         }
     }
 
@@ -107,13 +107,13 @@
             isTruncated = true;
             return false;
         } catch (ZipException e) {
-            throw new Spoilt(name, bufferEndOffset, "compression", "invalid gzip data: " + e.getMessage());
+            throw new MalformedCaptureException(name, bufferEndOffset, "compression", "invalid gzip data: " + e.getMessage());
         } catch (IOException e) {
             if (isCompressed && String.valueOf(e.getMessage()).contains("runcated")) {
                 isTruncated = true;
                 return false;
             }
-            throw isCompressed ? new Spoilt(name, bufferEndOffset, "compression",
+            throw isCompressed ? new MalformedCaptureException(name, bufferEndOffset, "compression",
                         "invalid compressed data: " + e.getMessage()) : e;
         }
         if (count <= 0) {
@@ -124,7 +124,7 @@
         limit = count;
         bufferEndOffset += count;
         if (isCompressed && bufferEndOffset > EXPANSION_CHECK_BYTES && bufferEndOffset / MAX_EXPANSION > raw.count) {
-            throw new Spoilt(name, bufferEndOffset, "bomb",
+            throw new MalformedCaptureException(name, bufferEndOffset, "bomb",
                     "decompresses to more than " + MAX_EXPANSION + " times its size");
         }
         return true;
--- a/src/main/java/honeygap/capture/file/CaptureReader.java
+++ b/src/main/java/honeygap/capture/file/CaptureReader.java
@@ -69,7 +69,7 @@
                 truncation = "the compressed data is cut off before its first complete block";
                 return;
             }
-            throw new Spoilt(input.name, 0, "not a capture", "too short for a capture file");
+            throw new MalformedCaptureException(input.name, 0, "not a capture", "too short for a capture file");
         }
         int bigEndian = ByteBuffer.wrap(magic).getInt();
         isPcapng = bigEndian == SECTION_HEADER_BLOCK;
@@ -80,7 +80,7 @@
         int littleEndian = Integer.reverseBytes(bigEndian);
         if (bigEndian != PCAP_MAGIC_MICROS && bigEndian != PCAP_MAGIC_NANOS
                 && littleEndian != PCAP_MAGIC_MICROS && littleEndian != PCAP_MAGIC_NANOS) {
-            throw new Spoilt(input.name, 0, "not a capture", "neither pcap nor pcapng");
+            throw new MalformedCaptureException(input.name, 0, "not a capture", "neither pcap nor pcapng");
         }
         byteOrder = bigEndian == PCAP_MAGIC_MICROS || bigEndian == PCAP_MAGIC_NANOS ? ByteOrder.BIG_ENDIAN
                 : ByteOrder.LITTLE_ENDIAN;
@@ -93,7 +93,7 @@
         }
         ByteBuffer header = wrap(20);
         if (header.getShort(0) != 2) {
-            throw new Spoilt(input.name, 4, "version", "version " + header.getShort(0) + " of pcap is not supported");
+            throw new MalformedCaptureException(input.name, 4, "version", "version " + header.getShort(0) + " of pcap is not supported");
         }
         pcapInterface.snapLength = header.getInt(12);
         pcapInterface.linkType = header.getInt(16) & 0x0fffffff;
@@ -150,16 +150,16 @@
         ByteBuffer header = wrap(16);
         int length = header.getInt(8);
         if (length < 0 || length > MAX_PACKET_BYTES) {
-            throw new Spoilt(input.name, packet.fileOffset, "length", "packet " + (packets + 1) + " has length "
+            throw new MalformedCaptureException(input.name, packet.fileOffset, "length", "packet " + (packets + 1) + " has length "
                     + (length & 0xffffffffL));
         }
         if (!readData(packet, length, header.getInt(12))) {
             return false;
         }
         long fraction = header.getInt(4) & 0xffffffffL;
-        packet.at = timestampNs(pcapInterface,
+        packet.timestampNs = timestampNs(pcapInterface,
                 (header.getInt(0) & 0xffffffffL) * pcapInterface.ticksPerSecond + fraction);
-        packet.link = pcapInterface.linkType;
+        packet.linkType = pcapInterface.linkType;
         return true;
     }
 
@@ -195,7 +195,7 @@
         }
         int magic = ByteBuffer.wrap(buffer, 4, 4).getInt();
         if (magic != BYTE_ORDER_MAGIC && magic != Integer.reverseBytes(BYTE_ORDER_MAGIC)) {
-            throw new Spoilt(input.name, offset + 8, "byte order", "invalid byte-order magic in a section header");
+            throw new MalformedCaptureException(input.name, offset + 8, "byte order", "invalid byte-order magic in a section header");
         }
         byteOrder = magic == BYTE_ORDER_MAGIC ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN;
         int length = wrap(4).getInt(0);
@@ -208,22 +208,22 @@
         checkTrailingLength(offset, length, length - 12);
         short major = wrap(2).getShort(0);
         if (major != 1) {
-            throw new Spoilt(input.name, offset + 12, "version", "version " + major + " of pcapng is not supported");
+            throw new MalformedCaptureException(input.name, offset + 12, "version", "version " + major + " of pcapng is not supported");
         }
         interfaces.clear();
         return null;
     }
 
-    private void checkLength(long offset, int length, int minimum) throws Spoilt {
+    private void checkLength(long offset, int length, int minimum) throws MalformedCaptureException {
         if (length < minimum || length > MAX_BLOCK_BYTES || length % 4 != 0) {
-            throw new Spoilt(input.name, offset, "length", "a block has length " + (length & 0xffffffffL));
+            throw new MalformedCaptureException(input.name, offset, "length", "a block has length " + (length & 0xffffffffL));
         }
     }
 
-    private void checkTrailingLength(long offset, int length, int end) throws Spoilt {
+    private void checkTrailingLength(long offset, int length, int end) throws MalformedCaptureException {
         int trailingLength = wrap(end).getInt(end - 4);
         if (trailingLength != length) {
-            throw new Spoilt(input.name, offset, "length", "a block of length " + length + " ends with length "
+            throw new MalformedCaptureException(input.name, offset, "length", "a block of length " + length + " ends with length "
                     + (trailingLength & 0xffffffffL));
         }
     }
@@ -274,9 +274,9 @@
         }
     }
 
-    private void readInterface(long blockOffset, int length) throws Spoilt {
+    private void readInterface(long blockOffset, int length) throws MalformedCaptureException {
         if (length < 8 || interfaces.size() >= MAX_INTERFACES) {
-            throw new Spoilt(input.name, blockOffset, "interface",
+            throw new MalformedCaptureException(input.name, blockOffset, "interface",
                     "incomplete interface description, or too many interfaces");
         }
         ByteBuffer body = wrap(length);
@@ -292,7 +292,7 @@
                 break;
             }
             if (position + size > length) {
-                throw new Spoilt(input.name, blockOffset, "option", "an option is longer than its block");
+                throw new MalformedCaptureException(input.name, blockOffset, "option", "an option is longer than its block");
             }
             if (code == OPTION_TIME_RESOLUTION && size == 1) {
                 description.ticksPerSecond = ticksPerSecond(blockOffset, body.get(position) & 0xff);
@@ -302,17 +302,17 @@
             position += size + 3 & ~3;
         }
         if (Math.abs(description.offsetSeconds) > 1L << 33) {
-            throw new Spoilt(input.name, blockOffset, "option",
+            throw new MalformedCaptureException(input.name, blockOffset, "option",
                     "unsupported time offset of " + description.offsetSeconds + " s");
         }
         interfaces.add(description);
     }
 
-    private long ticksPerSecond(long blockOffset, int resolution) throws Spoilt {
+    private long ticksPerSecond(long blockOffset, int resolution) throws MalformedCaptureException {
         int exponent = resolution & 0x7f;
         boolean isBinary = resolution > 0x7f;
         if (exponent > (isBinary ? 62 : 18)) {
-            throw new Spoilt(input.name, blockOffset, "option",
+            throw new MalformedCaptureException(input.name, blockOffset, "option",
                     "unsupported time resolution: 10 or 2 to the power of -" + exponent);
         }
         long ticks = 1;
@@ -322,16 +322,16 @@
         return ticks;
     }
 
-    private void readPacketBlock(Packet packet, int type, int length) throws Spoilt {
+    private void readPacketBlock(Packet packet, int type, int length) throws MalformedCaptureException {
         ByteBuffer body = wrap(length);
         int headerLength = type == SIMPLE_PACKET_BLOCK ? 4 : 20;
         if (length < headerLength) {
-            throw new Spoilt(input.name, packet.fileOffset, "length", "a packet block of " + length + " bytes");
+            throw new MalformedCaptureException(input.name, packet.fileOffset, "length", "a packet block of " + length + " bytes");
         }
         int interfaceNumber = type == SIMPLE_PACKET_BLOCK ? 0
                 : type == ENHANCED_PACKET_BLOCK ? body.getInt(0) : body.getShort(0) & 0xffff;
         if (interfaceNumber < 0 || interfaceNumber >= interfaces.size()) {
-            throw new Spoilt(input.name, packet.fileOffset, "interface",
+            throw new MalformedCaptureException(input.name, packet.fileOffset, "interface",
                     "undefined interface " + (interfaceNumber & 0xffffffffL)
                     + " in its section");
         }
@@ -344,7 +344,7 @@
             captured = Math.min(captured, description.snapLength);
         }
         if (captured < 0 || captured > length - headerLength || captured > MAX_PACKET_BYTES) {
-            throw new Spoilt(input.name, packet.fileOffset, "length", "a packet of " + (captured & 0xffffffffL)
+            throw new MalformedCaptureException(input.name, packet.fileOffset, "length", "a packet of " + (captured & 0xffffffffL)
                     + " bytes in a block of " + (length + 12));
         }
         if (packet.data.length < captured) {
@@ -353,8 +353,8 @@
         System.arraycopy(buffer, headerLength, packet.data, 0, captured);
         packet.length = captured;
         packet.originalLength = originalLength < captured ? captured : originalLength;
-        packet.link = description.linkType;
-        packet.at = type == SIMPLE_PACKET_BLOCK ? 0
+        packet.linkType = description.linkType;
+        packet.timestampNs = type == SIMPLE_PACKET_BLOCK ? 0
                 : timestampNs(description, (body.getInt(4) & 0xffffffffL) << 32 | body.getInt(8) & 0xffffffffL);
     }
 
--- a/src/main/java/honeygap/capture/file/Strict.java
+++ b/src/main/java/honeygap/capture/file/CaptureVerifier.java
@@ -16,7 +16,7 @@
  * timestamps, IP and TCP checksums, and contiguous TCP sequence numbers for each connection. Shares no code with the
  * writer and the reader, so that a fault in them can't hide itself.
  */
-public final class Strict {
+public final class CaptureVerifier {
 
     private static final int MAX_FAULTS = 100;
 
@@ -29,7 +29,7 @@
     private long offset;
 
     /** Reads and verifies an uncompressed pcapng file; sequence numbers that skip forward are gaps, not faults. */
-    public Strict(InputStream uncompressed, boolean mayEndEarly) throws IOException {
+    public CaptureVerifier(InputStream uncompressed, boolean mayEndEarly) throws IOException {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(uncompressed))) {
             while (true) {
                 int type = in.read();
--- a/src/main/java/honeygap/capture/file/CaptureWriter.java
+++ b/src/main/java/honeygap/capture/file/CaptureWriter.java
@@ -49,26 +49,26 @@
     /** Writes a packet; in a pcap file all packets need the link type of the first one. */
     public void write(Packet packet) throws IOException {
         if (linkType < 0) {
-            begin(packet.link);
-        } else if (linkType != packet.link) {
+            writeFileHeader(packet.linkType);
+        } else if (linkType != packet.linkType) {
             if (!isPcapng) {
                 throw new IOException("a pcap file can't hold packets of more than one link type; use pcapng");
             }
-            useInterface(packet.link);
+            useInterface(packet.linkType);
         }
         header.clear();
         if (isPcapng) {
             int padded = packet.length + 3 & ~3;
-            header.putInt(6).putInt(32 + padded).putInt(interfaces.get(packet.link)).putInt((int) (packet.at >>> 32))
-                    .putInt((int) packet.at).putInt(packet.length).putInt(packet.originalLength);
+            header.putInt(6).putInt(32 + padded).putInt(interfaces.get(packet.linkType)).putInt((int) (packet.timestampNs >>> 32))
+                    .putInt((int) packet.timestampNs).putInt(packet.length).putInt(packet.originalLength);
             put();
             put(packet.data, packet.length);
             header.clear();
             header.position(padded - packet.length).putInt(32 + padded);
             put();
         } else {
-            header.putInt((int) Math.floorDiv(packet.at, 1_000_000_000L))
-                    .putInt((int) Math.floorMod(packet.at, 1_000_000_000L)).putInt(packet.length)
+            header.putInt((int) Math.floorDiv(packet.timestampNs, 1_000_000_000L))
+                    .putInt((int) Math.floorMod(packet.timestampNs, 1_000_000_000L)).putInt(packet.length)
                     .putInt(packet.originalLength);
             put();
             put(packet.data, packet.length);
@@ -76,7 +76,7 @@
     }
 
     /** Writes the file header; {@link #write} does so itself if this was not called. */
-    public void begin(int linkType) throws IOException {
+    public void writeFileHeader(int linkType) throws IOException {
         if (isPcapng) {
             byte[] name = "honeygap".getBytes(StandardCharsets.US_ASCII);
             header.clear();
@@ -134,7 +134,7 @@
     @Override
     public void close() throws IOException {
         if (linkType < 0) {
-            begin(101);
+            writeFileHeader(101);
         }
         out.close();
     }
--- a/src/main/java/honeygap/capture/file/Packet.java
+++ b/src/main/java/honeygap/capture/file/Packet.java
@@ -4,9 +4,9 @@
 public final class Packet {
 
     /** Capture time in nanoseconds since the Unix epoch. */
-    public long at;
+    public long timestampNs;
     /** Link type, from the public LINKTYPE registry. */
-    public int link;
+    public int linkType;
     /** Captured bytes; those from {@link #length} on are left over from earlier packets. */
     public byte[] data = new byte[2048];
     public int length;
--- a/src/main/java/honeygap/capture/file/Synthesis.java
+++ b/src/main/java/honeygap/capture/file/PacketSynthesizer.java
@@ -10,10 +10,10 @@
  * Synthesizes IP packets from the byte streams of connections: real addresses, TCP sequence numbers that also advance
  * over missing bytes, acknowledgements, checksums, and segmentation of long data.
  */
-public final class Synthesis {
+public final class PacketSynthesizer {
 
     /** LINKTYPE_RAW: packets begin with the IP header. */
-    public static final int RAW = 101;
+    public static final int LINK_TYPE_RAW = 101;
 
     private static final int MAX_SEGMENT_BYTES = 1448;
     private static final int WINDOW_BYTES = 65_535;
@@ -44,9 +44,9 @@
     private final Packet packet = new Packet();
     private final Map<Long, Flow> flows = new HashMap<>();
 
-    public Synthesis(Sink sink) {
+    public PacketSynthesizer(Sink sink) {
         this.sink = sink;
-        packet.link = RAW;
+        packet.linkType = LINK_TYPE_RAW;
     }
 
     public int openConnections() {
@@ -88,7 +88,7 @@
     }
 
     /** Advances the sequence number over missing bytes. */
-    public void hole(long number, boolean isClient, long length) {
+    public void skipBytes(long number, boolean isClient, long length) {
         Flow flow = flows.get(number);
         if (flow != null && isClient) {
             flow.clientSequence += (int) length;
@@ -160,7 +160,7 @@
         put16(ipHeaderLength + 16, ~fold(sum(ipHeaderLength, totalLength, pseudoHeaderSum)) & 0xffff);
         packet.length = totalLength;
         packet.originalLength = totalLength;
-        packet.at = timestampNs;
+        packet.timestampNs = timestampNs;
         sink.write(packet);
     }
 
--- a/src/main/java/honeygap/capture/make/Morning.java
+++ b/src/main/java/honeygap/capture/make/Morning.java
@@ -1,6 +1,6 @@
 package honeygap.capture.make;
 
-import honeygap.capture.file.Synthesis;
+import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.packet.Address;
 import honeygap.net.pg.PgMessages;
 import java.io.IOException;
@@ -43,7 +43,7 @@
     private static final int MAX_VALUE_HEX_DIGITS = 4000;
     private static final String[] TENANTS = {"acme", "valley", "ridge"};
 
-    private final Synthesis synthesizer;
+    private final PacketSynthesizer synthesizer;
     private final UniformRandomProvider random;
     private final double peakRate;
     private final long durationNs;
@@ -87,9 +87,9 @@
      * @param keyCount number of different keys
      * @param server address of the server
      */
-    public Morning(Synthesis.Sink sink, long seed, double peakRate, long durationNs, long startNs, int keyCount,
+    public Morning(PacketSynthesizer.Sink sink, long seed, double peakRate, long durationNs, long startNs, int keyCount,
                    Address server) {
-        synthesizer = new Synthesis(sink);
+        synthesizer = new PacketSynthesizer(sink);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.peakRate = peakRate;
         this.durationNs = durationNs;
@@ -158,7 +158,7 @@
         Long connection = idleConnections.pollFirst();
         if (connection == null) {
             connection = ++connectionCount;
-            synthesizer.opened(connection, Address.four(0x0a000100 + (int) (connection >> 14), 20_000
+            synthesizer.opened(connection, Address.ipv4(0x0a000100 + (int) (connection >> 14), 20_000
                     + (int) (connection & 0x3fff)), server, true, startNs + offsetNs);
             writeData(connection, true, PgMessages.startupMessage(), offsetNs);
             writeData(connection, false, PgMessages.startupResponse(), offsetNs);
--- a/src/main/java/honeygap/capture/message/Conversations.java
+++ b/src/main/java/honeygap/capture/message/Conversations.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /** Chooses a protocol decoder for each connection by its first bytes, and forwards the RPCs that all of them decode. */
-public final class Conversations implements Reassembly.Out {
+public final class Conversations implements Reassembly.Listener {
 
     private final Conversation.Hearer listener;
     private final Map<String, Long> problemCounts = new TreeMap<>();
@@ -35,17 +35,17 @@
     }
 
     private Conversation decoderFor(Reassembly.Flow flow, boolean isClient, byte[] bytes) {
-        if (flow.subject == null && isClient) {
+        if (flow.attachment == null && isClient) {
             boolean isHttp = HttpConversation.isRequest(bytes);
-            if (!isHttp && !flow.isWhole && !PgConversation.isStatement(bytes)) {
+            if (!isHttp && !flow.isFromStart && !PgConversation.isStatement(bytes)) {
                 problemCounts.merge("chunks of nothing known", 1L, Long::sum);
                 return null;
             }
-            flow.subject = isHttp
-                    ? new HttpConversation(flow.isWhole, () -> newRpc(flow), this::rpcDecoded, problemCounts)
-                    : new PgConversation(flow.isWhole, () -> newRpc(flow), this::rpcDecoded, problemCounts);
+            flow.attachment = isHttp
+                    ? new HttpConversation(flow.isFromStart, () -> newRpc(flow), this::rpcDecoded, problemCounts)
+                    : new PgConversation(flow.isFromStart, () -> newRpc(flow), this::rpcDecoded, problemCounts);
         }
-        return (Conversation) flow.subject;
+        return (Conversation) flow.attachment;
     }
 
     private Spoken newRpc(Reassembly.Flow flow) {
@@ -71,12 +71,12 @@
 
     @Override
     public void hole(Reassembly.Flow flow, boolean isClient, long length, long timestampNs) {
-        if (flow.subject != null) {
-            ((Conversation) flow.subject).hole(isClient, length);
+        if (flow.attachment != null) {
+            ((Conversation) flow.attachment).hole(isClient, length);
         } else {
             // The connection's first bytes are missing: neither the protocol nor the position in it is known.
             problemCounts.merge("beginnings missing", 1L, Long::sum);
-            flow.subject = new UnidentifiedProtocolDecoder(flow);
+            flow.attachment = new UnidentifiedProtocolDecoder(flow);
         }
     }
 
@@ -95,7 +95,7 @@
                 Conversation decoder = HttpConversation.isRequest(bytes)
                         ? new HttpConversation(false, () -> newRpc(flow), Conversations.this::rpcDecoded, problemCounts)
                         : new PgConversation(false, () -> newRpc(flow), Conversations.this::rpcDecoded, problemCounts);
-                flow.subject = decoder;
+                flow.attachment = decoder;
                 decoder.data(true, bytes, timestampNs);
             }
         }
@@ -111,8 +111,8 @@
 
     @Override
     public void closed(Reassembly.Flow flow, Reassembly.End end, long timestampNs) {
-        if (flow.subject != null) {
-            ((Conversation) flow.subject).over();
+        if (flow.attachment != null) {
+            ((Conversation) flow.attachment).over();
         }
     }
 }
--- a/src/main/java/honeygap/capture/packet/Address.java
+++ b/src/main/java/honeygap/capture/packet/Address.java
@@ -3,7 +3,7 @@
 /** An IPv4 or IPv6 address with a port; the address bytes are held in two longs (IPv4 in the low one). */
 public record Address(boolean isIpv6, long high, long low, int port) implements Comparable<Address> {
 
-    public static Address four(int address, int port) {
+    public static Address ipv4(int address, int port) {
         return new Address(false, 0, address & 0xffffffffL, port);
     }
 
@@ -11,7 +11,7 @@
     public static Address of(java.net.InetSocketAddress socket) {
         byte[] bytes = socket.getAddress().getAddress();
         java.nio.ByteBuffer buffer = java.nio.ByteBuffer.wrap(bytes);
-        return bytes.length == 4 ? four(buffer.getInt(), socket.getPort())
+        return bytes.length == 4 ? ipv4(buffer.getInt(), socket.getPort())
                 : new Address(true, buffer.getLong(), buffer.getLong(), socket.getPort());
     }
 
--- a/src/main/java/honeygap/capture/packet/Decoder.java
+++ b/src/main/java/honeygap/capture/packet/Decoder.java
@@ -71,12 +71,12 @@
     private long packetTimestampNs;
 
     /** Fills the segment; false if the packet holds none. */
-    public boolean read(Packet packet, Segment segment) {
+    public boolean decode(Packet packet, Segment segment) {
         data = packet.data;
         end = packet.length;
-        packetTimestampNs = packet.at;
-        segment.at = packet.at;
-        switch (packet.link) {
+        packetTimestampNs = packet.timestampNs;
+        segment.timestampNs = packet.timestampNs;
+        switch (packet.linkType) {
             case ETHERNET:
                 return decodeEthernet(segment);
             case NULL, LOOP:
@@ -88,7 +88,7 @@
             case RAW, RAW_12, RAW_14, IPV4, IPV6:
                 return decodeIp(segment, 0);
             default:
-                return skip("unknown link type " + packet.link);
+                return skip("unknown link type " + packet.linkType);
         }
     }
 
@@ -176,8 +176,8 @@
         }
         int protocol = u8(offset + 9);
         int fragment = u16(offset + 6);
-        Address from = Address.four(i32(offset + 12), 0);
-        Address to = Address.four(i32(offset + 16), 0);
+        Address from = Address.ipv4(i32(offset + 12), 0);
+        Address to = Address.ipv4(i32(offset + 16), 0);
         if ((fragment & 0x3fff) != 0) {
             FragmentKey id = new FragmentKey(0, from.low(), 0, to.low(), u16(offset + 4), protocol);
             return addFragment(segment, id, from, to, offset + headerLength,
@@ -267,11 +267,11 @@
         segment.ack = i32(offset + 8);
         segment.flags = u8(offset + 13);
         segment.data = data;
-        segment.start = Math.min(offset + headerLength, end);
-        segment.sent = segmentLength - headerLength;
+        segment.dataOffset = Math.min(offset + headerLength, end);
+        segment.payloadLength = segmentLength - headerLength;
         // Link padding may follow the datagram, or the snap length may have cut it short.
-        segment.length = Math.max(0, Math.min(segment.sent, end - segment.start));
-        if (segment.length < segment.sent) {
+        segment.capturedLength = Math.max(0, Math.min(segment.payloadLength, end - segment.dataOffset));
+        if (segment.capturedLength < segment.payloadLength) {
             skipped.merge("segments cut off", 1L, Long::sum);
         }
         return true;
--- a/src/main/java/honeygap/capture/redact/Anonymous.java
+++ b/src/main/java/honeygap/capture/redact/Anonymous.java
@@ -1,22 +1,22 @@
 package honeygap.capture.redact;
 
-import honeygap.capture.file.Synthesis;
+import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.stream.Reassembly;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
 /** Rewrites a capture: synthesizes its packets anew from the streams, with keys and values masked. */
-public final class Anonymous implements Reassembly.Out {
+public final class Anonymous implements Reassembly.Listener {
 
     private final Mask masker;
-    private final Synthesis synthesizer;
+    private final PacketSynthesizer synthesizer;
 
     /** The redactors of a connection's two directions. */
     private record ConnectionRedactors(Redactor client, Redactor server) { }
 
-    public Anonymous(Mask masker, Synthesis.Sink sink) {
+    public Anonymous(Mask masker, PacketSynthesizer.Sink sink) {
         this.masker = masker;
-        synthesizer = new Synthesis(sink);
+        synthesizer = new PacketSynthesizer(sink);
     }
 
     private interface IoAction {
@@ -34,13 +34,13 @@
 
     @Override
     public void opened(Reassembly.Flow flow, long timestampNs) {
-        flow.subject = new ConnectionRedactors(new Redactor(masker, true, flow.isWhole),
-                new Redactor(masker, false, flow.isWhole));
-        runUnchecked(() -> synthesizer.opened(flow.number, flow.client, flow.server, flow.isWhole, timestampNs));
+        flow.attachment = new ConnectionRedactors(new Redactor(masker, true, flow.isFromStart),
+                new Redactor(masker, false, flow.isFromStart));
+        runUnchecked(() -> synthesizer.opened(flow.number, flow.client, flow.server, flow.isFromStart, timestampNs));
     }
 
     private static Redactor redactorFor(Reassembly.Flow flow, boolean isClient) {
-        ConnectionRedactors redactors = (ConnectionRedactors) flow.subject;
+        ConnectionRedactors redactors = (ConnectionRedactors) flow.attachment;
         return isClient ? redactors.client : redactors.server;
     }
 
@@ -56,7 +56,7 @@
     @Override
     public void hole(Reassembly.Flow flow, boolean isClient, long length, long timestampNs) {
         write(flow, isClient, redactorFor(flow, isClient).lose(), timestampNs);
-        synthesizer.hole(flow.number, isClient, length);
+        synthesizer.skipBytes(flow.number, isClient, length);
     }
 
     @Override
--- a/src/main/java/honeygap/capture/stream/Reassembly.java
+++ b/src/main/java/honeygap/capture/stream/Reassembly.java
@@ -17,7 +17,7 @@
 /**
  * Reassembles TCP segments into byte streams: delivers the bytes of each direction in order, buffers those that arrive
  * early and decides when missing bytes are abandoned. Does no I/O: segments only update the state and queue events,
- * {@link #next} delivers the events one by one. Times are nanoseconds of capture time.
+ * {@link #deliverNext} delivers the events one by one. Times are nanoseconds of capture time.
  *
  * <p>Buffered bytes are limited for each direction and in total. Over a direction's limit its own first gap is
  * abandoned; over the total limit, the gap that has waited longest in any direction, since the bytes missing longest
@@ -34,7 +34,7 @@
     public enum End { CLOSED, RESET, REUSED, SILENT, CROWDED, CUT }
 
     /** Receives the events of the reassembly, one a call. */
-    public interface Out {
+    public interface Listener {
 
         void opened(Flow flow, long timestampNs);
 
@@ -52,7 +52,7 @@
 
         final Flow flow;
         final boolean isClient;
-        final Pieces buffer = new Pieces(maxBufferedPerDirection);
+        final ReassemblyBuffer buffer = new ReassemblyBuffer(maxBufferedPerDirection);
         /** The 32-bit sequence number of offset 0. */
         int initialSequence;
         boolean hasInitialSequence;
@@ -94,9 +94,9 @@
         public final Address server;
         public final long number;
         /** Whether its SYN was seen. */
-        public final boolean isWhole;
+        public final boolean isFromStart;
         /** For use by the listener. */
-        public Object subject;
+        public Object attachment;
         private final Direction fromClient = new Direction(this, true);
         private final Direction fromServer = new Direction(this, false);
         private long lastSegmentNs;
@@ -106,7 +106,7 @@
             this.client = client;
             this.server = server;
             this.number = number;
-            this.isWhole = isFromStart;
+            this.isFromStart = isFromStart;
         }
 
         @Override
@@ -128,7 +128,7 @@
 
     private interface Event {
 
-        void deliverTo(Out out);
+        void deliverTo(Listener out);
     }
 
     private static final int MAX_PENDING_SEGMENTS = 64;
@@ -185,7 +185,7 @@
         return counts;
     }
 
-    public long held() {
+    public long bufferedBytes() {
         return bufferedBytes + pendingBytes;
     }
 
@@ -198,12 +198,12 @@
         serverPorts.add(port);
     }
 
-    public void take(Segment segment) {
+    public void addSegment(Segment segment) {
         // The time used for timeouts never goes back, so that a clock step neither delays nor expires gaps.
-        if (segment.at < nowNs) {
+        if (segment.timestampNs < nowNs) {
             count("time went back", 1);
         }
-        nowNs = Math.max(nowNs, segment.at);
+        nowNs = Math.max(nowNs, segment.timestampNs);
         expire();
         boolean isFromLower = segment.from.compareTo(segment.to) <= 0;
         EndpointPair endpoints = isFromLower ? new EndpointPair(segment.from, segment.to)
@@ -231,21 +231,21 @@
                 && connection.syn.seq != segment.seq) {
             // A new connection between the same ports, before the first one got its SYN-ACK.
             startFlow(endpoints, connection);
-            take(segment);
+            addSegment(segment);
             return;
         }
         if (connection == null) {
-            if (segment.has(Segment.RST) || segment.sent == 0 && !isSyn) {
+            if (segment.has(Segment.RST) || segment.payloadLength == 0 && !isSyn) {
                 return;
             }
             connection = new PendingConnection();
             pending.put(endpoints, connection);
         }
         Segment copy = copy(segment);
-        copy.at = nowNs;
+        copy.timestampNs = nowNs;
         connection.segments.add(copy);
-        connection.bytes += copy.length;
-        pendingBytes += copy.length;
+        connection.bytes += copy.capturedLength;
+        pendingBytes += copy.capturedLength;
         if (isSyn && segment.has(Segment.ACK)) {
             connection.synAck = copy;
         } else if (isSyn) {
@@ -263,15 +263,15 @@
 
     private static Segment copy(Segment segment) {
         Segment copy = new Segment();
-        copy.at = segment.at;
+        copy.timestampNs = segment.timestampNs;
         copy.from = segment.from;
         copy.to = segment.to;
         copy.seq = segment.seq;
         copy.ack = segment.ack;
         copy.flags = segment.flags;
-        copy.data = Arrays.copyOfRange(segment.data, segment.start, segment.start + segment.length);
-        copy.length = segment.length;
-        copy.sent = segment.sent;
+        copy.data = Arrays.copyOfRange(segment.data, segment.dataOffset, segment.dataOffset + segment.capturedLength);
+        copy.capturedLength = segment.capturedLength;
+        copy.payloadLength = segment.payloadLength;
         return copy;
     }
 
@@ -296,7 +296,7 @@
             if (flow.isClosed) {
                 break;
             }
-            nowNs = segment.at;
+            nowNs = segment.timestampNs;
             processSegment(flow, endpoints, segment);
         }
         nowNs = savedNowNs;
@@ -319,7 +319,7 @@
             if (!direction.hasInitialSequence) {
                 direction.setInitialSequence(segment.seq + 1);
             }
-            if (segment.length > 0) {
+            if (segment.capturedLength > 0) {
                 processData(direction, segment, segment.seq + 1);
             }
             return;
@@ -335,9 +335,9 @@
         if (segment.has(Segment.ACK) && !opposite.hasInitialSequence) {
             opposite.setInitialSequence(segment.ack);
         }
-        if (segment.sent > 0 && acknowledgesMissing(opposite, segment)) {
+        if (segment.payloadLength > 0 && acknowledgesMissing(opposite, segment)) {
             Segment copy = copy(segment);
-            pendingBytes += copy.length;
+            pendingBytes += copy.capturedLength;
             direction.blocked.add(copy);
             if (blocked.add(direction)) {
                 direction.blockedSinceNs = nowNs;
@@ -350,7 +350,7 @@
         }
         releaseBlocked(flow);
         if (segment.has(Segment.FIN)) {
-            long end = direction.offset(segment.seq) + segment.sent;
+            long end = direction.offset(segment.seq) + segment.payloadLength;
             direction.endOffset = direction.endOffset < 0 ? end
                     : Math.min(direction.endOffset, Math.max(end, direction.buffer.base()));
         }
@@ -387,7 +387,7 @@
             Segment segment = segments.next();
             if (!acknowledgesMissing(opposite(direction), segment)) {
                 segments.remove();
-                pendingBytes -= segment.length;
+                pendingBytes -= segment.capturedLength;
                 processData(direction, segment, segment.seq);
                 isReleased = true;
             }
@@ -414,7 +414,7 @@
             emitHole(opposite, acknowledged);
         }
         direction.blocked.remove(segment);
-        pendingBytes -= segment.length;
+        pendingBytes -= segment.capturedLength;
         processData(direction, segment, segment.seq);
         if (direction.blocked.isEmpty()) {
             blocked.remove(direction);
@@ -450,10 +450,10 @@
     }
 
     private void processData(Direction direction, Segment segment, int seq) {
-        dataTimestampNs = segment.at;
+        dataTimestampNs = segment.timestampNs;
         long offset = direction.offset(seq);
-        int start = segment.start;
-        int length = segment.length;
+        int start = segment.dataOffset;
+        int length = segment.capturedLength;
         long base = direction.buffer.base();
         if (offset + length <= base || length == 0) {
             count("duplicates", length > 0 ? 1 : 0);
@@ -508,16 +508,16 @@
 
     /** Bytes cut off by the snap length never arrive: they become a hole as soon as they are next in order. */
     private void skipUncaptured(Direction direction, Segment segment, long offset) {
-        long end = direction.offset(segment.seq) + segment.sent;
-        if (segment.length < segment.sent && direction.buffer.bufferedBytes() == 0 && direction.buffer.base() < end
+        long end = direction.offset(segment.seq) + segment.payloadLength;
+        if (segment.capturedLength < segment.payloadLength && direction.buffer.bufferedBytes() == 0 && direction.buffer.base() < end
                 && direction.buffer.base() >= offset) {
             emitHole(direction, end);
         }
     }
 
     private void deliver(Direction direction) {
-        if (direction.buffer.ready() > 0) {
-            byte[] bytes = direction.buffer.take();
+        if (direction.buffer.readyBytes() > 0) {
+            byte[] bytes = direction.buffer.removeReady();
             bufferedBytes -= bytes.length;
             emitData(direction, bytes);
             clearGap(direction);
@@ -557,7 +557,7 @@
     private void expire() {
         while (!pending.isEmpty()) {
             Map.Entry<EndpointPair, PendingConnection> eldest = pending.entrySet().iterator().next();
-            if (nowNs - eldest.getValue().segments.get(0).at < REORDER_WAIT_NS) {
+            if (nowNs - eldest.getValue().segments.get(0).timestampNs < REORDER_WAIT_NS) {
                 break;
             }
             startFlow(eldest.getKey(), eldest.getValue());
@@ -618,7 +618,7 @@
     }
 
     /** Delivers one event; false if there is none. */
-    public boolean next(Out listener) {
+    public boolean deliverNext(Listener listener) {
         Event event = events.poll();
         if (event == null) {
             return false;
--- a/src/main/java/honeygap/capture/stream/Pieces.java
+++ b/src/main/java/honeygap/capture/stream/ReassemblyBuffer.java
@@ -6,7 +6,7 @@
  * bytes are compared with it. Optimized for few runs that mostly grow at their end: appending neither moves data nor
  * allocates.
  */
-public final class Pieces {
+public final class ReassemblyBuffer {
 
     /** Offset of the window's start in the direction's byte stream. */
     private long base;
@@ -18,7 +18,7 @@
     private int bufferedBytes;
 
     /** The maximum window size is rounded down to a power of two, but at least 1024. */
-    public Pieces(int maxWindowBytes) {
+    public ReassemblyBuffer(int maxWindowBytes) {
         this.maxWindowBytes = Integer.highestOneBit(Math.max(1024, maxWindowBytes));
     }
 
@@ -46,7 +46,7 @@
     }
 
     /** Length of the run at the base, which can be removed. */
-    public int ready() {
+    public int readyBytes() {
         return runCount > 0 && runs[0] == base ? (int) (runs[1] - base) : 0;
     }
 
@@ -146,9 +146,9 @@
         }
     }
 
-    /** Removes and returns the run at the base, {@link #ready} bytes. */
-    public byte[] take() {
-        int length = ready();
+    /** Removes and returns the run at the base, {@link #readyBytes} bytes. */
+    public byte[] removeReady() {
+        int length = readyBytes();
         byte[] bytes = new byte[length];
         int index = (int) (base & window.length - 1);
         int part = Math.min(length, window.length - index);
--- a/src/main/java/honeygap/capture/tape/Ring.java
+++ b/src/main/java/honeygap/capture/tape/RecordRingBuffer.java
@@ -8,7 +8,7 @@
  * A fixed-size ring buffer that passes records of bytes from one producer thread to one consumer thread. The producer
  * never waits: a record that does not fit is rejected.
  */
-public final class Ring {
+public final class RecordRingBuffer {
 
     /** Length, kind, connection, timestamp. */
     private static final int RECORD_HEADER_BYTES = 4 + 4 + 8 + 8;
@@ -17,8 +17,8 @@
 
     static {
         try {
-            TAKEN = MethodHandles.lookup().findVarHandle(Ring.class, "taken", long.class);
-            PUT = MethodHandles.lookup().findVarHandle(Ring.class, "put", long.class);
+            TAKEN = MethodHandles.lookup().findVarHandle(RecordRingBuffer.class, "taken", long.class);
+            PUT = MethodHandles.lookup().findVarHandle(RecordRingBuffer.class, "put", long.class);
         } catch (ReflectiveOperationException e) {
             throw new ExceptionInInitializerError(e);
         }
@@ -42,7 +42,7 @@
     private long cachedTaken;
 
     /** The size is rounded down to a power of two, but at least 1024. */
-    public Ring(int size) {
+    public RecordRingBuffer(int size) {
         this.size = Integer.highestOneBit(Math.max(1 << 10, size));
         mask = this.size - 1;
         buffer = ByteBuffer.allocate(this.size);
--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/tape/Recorder.java
@@ -2,7 +2,7 @@
 
 import honeygap.capture.file.CaptureWriter;
 import honeygap.capture.file.Packet;
-import honeygap.capture.file.Synthesis;
+import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.packet.Address;
 import honeygap.capture.redact.Mask;
 import honeygap.capture.redact.Redactor;
@@ -58,7 +58,7 @@
     private final long maxFileAgeNs;
     private final int maxFiles;
     private final Mask mask;
-    private final Ring ring;
+    private final RecordRingBuffer ring;
     private final long startNanos = System.nanoTime();
     private final long startMillis = System.currentTimeMillis();
     private final Map<Long, StreamOffsets> offsets = new HashMap<>();
@@ -75,7 +75,7 @@
     private volatile boolean isClosing;
     private volatile boolean hasFailed;
     private CaptureWriter writer;
-    private Synthesis synthesizer;
+    private PacketSynthesizer synthesizer;
     private long fileStartedNs;
     private long lastFlushNs;
     private long lastTimestampNs;
@@ -94,9 +94,9 @@
         this.maxFileAgeNs = maxFileAgeNs;
         this.maxFiles = Math.max(1, maxFiles);
         this.mask = mask;
-        ring = new Ring(ringBytes);
+        ring = new RecordRingBuffer(ringBytes);
         Files.createDirectories(folder);
-        synthesizer = new Synthesis(this::write);
+        synthesizer = new PacketSynthesizer(this::write);
         startFile();
         thread = new Thread(this::run, "recorder");
         thread.setDaemon(true);
@@ -200,7 +200,7 @@
             file = folder.resolve(String.format("%s-%06d.pcapng.zst", name, nextFileNumber++));
         } while (Files.exists(file));
         writer = new CaptureWriter(file);
-        writer.begin(Synthesis.RAW);
+        writer.writeFileHeader(PacketSynthesizer.LINK_TYPE_RAW);
         files.add(file);
         fileStartedNs = lastFlushNs = System.nanoTime();
         while (files.size() > maxFiles) {
@@ -268,7 +268,7 @@
                 byte[] masked = redactor.lose();
                 synthesizer.data(connection, isClient, masked, 0, masked.length, lastTimestampNs);
             }
-            synthesizer.hole(connection, isClient, offset - expectedOffset);
+            synthesizer.skipBytes(connection, isClient, offset - expectedOffset);
         }
         if (isReceived) {
             recorded.received = offset + data.length;
--- a/src/main/java/honeygap/cli/CaptureCommand.java
+++ b/src/main/java/honeygap/cli/CaptureCommand.java
@@ -1,12 +1,12 @@
 package honeygap.cli;
 
 import com.github.luben.zstd.ZstdInputStream;
-import honeygap.capture.Reading;
+import honeygap.capture.MergedCaptureReader;
 import honeygap.capture.file.CaptureWriter;
 import honeygap.capture.file.Packet;
-import honeygap.capture.file.Spoilt;
-import honeygap.capture.file.Strict;
-import honeygap.capture.file.Synthesis;
+import honeygap.capture.file.MalformedCaptureException;
+import honeygap.capture.file.CaptureVerifier;
+import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.make.Morning;
 import honeygap.capture.message.Spoken;
 import honeygap.capture.packet.Address;
@@ -68,18 +68,18 @@
 
         final ProgressLine progress = new ProgressLine();
 
-        abstract void run(Reading reading, PrintWriter out) throws IOException;
+        abstract void run(MergedCaptureReader reading, PrintWriter out) throws IOException;
 
         @Override
         public Integer call() {
             PrintWriter err = spec.commandLine().getErr();
-            try (Reading reading = new Reading(files)) {
+            try (MergedCaptureReader reading = new MergedCaptureReader(files)) {
                 run(reading, spec.commandLine().getOut());
                 progress.clear();
                 spec.commandLine().getOut().flush();
                 reading.cutOff().forEach(line -> err.println(spec.name() + ": " + line));
                 return reading.cutOff().isEmpty() ? 0 : EXIT_TRUNCATED;
-            } catch (Spoilt e) {
+            } catch (MalformedCaptureException e) {
                 return fail(err, e.getMessage());
             } catch (NoSuchFileException e) {
                 return fail(err, e.getFile() + ": no such file");
@@ -95,7 +95,7 @@
             return EXIT_UNREADABLE;
         }
 
-        final Reading.Hearer progressListener(Reading reading) {
+        final MergedCaptureReader.PacketListener progressListener(MergedCaptureReader reading) {
             return packet -> progress.update(() -> reading.packets() + " packets, " + (reading.bytes() >> 20) + " MiB");
         }
     }
@@ -113,7 +113,7 @@
         }
 
         @Override
-        void run(Reading reading, PrintWriter out) throws IOException {
+        void run(MergedCaptureReader reading, PrintWriter out) throws IOException {
             Predicate<Spoken> filter = Filter.of(where);
             try {
                 finished(reading.conversations(rpc -> {
@@ -140,15 +140,15 @@
         private boolean strict;
 
         private final Map<String, Long> countsByOutcome = new TreeMap<>();
-        private Reading captures;
+        private MergedCaptureReader captures;
 
         @Override
-        void run(Reading reading, PrintWriter out) throws IOException {
+        void run(MergedCaptureReader reading, PrintWriter out) throws IOException {
             captures = reading;
             super.run(reading, out);
             if (strict) {
                 for (Path file : files) {
-                    Strict validation = new Strict(openDecompressed(file), true);
+                    CaptureVerifier validation = new CaptureVerifier(openDecompressed(file), true);
                     out.println(file + ": " + validation.packets() + " packets held, gaps " + validation.gaps() + ", faults "
                             + validation.faults().size());
                     validation.faults().forEach(out::println);
@@ -171,8 +171,8 @@
         void finished(Map<String, Long> counts, PrintWriter out) {
             out.println("packets " + captures.packets() + ", bytes " + captures.bytes());
             if (captures.packets() > 0) {
-                Instant first = Instant.ofEpochSecond(0, captures.firstAt());
-                out.println("from " + first + ", for " + Duration.ofNanos(captures.lastAt() - captures.firstAt()));
+                Instant first = Instant.ofEpochSecond(0, captures.firstTimestampNs());
+                out.println("from " + first + ", for " + Duration.ofNanos(captures.lastTimestampNs() - captures.firstTimestampNs()));
             }
             counts.forEach((kind, count) -> out.println(kind + " " + count));
             countsByOutcome.forEach((kind, count) -> out.println("  " + kind + " " + count));
@@ -223,7 +223,7 @@
         private long rowCount;
 
         @Override
-        void run(Reading reading, PrintWriter out) throws IOException {
+        void run(MergedCaptureReader reading, PrintWriter out) throws IOException {
             String name = to.getFileName().toString();
             OutputStream bytes = Files.newOutputStream(to);
             if (name.endsWith(".avro")) {
@@ -260,10 +260,10 @@
 
         long packetCount;
 
-        abstract void write(Reading reading, CaptureWriter writer) throws IOException;
+        abstract void write(MergedCaptureReader reading, CaptureWriter writer) throws IOException;
 
         @Override
-        void run(Reading reading, PrintWriter out) throws IOException {
+        void run(MergedCaptureReader reading, PrintWriter out) throws IOException {
             try (CaptureWriter writer = new CaptureWriter(to)) {
                 write(reading, writer);
             }
@@ -291,18 +291,18 @@
         private String where;
 
         @Override
-        void write(Reading reading, CaptureWriter writer) throws IOException {
+        void write(MergedCaptureReader reading, CaptureWriter writer) throws IOException {
             Set<List<Address>> selectedConnections = where == null ? null : selectConnections();
             Decoder decoder = new Decoder();
             Segment segment = new Segment();
             long first = Long.MIN_VALUE;
             for (Packet packet = reading.next(); packet != null; packet = reading.next()) {
-                first = first == Long.MIN_VALUE ? packet.at : first;
-                double seconds = (packet.at - first) / 1e9;
+                first = first == Long.MIN_VALUE ? packet.timestampNs : first;
+                double seconds = (packet.timestampNs - first) / 1e9;
                 if (seconds < from || seconds > until) {
                     continue;
                 }
-                if ((port != null || selectedConnections != null) && (!decoder.read(packet, segment)
+                if ((port != null || selectedConnections != null) && (!decoder.decode(packet, segment)
                         || port != null && segment.from.port() != port && segment.to.port() != port
                         || selectedConnections != null && !selectedConnections.contains(List.of(segment.from, segment.to))
                         && !selectedConnections.contains(List.of(segment.to, segment.from)))) {
@@ -316,7 +316,7 @@
         private Set<List<Address>> selectConnections() throws IOException {
             Set<List<Address>> selected = new HashSet<>();
             Predicate<Spoken> filter = Filter.of(where);
-            try (Reading firstPass = new Reading(files)) {
+            try (MergedCaptureReader firstPass = new MergedCaptureReader(files)) {
                 firstPass.conversations(rpc -> {
                     if (filter.test(rpc)) {
                         selected.add(List.of(rpc.client, rpc.server));
@@ -332,8 +332,8 @@
     static final class Merge extends PacketCommand {
 
         @Override
-        void write(Reading reading, CaptureWriter writer) throws IOException {
-            Reading.Hearer progressListener = progressListener(reading);
+        void write(MergedCaptureReader reading, CaptureWriter writer) throws IOException {
+            MergedCaptureReader.PacketListener progressListener = progressListener(reading);
             for (Packet packet = reading.next(); packet != null; packet = reading.next()) {
                 progressListener.packet(packet);
                 writer.write(packet);
@@ -347,7 +347,7 @@
     static final class Repair extends PacketCommand {
 
         @Override
-        void write(Reading reading, CaptureWriter writer) throws IOException {
+        void write(MergedCaptureReader reading, CaptureWriter writer) throws IOException {
             for (Packet packet = reading.next(); packet != null; packet = reading.next()) {
                 writer.write(packet);
                 packetCount++;
@@ -372,7 +372,7 @@
         private Path secretFile;
 
         @Override
-        void write(Reading reading, CaptureWriter writer) throws IOException {
+        void write(MergedCaptureReader reading, CaptureWriter writer) throws IOException {
             Anonymous anonymiser = new Anonymous(new Mask(Files.readAllBytes(secretFile)), packet -> {
                 writer.write(packet);
                 packetCount++;
@@ -419,7 +419,7 @@
             // A fixed start time, so that a seed always gives the same file.
             long startTime = Instant.parse("2026-01-05T06:00:00Z").getEpochSecond() * 1_000_000_000L;
             try (CaptureWriter writer = new CaptureWriter(to)) {
-                writer.begin(Synthesis.RAW);
+                writer.writeFileHeader(PacketSynthesizer.LINK_TYPE_RAW);
                 Morning generator = new Morning(writer::write, seed, rate, (long) (seconds * 1e9), startTime, keys,
                         Address.of(serverAddress));
                 long rpcCount = generator.make();
--- a/src/main/java/honeygap/cli/Replay.java
+++ b/src/main/java/honeygap/cli/Replay.java
@@ -1,7 +1,7 @@
 package honeygap.cli;
 
-import honeygap.capture.Reading;
-import honeygap.capture.file.Spoilt;
+import honeygap.capture.MergedCaptureReader;
+import honeygap.capture.file.MalformedCaptureException;
 import honeygap.capture.message.Spoken;
 import honeygap.capture.query.Filter;
 import honeygap.capture.redact.Mask;
@@ -91,7 +91,7 @@
             progress.clear();
             tally.print(spec.commandLine().getOut(), plan);
             return tally.different() == 0 && tally.sent() == tally.ended() ? 0 : 1;
-        } catch (Spoilt | IllegalArgumentException e) {
+        } catch (MalformedCaptureException | IllegalArgumentException e) {
             spec.commandLine().getErr().println("replay: " + e.getMessage());
         } catch (NoSuchFileException e) {
             spec.commandLine().getErr().println("replay: " + e.getFile() + ": no such file");
@@ -110,9 +110,9 @@
                 consumer.accept(rpc);
             }
         };
-        try (Reading reading = new Reading(files)) {
+        try (MergedCaptureReader reading = new MergedCaptureReader(files)) {
             reading.conversations(sorted::add, packet -> {
-                while (!sorted.isEmpty() && sorted.peek().at < packet.at - REORDER_WINDOW_NS) {
+                while (!sorted.isEmpty() && sorted.peek().at < packet.timestampNs - REORDER_WINDOW_NS) {
                     timeRange.accept(sorted.poll());
                 }
             });
--- a/src/test/java/honeygap/FuzzTest.java
+++ b/src/test/java/honeygap/FuzzTest.java
@@ -4,7 +4,7 @@
 
 import honeygap.capture.file.CaptureReader;
 import honeygap.capture.file.Packet;
-import honeygap.capture.file.Spoilt;
+import honeygap.capture.file.MalformedCaptureException;
 import honeygap.capture.message.Conversation;
 import honeygap.capture.message.HttpConversation;
 import honeygap.capture.message.PgConversation;
@@ -77,11 +77,11 @@
             Reassembly reassembly = new Reassembly();
             while (reader.next(packet)) {
                 assertTrue(packet.length <= bytes.length);
-                if (decoder.read(packet, segment)) {
-                    reassembly.take(segment);
+                if (decoder.decode(packet, segment)) {
+                    reassembly.addSegment(segment);
                 }
             }
-        } catch (Spoilt e) {
+        } catch (MalformedCaptureException e) {
             assertTrue(e.getMessage().startsWith("file: byte "), e.getMessage());
         }
     }
@@ -89,12 +89,12 @@
     @Property(tries = 4000, seed = SEED)
     void packets(@ForAll("bytes") byte[] bytes, @ForAll("links") int link) {
         Packet packet = new Packet();
-        packet.link = link;
+        packet.linkType = link;
         packet.data = bytes;
         packet.length = bytes.length;
         Segment segment = new Segment();
-        if (new Decoder().read(packet, segment)) {
-            assertTrue(segment.start + segment.length <= bytes.length && segment.length <= segment.sent);
+        if (new Decoder().decode(packet, segment)) {
+            assertTrue(segment.dataOffset + segment.capturedLength <= bytes.length && segment.capturedLength <= segment.payloadLength);
         }
     }
 
@@ -109,7 +109,7 @@
         java.util.Random random = new java.util.Random(seed);
         Reassembly reassembly = new Reassembly(2048, 4096, 4, 1000, 5000);
         long[] seen = new long[1];
-        Reassembly.Out out = new Reassembly.Out() {
+        Reassembly.Listener out = new Reassembly.Listener() {
             @Override
             public void opened(Reassembly.Flow flow, long at) {
             }
@@ -132,29 +132,29 @@
         for (int i = 0; i < 200; i++) {
             Segment segment = new Segment();
             boolean isUp = random.nextBoolean();
-            Address client = Address.four(1, 1000 + random.nextInt(2));
-            Address server = Address.four(2, 80);
+            Address client = Address.ipv4(1, 1000 + random.nextInt(2));
+            Address server = Address.ipv4(2, 80);
             segment.from = isUp ? client : server;
             segment.to = isUp ? server : client;
             segment.seq = random.nextInt(10) == 0 ? random.nextInt() : random.nextInt(6000) - 500;
             segment.ack = random.nextInt(10) == 0 ? random.nextInt() : random.nextInt(6000) - 500;
             segment.flags = random.nextInt(4) == 0 ? random.nextInt(32) : Segment.ACK;
             segment.data = new byte[random.nextInt(300)];
-            segment.length = segment.data.length;
-            segment.sent = segment.length + (random.nextInt(8) == 0 ? 100 : 0);
-            segment.at = 100L * i - random.nextInt(300);
-            sent += segment.length;
-            reassembly.take(segment);
-            while (reassembly.next(out)) {
+            segment.capturedLength = segment.data.length;
+            segment.payloadLength = segment.capturedLength + (random.nextInt(8) == 0 ? 100 : 0);
+            segment.timestampNs = 100L * i - random.nextInt(300);
+            sent += segment.capturedLength;
+            reassembly.addSegment(segment);
+            while (reassembly.deliverNext(out)) {
                 continue;
             }
-            assertTrue(reassembly.held() <= 4096 + 64 * 300, "held " + reassembly.held());
+            assertTrue(reassembly.bufferedBytes() <= 4096 + 64 * 300, "held " + reassembly.bufferedBytes());
         }
         reassembly.end();
-        while (reassembly.next(out)) {
+        while (reassembly.deliverNext(out)) {
             continue;
         }
-        assertTrue(seen[0] <= sent && reassembly.held() == 0 && reassembly.flows() == 0);
+        assertTrue(seen[0] <= sent && reassembly.bufferedBytes() == 0 && reassembly.flows() == 0);
     }
 
     @Provide
--- a/src/test/java/honeygap/bench/CaptureSpeed.java
+++ b/src/test/java/honeygap/bench/CaptureSpeed.java
@@ -1,6 +1,6 @@
 package honeygap.bench;
 
-import honeygap.capture.Reading;
+import honeygap.capture.MergedCaptureReader;
 import honeygap.capture.file.CaptureReader;
 import honeygap.capture.file.Packet;
 import honeygap.capture.packet.Decoder;
@@ -68,7 +68,7 @@
         });
         time("streams", size, () -> {
             long[] bytes = {0};
-            Reassembly.Out out = new Reassembly.Out() {
+            Reassembly.Listener out = new Reassembly.Listener() {
                 @Override
                 public void opened(Reassembly.Flow flow, long at) {
                 }
@@ -92,9 +92,9 @@
             Reassembly reassembly = new Reassembly();
             try (CaptureReader reader = new CaptureReader(file)) {
                 while (reader.next(packet)) {
-                    if (decoder.read(packet, segment)) {
-                        reassembly.take(segment);
-                        while (reassembly.next(out)) {
+                    if (decoder.decode(packet, segment)) {
+                        reassembly.addSegment(segment);
+                        while (reassembly.deliverNext(out)) {
                             continue;
                         }
                     }
@@ -104,7 +104,7 @@
         });
         time("RPCs", size, () -> {
             long[] rpcs = {0};
-            try (Reading reading = new Reading(List.of(file))) {
+            try (MergedCaptureReader reading = new MergedCaptureReader(List.of(file))) {
                 reading.conversations(rpc -> rpcs[0]++, packet -> { });
             }
             return rpcs[0];
--- a/src/test/java/honeygap/bench/ReassemblyBufferBench.java
+++ b/src/test/java/honeygap/bench/ReassemblyBufferBench.java
@@ -1,6 +1,6 @@
 package honeygap.bench;
 
-import honeygap.capture.stream.Pieces;
+import honeygap.capture.stream.ReassemblyBuffer;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -57,12 +57,12 @@
 
     @Benchmark
     public long reassemblyBuffer() {
-        Pieces buffer = new Pieces(1 << 18);
+        ReassemblyBuffer buffer = new ReassemblyBuffer(1 << 18);
         long deliveredBytes = 0;
         for (int number : order) {
             buffer.add((long) number * LENGTH, data, 0, LENGTH);
-            if (buffer.ready() > 0) {
-                deliveredBytes += buffer.take().length;
+            if (buffer.readyBytes() > 0) {
+                deliveredBytes += buffer.removeReady().length;
             }
         }
         return deliveredBytes;
--- a/src/test/java/honeygap/capture/FilesTest.java
+++ b/src/test/java/honeygap/capture/FilesTest.java
@@ -9,9 +9,9 @@
 import honeygap.capture.file.CaptureReader;
 import honeygap.capture.file.CaptureWriter;
 import honeygap.capture.file.Packet;
-import honeygap.capture.file.Spoilt;
-import honeygap.capture.file.Strict;
-import honeygap.capture.file.Synthesis;
+import honeygap.capture.file.MalformedCaptureException;
+import honeygap.capture.file.CaptureVerifier;
+import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.make.Morning;
 import honeygap.capture.packet.Address;
 import honeygap.capture.packet.Decoder;
@@ -39,10 +39,10 @@
 /** Capture files: reading and writing all formats, truncation and corruption at any place, packet decoding. */
 class FilesTest {
 
-    static final Address SERVER = Address.four(0x0a000001, 5432);
+    static final Address SERVER = Address.ipv4(0x0a000001, 5432);
 
     /** The packets of a small synthetic workload. */
-    static List<Packet> morning(long seed, double rate, double seconds) throws IOException {
+    static List<Packet> syntheticTraffic(long seed, double rate, double seconds) throws IOException {
         List<Packet> packets = new ArrayList<>();
         new Morning(packet -> packets.add(copy(packet)), seed, rate, (long) (seconds * 1e9), 1_000_000_000L, 50, SERVER)
                 .make();
@@ -51,15 +51,15 @@
 
     static Packet copy(Packet packet) {
         Packet copy = new Packet();
-        copy.at = packet.at;
-        copy.link = packet.link;
+        copy.timestampNs = packet.timestampNs;
+        copy.linkType = packet.linkType;
         copy.data = Arrays.copyOf(packet.data, packet.length);
         copy.length = packet.length;
         copy.originalLength = packet.originalLength;
         return copy;
     }
 
-    static byte[] written(List<Packet> packets, boolean isPcapng) throws IOException {
+    static byte[] encode(List<Packet> packets, boolean isPcapng) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (CaptureWriter writer = new CaptureWriter(bytes, isPcapng)) {
             for (Packet packet : packets) {
@@ -84,7 +84,7 @@
     private static void assertSame(List<Packet> expected, List<Packet> actual) {
         assertEquals(expected.size(), actual.size());
         for (int i = 0; i < expected.size(); i++) {
-            assertEquals(expected.get(i).at, actual.get(i).at);
+            assertEquals(expected.get(i).timestampNs, actual.get(i).timestampNs);
             assertEquals(expected.get(i).originalLength, actual.get(i).originalLength);
             assertArrayEquals(expected.get(i).data, actual.get(i).data, "packet " + i);
         }
@@ -93,7 +93,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"a.pcap", "a.pcapng", "a.pcap.gz", "a.pcapng.zst", "a.pcap.zst", "a.pcapng.gz"})
     void roundTrip(String name, @TempDir Path folder) throws IOException {
-        List<Packet> packets = morning(1, 100, 3);
+        List<Packet> packets = syntheticTraffic(1, 100, 3);
         Path file = folder.resolve(name);
         try (CaptureWriter writer = new CaptureWriter(file)) {
             for (Packet packet : packets) {
@@ -104,7 +104,7 @@
         assertSame(packets, read(Files.readAllBytes(file), cutOff));
         assertEquals(null, cutOff[0]);
         if (name.equals("a.pcapng")) {
-            Strict verifier = new Strict(Files.newInputStream(file), false);
+            CaptureVerifier verifier = new CaptureVerifier(Files.newInputStream(file), false);
             assertEquals(List.of(), verifier.faults());
             assertEquals(packets.size(), verifier.packets());
             assertEquals(0, verifier.gaps());
@@ -115,8 +115,8 @@
     @ParameterizedTest
     @CsvSource({"false,", "true,", "false,gz", "true,zst"})
     void truncatedAnywhere(boolean isPcapng, String compression) throws IOException {
-        List<Packet> packets = morning(2, 20, 0.3);
-        byte[] plain = written(packets, isPcapng);
+        List<Packet> packets = syntheticTraffic(2, 20, 0.3);
+        byte[] plain = encode(packets, isPcapng);
         ByteArrayOutputStream compressed = new ByteArrayOutputStream();
         if (compression != null) {
             try (OutputStream out = compression.equals("gz") ? new GZIPOutputStream(compressed)
@@ -131,7 +131,7 @@
             List<Packet> read;
             try {
                 read = read(Arrays.copyOf(complete, length), cutOff);
-            } catch (Spoilt e) {
+            } catch (MalformedCaptureException e) {
                 // Too short to recognize the format.
                 assertTrue(previousCount <= 0, "at " + length + ": " + e.getMessage());
                 continue;
@@ -152,7 +152,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void corruptedAnywhere(boolean isPcapng) throws IOException {
-        byte[] valid = written(morning(3, 20, 0.3), isPcapng);
+        byte[] valid = encode(syntheticTraffic(3, 20, 0.3), isPcapng);
         Random random = new Random(3);
         int rejected = 0;
         for (int i = 0; i < 3000; i++) {
@@ -165,8 +165,8 @@
                 List<Packet> packets = read(bytes, new String[1]);
                 Decoder decoder = new Decoder();
                 Segment segment = new Segment();
-                packets.forEach(packet -> decoder.read(packet, segment));
-            } catch (Spoilt e) {
+                packets.forEach(packet -> decoder.decode(packet, segment));
+            } catch (MalformedCaptureException e) {
                 rejected++;
                 assertTrue(e.getMessage().matches("file: byte \\d+: .+"), e.getMessage());
             }
@@ -184,7 +184,7 @@
                 file.putInt(magic).putShort((short) 2).putShort((short) 4).putLong(0).putInt(65535).putInt(1);
                 file.putInt(7).putInt(5).putInt(3).putInt(60).put(data);
                 List<Packet> read = read(file.array(), new String[1]);
-                assertEquals(7_000_000_000L + (magic == 0xa1b2c3d4 ? 5000 : 5), read.get(0).at);
+                assertEquals(7_000_000_000L + (magic == 0xa1b2c3d4 ? 5000 : 5), read.get(0).timestampNs);
                 assertEquals(60, read.get(0).originalLength);
             }
             ByteBuffer file = ByteBuffer.allocate(400).order(order);
@@ -208,14 +208,14 @@
             List<Packet> read = new ArrayList<>();
             try (CaptureReader reader = new CaptureReader("file", new ByteArrayInputStream(bytes))) {
                 Packet packet = new Packet();
-                Spoilt fault = assertThrows(Spoilt.class, () -> {
+                MalformedCaptureException fault = assertThrows(MalformedCaptureException.class, () -> {
                     while (reader.next(packet)) {
                         read.add(copy(packet));
                     }
                 });
                 assertEquals("interface", fault.kind);
             }
-            assertEquals(List.of(12_500_000_000L, 0L, 10_001_000_000L), read.stream().map(one -> one.at).toList());
+            assertEquals(List.of(12_500_000_000L, 0L, 10_001_000_000L), read.stream().map(one -> one.timestampNs).toList());
         }
     }
 
@@ -229,13 +229,13 @@
     void decompressionBomb() throws IOException {
         ByteArrayOutputStream compressed = new ByteArrayOutputStream();
         try (OutputStream out = new ZstdOutputStream(compressed)) {
-            out.write(written(morning(1, 20, 0.1), false));
+            out.write(encode(syntheticTraffic(1, 20, 0.1), false));
             byte[] zeros = new byte[1 << 20];
             for (int i = 0; i < 400; i++) {
                 out.write(zeros);
             }
         }
-        Spoilt fault = assertThrows(Spoilt.class, () -> read(compressed.toByteArray(), new String[1]));
+        MalformedCaptureException fault = assertThrows(MalformedCaptureException.class, () -> read(compressed.toByteArray(), new String[1]));
         assertEquals("bomb", fault.kind);
     }
 
@@ -243,7 +243,7 @@
     @ParameterizedTest
     @CsvSource({"none,0,0", "checksum,1,0", "ip,1,0", "gap,0,1", "time,1,0", "length,1,0"})
     void verifierFindsFaults(String corruption, int faults, int gaps) throws IOException {
-        List<Packet> packets = morning(4, 50, 1);
+        List<Packet> packets = syntheticTraffic(4, 50, 1);
         Packet corrupted = packets.get(20);
         switch (corruption) {
             case "checksum" -> corrupted.data[corrupted.length - 1] ^= 1;
@@ -255,14 +255,14 @@
                 }
                 packets.remove(at);
             }
-            case "time" -> corrupted.at = 0;
+            case "time" -> corrupted.timestampNs = 0;
             default -> { }
         }
-        byte[] bytes = written(packets, true);
+        byte[] bytes = encode(packets, true);
         if (corruption.equals("length")) {
             bytes[bytes.length - 4] ^= 4;
         }
-        Strict verifier = new Strict(new ByteArrayInputStream(bytes), false);
+        CaptureVerifier verifier = new CaptureVerifier(new ByteArrayInputStream(bytes), false);
         assertEquals(faults, Math.min(1, verifier.faults().size()), verifier.faults().toString());
         assertEquals(gaps, Math.min(1, verifier.gaps()));
     }
@@ -274,27 +274,27 @@
         "1,ffffffffffff00000000000088a800018100000208" + "00", "0,02000000", "0,00000002", "108,00000002",
         "113,00000001000600000000000000000800", "276,0800000000000001000106000000000000000000", "101,''", "228,''"})
     void linkTypes(int linkType, String linkHeader) throws IOException {
-        Packet plain = morning(5, 20, 0.5).stream().filter(one -> one.length > 100).findFirst().orElseThrow();
+        Packet plain = syntheticTraffic(5, 20, 0.5).stream().filter(one -> one.length > 100).findFirst().orElseThrow();
         byte[] header = HexFormat.of().parseHex(linkHeader);
         Packet packet = new Packet();
-        packet.link = linkType;
+        packet.linkType = linkType;
         // Ethernet may add padding after the packet.
         packet.data = Arrays.copyOf(header, header.length + plain.length + (linkType == 1 ? 6 : 0));
         System.arraycopy(plain.data, 0, packet.data, header.length, plain.length);
         packet.length = packet.data.length;
         Segment expected = new Segment();
-        assertTrue(new Decoder().read(plain, expected));
+        assertTrue(new Decoder().decode(plain, expected));
         Segment segment = new Segment();
-        assertTrue(new Decoder().read(packet, segment));
-        assertEquals(expected.from + " " + expected.to + " " + expected.seq + " " + expected.length,
+        assertTrue(new Decoder().decode(packet, segment));
+        assertEquals(expected.from + " " + expected.to + " " + expected.seq + " " + expected.capturedLength,
                 segment.from + " "
-                + segment.to + " " + segment.seq + " " + segment.length);
+                + segment.to + " " + segment.seq + " " + segment.capturedLength);
         packet.length = header.length + plain.length - 10;
-        assertTrue(new Decoder().read(packet, segment));
-        assertEquals("10 " + expected.sent, segment.sent - segment.length + " " + segment.sent);
+        assertTrue(new Decoder().decode(packet, segment));
+        assertEquals("10 " + expected.payloadLength, segment.payloadLength - segment.capturedLength + " " + segment.payloadLength);
         for (int length = 0; length < header.length + 40; length++) {
             packet.length = length;
-            assertTrue(!new Decoder().read(packet, segment) || length >= header.length + 40, "cut at " + length);
+            assertTrue(!new Decoder().decode(packet, segment) || length >= header.length + 40, "cut at " + length);
         }
     }
 
@@ -303,13 +303,13 @@
     void ipFragments() throws IOException {
         List<Packet> all = new ArrayList<>();
         Address client = new Address(true, 0x20010db8L << 32, 1, 1234);
-        Synthesis synthesis = new Synthesis(packet -> all.add(copy(packet)));
+        PacketSynthesizer synthesis = new PacketSynthesizer(packet -> all.add(copy(packet)));
         synthesis.opened(1, client, new Address(true, 0x20010db8L << 32, 2, 5432), false, 0);
         synthesis.data(1, true, new byte[1000], 0, 1000, 0);
         Packet datagram = all.get(0);
         Segment segment = new Segment();
-        assertTrue(new Decoder().read(datagram, segment));
-        assertEquals("[2001:db8:0:0:0:0:0:1]:1234 1000", segment.from + " " + segment.length);
+        assertTrue(new Decoder().decode(datagram, segment));
+        assertEquals("[2001:db8:0:0:0:0:0:1]:1234 1000", segment.from + " " + segment.capturedLength);
         Decoder decoder = new Decoder();
         List<Packet> fragments = new ArrayList<>();
         for (int at = 0; at < 1020; at += 400) {
@@ -321,7 +321,7 @@
             part.put((byte) 6).put((byte) 0).putShort((short) (at | (at + length < 1020 ? 1 : 0))).putInt(77);
             part.put(datagram.data, 40 + at, length);
             Packet packet = new Packet();
-            packet.link = 101;
+            packet.linkType = 101;
             packet.data = part.array();
             packet.length = part.capacity();
             fragments.add(packet);
@@ -330,11 +330,11 @@
         for (int[] order : new int[][] {{2, 0, 1}, {1, 1, 2, 0}, {0, 2, 2, 1}}) {
             int segments = 0;
             for (int i : order) {
-                segments += decoder.read(fragments.get(i), segment) ? 1 : 0;
+                segments += decoder.decode(fragments.get(i), segment) ? 1 : 0;
             }
             assertEquals(1, segments);
-            assertEquals(1000, segment.length);
+            assertEquals(1000, segment.capturedLength);
         }
-        assertTrue(!decoder.read(fragments.get(0), segment) && !decoder.read(fragments.get(2), segment));
+        assertTrue(!decoder.decode(fragments.get(0), segment) && !decoder.decode(fragments.get(2), segment));
     }
 }
--- a/src/test/java/honeygap/capture/RoundTripTest.java
+++ b/src/test/java/honeygap/capture/RoundTripTest.java
@@ -11,7 +11,7 @@
 import honeygap.capture.file.CaptureReader;
 import honeygap.capture.file.CaptureWriter;
 import honeygap.capture.file.Packet;
-import honeygap.capture.file.Strict;
+import honeygap.capture.file.CaptureVerifier;
 import honeygap.capture.message.Spoken;
 import honeygap.capture.redact.Mask;
 import honeygap.capture.replay.Plan;
@@ -19,7 +19,7 @@
 import honeygap.capture.replay.Rewriting;
 import honeygap.capture.replay.Tally;
 import honeygap.capture.tape.Recorder;
-import honeygap.capture.tape.Ring;
+import honeygap.capture.tape.RecordRingBuffer;
 import honeygap.net.Agent;
 import honeygap.net.Counters;
 import honeygap.net.FlagProtocol;
@@ -113,13 +113,13 @@
 
     private Path generateCapture(long seed, double rate, double seconds) throws IOException {
         Path file = folder.resolve("generated.pcap");
-        Files.write(file, FilesTest.written(FilesTest.morning(seed, rate, seconds), false));
+        Files.write(file, FilesTest.encode(FilesTest.syntheticTraffic(seed, rate, seconds), false));
         return file;
     }
 
     private static List<Spoken> read(List<Path> files) throws IOException {
         List<Spoken> all = new ArrayList<>();
-        try (Reading reading = new Reading(files)) {
+        try (MergedCaptureReader reading = new MergedCaptureReader(files)) {
             reading.conversations(all::add, packet -> { });
         }
         return all;
@@ -179,7 +179,7 @@
         }
         StringBuilder bytes = new StringBuilder();
         for (Path one : recordedFiles()) {
-            Strict strict = new Strict(new ZstdInputStream(Files.newInputStream(one)), false);
+            CaptureVerifier strict = new CaptureVerifier(new ZstdInputStream(Files.newInputStream(one)), false);
             assertEquals(List.of(), strict.faults());
             assertEquals(0, strict.gaps());
             bytes.append(new String(new ZstdInputStream(Files.newInputStream(one)).readAllBytes(),
@@ -206,7 +206,7 @@
         assertTrue(files.size() <= 3 && !files.get(0).toString().endsWith("000000.pcapng.zst"), files.toString());
         assertTrue(read(files).size() > 50);
         for (Path one : files) {
-            assertEquals(List.of(), new Strict(new ZstdInputStream(Files.newInputStream(one)), false).faults());
+            assertEquals(List.of(), new CaptureVerifier(new ZstdInputStream(Files.newInputStream(one)), false).faults());
         }
     }
 
@@ -233,7 +233,7 @@
                 }
                 assertEquals(part < 20, reader.cutOff() != null, "part " + part + ", " + packets + " packets");
             }
-            Strict strict = new Strict(Files.newInputStream(repaired), false);
+            CaptureVerifier strict = new CaptureVerifier(Files.newInputStream(repaired), false);
             assertEquals(List.of(), strict.faults());
             assertEquals(packets, strict.packets());
             assertTrue(packets >= previous);
@@ -269,7 +269,7 @@
         assertTrue(counts.get("left out") > 0, counts.toString());
         assertEquals(0, counts.get("ended by a fault"));
         for (Path one : recordedFiles()) {
-            assertEquals(List.of(), new Strict(new ZstdInputStream(Files.newInputStream(one)), false).faults());
+            assertEquals(List.of(), new CaptureVerifier(new ZstdInputStream(Files.newInputStream(one)), false).faults());
         }
         for (Spoken one : read(recordedFiles())) {
             if (!isRedacted && one.outcome == Spoken.Outcome.served) {
@@ -373,7 +373,7 @@
     /** The ring buffer between two threads delivers each accepted record once, complete and in order. */
     @Test
     void ringDeliversEachRecordOnceInOrder() throws Exception {
-        Ring ring = new Ring(4096);
+        RecordRingBuffer ring = new RecordRingBuffer(4096);
         AtomicBoolean done = new AtomicBoolean();
         long[] sums = new long[4];
         Thread consumer = new Thread(() -> {
--- a/src/test/java/honeygap/capture/StreamsTest.java
+++ b/src/test/java/honeygap/capture/StreamsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import honeygap.capture.file.Packet;
-import honeygap.capture.file.Synthesis;
+import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.message.Conversations;
 import honeygap.capture.message.PgConversation;
 import honeygap.capture.message.Spoken;
@@ -16,7 +16,7 @@
 import honeygap.capture.query.Filter;
 import honeygap.capture.redact.Anonymous;
 import honeygap.capture.redact.Mask;
-import honeygap.capture.stream.Pieces;
+import honeygap.capture.stream.ReassemblyBuffer;
 import honeygap.capture.stream.Reassembly;
 import honeygap.net.pg.PgMessages;
 import java.io.ByteArrayOutputStream;
@@ -38,10 +38,10 @@
 /** Reassembly of TCP segments into streams and of streams into RPCs, with reordered, duplicated and lost packets. */
 class StreamsTest {
 
-    private static final Address CLIENT = Address.four(0x0a000002, 40_000);
+    private static final Address CLIENT = Address.ipv4(0x0a000002, 40_000);
 
     /** Logs the bytes of each direction, and the opening, holes and end of connections. */
-    private static final class EventLog implements Reassembly.Out {
+    private static final class EventLog implements Reassembly.Listener {
 
         final Map<String, ByteArrayOutputStream> bytes = new TreeMap<>();
         final StringBuilder events = new StringBuilder();
@@ -79,12 +79,12 @@
         segment.seq = (int) seq;
         segment.flags = flags;
         segment.data = data.getBytes(StandardCharsets.ISO_8859_1);
-        segment.length = segment.sent = segment.data.length;
+        segment.capturedLength = segment.payloadLength = segment.data.length;
         return segment;
     }
 
-    private static void drain(Reassembly reassembly, Reassembly.Out out) {
-        while (reassembly.next(out)) {
+    private static void drain(Reassembly reassembly, Reassembly.Listener out) {
+        while (reassembly.deliverNext(out)) {
             continue;
         }
     }
@@ -126,15 +126,15 @@
                     String[] parts = send.split(":", -1);
                     segment = segment(true, initialSequence + Integer.parseInt(parts[0]), parts[1], Segment.ACK);
                 }
-                segment.at = at;
-                reassembly.take(segment);
+                segment.timestampNs = at;
+                reassembly.addSegment(segment);
                 drain(reassembly, log);
             }
             reassembly.end();
             drain(reassembly, log);
             assertEquals(stream, log.clientStream(), "from " + initialSequence);
             assertEquals(events + (events.endsWith("open") ? " CUT" : ""), log.events.toString().strip());
-            assertEquals(0, reassembly.held());
+            assertEquals(0, reassembly.bufferedBytes());
             assertEquals(0, reassembly.flows());
         }
     }
@@ -146,16 +146,16 @@
         EventLog log = new EventLog();
         for (int i = 0; i < 5; i++) {
             Segment syn = segment(true, 0, "", Segment.SYN);
-            syn.from = Address.four(1, 100 + i);
-            reassembly.take(syn);
+            syn.from = Address.ipv4(1, 100 + i);
+            reassembly.addSegment(syn);
             Segment synAck = segment(false, 500, "", Segment.SYN | Segment.ACK);
             synAck.to = syn.from;
-            reassembly.take(synAck);
+            reassembly.addSegment(synAck);
             for (int at = 10; at < 3000; at += 500) {
                 Segment data = segment(true, at, "x".repeat(400), Segment.ACK);
                 data.from = syn.from;
-                reassembly.take(data);
-                assertTrue(reassembly.held() <= 3000, "buffered " + reassembly.held());
+                reassembly.addSegment(data);
+                assertTrue(reassembly.bufferedBytes() <= 3000, "buffered " + reassembly.bufferedBytes());
             }
         }
         drain(reassembly, log);
@@ -171,7 +171,7 @@
         Random random = new Random(seed);
         byte[] plain = new byte[20_000];
         boolean[] isBuffered = new boolean[plain.length];
-        Pieces buffer = new Pieces(8192);
+        ReassemblyBuffer buffer = new ReassemblyBuffer(8192);
         int removed = 0;
         for (int step = 0; step < 20_000 && removed < plain.length - 1; step++) {
             int at = removed + random.nextInt(Math.min(3000, plain.length - removed));
@@ -185,8 +185,8 @@
             }
             assertTrue(buffer.fits(at + data.length));
             assertEquals(differing, buffer.add(at, data, 0, data.length), "seed " + seed + ", step " + step);
-            if (buffer.ready() > 0 && random.nextInt(4) == 0) {
-                byte[] out = buffer.take();
+            if (buffer.readyBytes() > 0 && random.nextInt(4) == 0) {
+                byte[] out = buffer.removeReady();
                 assertArrayEquals(Arrays.copyOfRange(plain, removed, removed + out.length), out, "step " + step);
                 removed += out.length;
             }
@@ -208,8 +208,8 @@
         Decoder decoder = new Decoder();
         Segment segment = new Segment();
         for (Packet packet : packets) {
-            if (decoder.read(packet, segment)) {
-                reassembly.take(segment);
+            if (decoder.decode(packet, segment)) {
+                reassembly.addSegment(segment);
                 drain(reassembly, conversations);
             }
         }
@@ -233,7 +233,7 @@
     @ParameterizedTest
     @CsvSource({"1,4,false,false", "2,12,false,false", "3,4,true,false", "4,30,true,true"})
     void reorderedPackets(long seed, int window, boolean hasDuplicates, boolean stepsBack) throws IOException {
-        List<Packet> packets = FilesTest.morning(seed, 2000, 0.5);
+        List<Packet> packets = FilesTest.syntheticTraffic(seed, 2000, 0.5);
         Map<String, String> expected = byId(rpcs(packets, new HashMap<>()));
         assertTrue(expected.size() > 100);
         Random random = new Random(seed);
@@ -253,7 +253,7 @@
         reordered.addAll(batch);
         if (stepsBack) {
             for (Packet packet : reordered) {
-                packet.at -= random.nextInt(2_000_000);
+                packet.timestampNs -= random.nextInt(2_000_000);
             }
         }
         Map<String, String> read = byId(rpcs(reordered, new HashMap<>()));
@@ -269,7 +269,7 @@
         for (int part = 0; part < messages.length; part++) {
             for (int split = 0; split <= messages[part].length; split++) {
                 List<Packet> packets = new ArrayList<>();
-                Synthesis synthesis = new Synthesis(packet -> packets.add(FilesTest.copy(packet)));
+                PacketSynthesizer synthesis = new PacketSynthesizer(packet -> packets.add(FilesTest.copy(packet)));
                 synthesis.opened(1, CLIENT, FilesTest.SERVER, true, 5);
                 for (int i = 0; i < messages.length; i++) {
                     int at = i == part ? split : 0;
@@ -298,7 +298,7 @@
     @ParameterizedTest
     @CsvSource({"1,lost", "2,lost", "3,snap", "4,midway", "5,lost"})
     void lostPackets(long seed, String loss) throws IOException {
-        List<Packet> packets = FilesTest.morning(seed, 100, 6);
+        List<Packet> packets = FilesTest.syntheticTraffic(seed, 100, 6);
         Map<String, String> expected = byId(rpcs(packets, new HashMap<>()));
         Random random = new Random(seed);
         List<Packet> remaining = new ArrayList<>(packets);
@@ -327,22 +327,22 @@
     /** The two directions captured in separate files are merged by time. */
     @Test
     void bothDirections(@org.junit.jupiter.api.io.TempDir java.nio.file.Path folder) throws IOException {
-        List<Packet> packets = FilesTest.morning(6, 100, 2);
+        List<Packet> packets = FilesTest.syntheticTraffic(6, 100, 2);
         Map<String, String> expected = byId(rpcs(packets, new HashMap<>()));
         Decoder decoder = new Decoder();
         Segment segment = new Segment();
         List<Packet> up = new ArrayList<>();
         List<Packet> down = new ArrayList<>();
         for (Packet packet : packets) {
-            decoder.read(packet, segment);
+            decoder.decode(packet, segment);
             (segment.to.equals(FilesTest.SERVER) ? up : down).add(packet);
         }
         java.nio.file.Path clientFile = folder.resolve("up.pcap");
         java.nio.file.Path serverFile = folder.resolve("down.pcapng");
-        java.nio.file.Files.write(clientFile, FilesTest.written(up, false));
-        java.nio.file.Files.write(serverFile, FilesTest.written(down, true));
+        java.nio.file.Files.write(clientFile, FilesTest.encode(up, false));
+        java.nio.file.Files.write(serverFile, FilesTest.encode(down, true));
         List<Spoken> exchanges = new ArrayList<>();
-        try (Reading reading = new Reading(List.of(clientFile, serverFile))) {
+        try (MergedCaptureReader reading = new MergedCaptureReader(List.of(clientFile, serverFile))) {
             reading.conversations(exchanges::add, packet -> { });
         }
         assertEquals(expected, byId(exchanges));
@@ -381,7 +381,7 @@
     /** Anonymising keeps the number, kinds and sizes of RPCs and maps keys consistently; no original key remains. */
     @Test
     void anonymised() throws IOException {
-        List<Packet> packets = FilesTest.morning(7, 100, 3);
+        List<Packet> packets = FilesTest.syntheticTraffic(7, 100, 3);
         List<Spoken> before = rpcs(packets, new HashMap<>());
         List<Packet> hidden = new ArrayList<>();
         Anonymous anonymous = new Anonymous(new Mask("secret".getBytes(StandardCharsets.UTF_8)),
@@ -390,8 +390,8 @@
         Decoder decoder = new Decoder();
         Segment segment = new Segment();
         for (Packet packet : packets) {
-            if (decoder.read(packet, segment)) {
-                reassembly.take(segment);
+            if (decoder.decode(packet, segment)) {
+                reassembly.addSegment(segment);
                 drain(reassembly, anonymous);
             }
         }
