--- a/src/main/java/honeygap/capture/MergedCaptureReader.java
+++ b/src/main/java/honeygap/capture/MergedCaptureReader.java
@@ -2,8 +2,8 @@
 
 import honeygap.capture.file.CaptureReader;
 import honeygap.capture.file.Packet;
-import honeygap.capture.message.Conversation;
-import honeygap.capture.message.Conversations;
+import honeygap.capture.message.ConnectionDecoder;
+import honeygap.capture.message.CaptureDecoder;
 import honeygap.capture.packet.Decoder;
 import honeygap.capture.packet.Segment;
 import honeygap.capture.stream.Reassembly;
@@ -88,12 +88,12 @@
     }
 
     /** Reads all remaining packets as conversations; returns counts of RPCs, connections and irregularities by kind. */
-    public Map<String, Long> conversations(Conversation.Hearer listener, PacketListener packetListener) throws IOException {
-        Conversations conversations = new Conversations(listener);
+    public Map<String, Long> conversations(ConnectionDecoder.RpcListener listener, PacketListener packetListener) throws IOException {
+        CaptureDecoder conversations = new CaptureDecoder(listener);
         Map<String, Long> counts = streams(conversations, packetListener);
-        counts.putAll(conversations.counts());
-        counts.put("connections", conversations.connections());
-        counts.put("RPCs", conversations.heard());
+        counts.putAll(conversations.problemCounts());
+        counts.put("connections", conversations.connectionCount());
+        counts.put("RPCs", conversations.rpcCount());
         return counts;
     }
 
--- a/src/main/java/honeygap/capture/make/Morning.java
+++ b/src/main/java/honeygap/capture/make/TrafficGenerator.java
@@ -25,7 +25,7 @@
  * capture and falls again. Keys follow a Zipf distribution, methods fixed shares, response times a log-normal and
  * value sizes a Pareto distribution.
  */
-public final class Morning {
+public final class TrafficGenerator {
 
     /** A method: its name, share of the RPCs, whether it only reads, its deadline and its mean response time in ms. */
     public record MethodProfile(String name, double share, boolean isReadOnly, long deadlineMs, double meanMs) { }
@@ -87,7 +87,7 @@
      * @param keyCount number of different keys
      * @param server address of the server
      */
-    public Morning(PacketSynthesizer.Sink sink, long seed, double peakRate, long durationNs, long startNs, int keyCount,
+    public TrafficGenerator(PacketSynthesizer.Sink sink, long seed, double peakRate, long durationNs, long startNs, int keyCount,
                    Address server) {
         synthesizer = new PacketSynthesizer(sink);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -121,7 +121,7 @@
     }
 
     /** Generates the whole capture and returns the number of RPCs. */
-    public long make() throws IOException {
+    public long generate() throws IOException {
         long offsetNs = 0;
         while (offsetNs < durationNs) {
             // Thinning: draws arrivals at the peak rate and keeps them with the probability given by the rate curve.
@@ -182,7 +182,7 @@
                 + comment), offsetNs);
         double outcomeDraw = random.nextDouble();
         ByteBuffer response = outcomeDraw < PUSHED_BACK_SHARE ? PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "full", 100)
-                : outcomeDraw < PUSHED_BACK_SHARE + FAILED_SHARE ? PgMessages.error("XX000", "fault", 0) : row(value);
+                : outcomeDraw < PUSHED_BACK_SHARE + FAILED_SHARE ? PgMessages.error("XX000", "fault", 0) : rowResponse(value);
         pendingResponses.add(new PendingResponse(
                 offsetNs + (long) (responseTimes.get(methodIndex).sample() * NANOS_PER_MS), nextSequence++, connection,
                 response));
@@ -190,7 +190,7 @@
     }
 
     /** An appliance's response with one row of one column, followed by ReadyForQuery. */
-    public static ByteBuffer row(String value) {
+    public static ByteBuffer rowResponse(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.US_ASCII);
         byte[] column = "content\0".getBytes(StandardCharsets.US_ASCII);
         byte[] commandTag = "SELECT 1\0".getBytes(StandardCharsets.US_ASCII);
@@ -202,7 +202,7 @@
         return message.put(PgMessages.readyForQuery()).flip();
     }
 
-    public long connections() {
+    public long connectionCount() {
         return connectionCount;
     }
 }
--- a/src/main/java/honeygap/capture/message/Conversations.java
+++ b/src/main/java/honeygap/capture/message/CaptureDecoder.java
@@ -5,27 +5,27 @@
 import java.util.TreeMap;
 
 /** Chooses a protocol decoder for each connection by its first bytes, and forwards the RPCs that all of them decode. */
-public final class Conversations implements Reassembly.Listener {
+public final class CaptureDecoder implements Reassembly.Listener {
 
-    private final Conversation.Hearer listener;
+    private final ConnectionDecoder.RpcListener listener;
     private final Map<String, Long> problemCounts = new TreeMap<>();
     private long rpcCount;
     private long connectionCount;
 
-    public Conversations(Conversation.Hearer listener) {
+    public CaptureDecoder(ConnectionDecoder.RpcListener listener) {
         this.listener = listener;
     }
 
     /** Numbers of decoding problems, by kind. */
-    public Map<String, Long> counts() {
+    public Map<String, Long> problemCounts() {
         return problemCounts;
     }
 
-    public long heard() {
+    public long rpcCount() {
         return rpcCount;
     }
 
-    public long connections() {
+    public long connectionCount() {
         return connectionCount;
     }
 
@@ -34,36 +34,36 @@
         connectionCount++;
     }
 
-    private Conversation decoderFor(Reassembly.Flow flow, boolean isClient, byte[] bytes) {
+    private ConnectionDecoder decoderFor(Reassembly.Flow flow, boolean isClient, byte[] bytes) {
         if (flow.attachment == null && isClient) {
-            boolean isHttp = HttpConversation.isRequest(bytes);
-            if (!isHttp && !flow.isFromStart && !PgConversation.isStatement(bytes)) {
+            boolean isHttp = HttpConnectionDecoder.isRequest(bytes);
+            if (!isHttp && !flow.isFromStart && !PgConnectionDecoder.isStatement(bytes)) {
                 problemCounts.merge("chunks of nothing known", 1L, Long::sum);
                 return null;
             }
             flow.attachment = isHttp
-                    ? new HttpConversation(flow.isFromStart, () -> newRpc(flow), this::rpcDecoded, problemCounts)
-                    : new PgConversation(flow.isFromStart, () -> newRpc(flow), this::rpcDecoded, problemCounts);
+                    ? new HttpConnectionDecoder(flow.isFromStart, () -> newRpc(flow), this::rpcDecoded, problemCounts)
+                    : new PgConnectionDecoder(flow.isFromStart, () -> newRpc(flow), this::rpcDecoded, problemCounts);
         }
-        return (Conversation) flow.attachment;
+        return (ConnectionDecoder) flow.attachment;
     }
 
-    private Spoken newRpc(Reassembly.Flow flow) {
-        Spoken rpc = new Spoken();
+    private RecordedRpc newRpc(Reassembly.Flow flow) {
+        RecordedRpc rpc = new RecordedRpc();
         rpc.connection = flow.number;
         rpc.client = flow.client;
         rpc.server = flow.server;
         return rpc;
     }
 
-    private void rpcDecoded(Spoken rpc) {
+    private void rpcDecoded(RecordedRpc rpc) {
         rpcCount++;
         listener.accept(rpc);
     }
 
     @Override
     public void data(Reassembly.Flow flow, boolean isClient, byte[] bytes, long timestampNs) {
-        Conversation decoder = decoderFor(flow, isClient, bytes);
+        ConnectionDecoder decoder = decoderFor(flow, isClient, bytes);
         if (decoder != null) {
             decoder.data(isClient, bytes, timestampNs);
         }
@@ -72,7 +72,7 @@
     @Override
     public void hole(Reassembly.Flow flow, boolean isClient, long length, long timestampNs) {
         if (flow.attachment != null) {
-            ((Conversation) flow.attachment).hole(isClient, length);
+            ((ConnectionDecoder) flow.attachment).gap(isClient, length);
         } else {
             // The connection's first bytes are missing: neither the protocol nor the position in it is known.
             problemCounts.merge("beginnings missing", 1L, Long::sum);
@@ -81,7 +81,7 @@
     }
 
     /** Skips data until a chunk identifies the protocol by starting a request or a statement. */
-    private final class UnidentifiedProtocolDecoder implements Conversation {
+    private final class UnidentifiedProtocolDecoder implements ConnectionDecoder {
 
         private final Reassembly.Flow flow;
 
@@ -91,28 +91,28 @@
 
         @Override
         public void data(boolean isClient, byte[] bytes, long timestampNs) {
-            if (isClient && (HttpConversation.isRequest(bytes) || PgConversation.isStatement(bytes))) {
-                Conversation decoder = HttpConversation.isRequest(bytes)
-                        ? new HttpConversation(false, () -> newRpc(flow), Conversations.this::rpcDecoded, problemCounts)
-                        : new PgConversation(false, () -> newRpc(flow), Conversations.this::rpcDecoded, problemCounts);
+            if (isClient && (HttpConnectionDecoder.isRequest(bytes) || PgConnectionDecoder.isStatement(bytes))) {
+                ConnectionDecoder decoder = HttpConnectionDecoder.isRequest(bytes)
+                        ? new HttpConnectionDecoder(false, () -> newRpc(flow), CaptureDecoder.this::rpcDecoded, problemCounts)
+                        : new PgConnectionDecoder(false, () -> newRpc(flow), CaptureDecoder.this::rpcDecoded, problemCounts);
                 flow.attachment = decoder;
                 decoder.data(true, bytes, timestampNs);
             }
         }
 
         @Override
-        public void hole(boolean isClient, long length) {
+        public void gap(boolean isClient, long length) {
         }
 
         @Override
-        public void over() {
+        public void connectionClosed() {
         }
     }
 
     @Override
     public void closed(Reassembly.Flow flow, Reassembly.End end, long timestampNs) {
         if (flow.attachment != null) {
-            ((Conversation) flow.attachment).over();
+            ((ConnectionDecoder) flow.attachment).connectionClosed();
         }
     }
 }
--- a/src/main/java/honeygap/capture/message/HttpConversation.java
+++ b/src/main/java/honeygap/capture/message/HttpConnectionDecoder.java
@@ -17,14 +17,14 @@
  * chunk that starts with a request line, the server stream at a chunk that starts with a status line while exactly
  * one request is pending.
  */
-public final class HttpConversation implements Conversation, ResponseParser.Handler {
+public final class HttpConnectionDecoder implements ConnectionDecoder, ResponseParser.Handler {
 
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int MAX_PENDING_RPCS = 256;
     private static final String FLAGS_PATH = "/ofrep/v1/evaluate/flags";
 
-    private final Supplier<Spoken> rpcFactory;
-    private final Hearer listener;
+    private final Supplier<RecordedRpc> rpcFactory;
+    private final RpcListener listener;
     private final Map<String, Long> counts;
     private RequestParser requestParser = new RequestParser(MAX_BODY_BYTES);
     private ResponseParser responseParser = new ResponseParser(this);
@@ -36,12 +36,12 @@
     private boolean clientDelayed;
     private boolean serverDelayed;
     private boolean serverOutOfSync;
-    private final ArrayDeque<Spoken> pendingRpcs = new ArrayDeque<>();
+    private final ArrayDeque<RecordedRpc> pendingRpcs = new ArrayDeque<>();
     private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
     private int status;
     private long lastChunkNs;
 
-    public HttpConversation(boolean isFromStart, Supplier<Spoken> rpcFactory, Hearer listener,
+    public HttpConnectionDecoder(boolean isFromStart, Supplier<RecordedRpc> rpcFactory, RpcListener listener,
                             Map<String, Long> counts) {
         this.rpcFactory = rpcFactory;
         this.listener = listener;
@@ -108,10 +108,10 @@
         }
     }
 
-    private Spoken newRpc(long timestampNs) {
-        Spoken rpc = rpcFactory.get();
+    private RecordedRpc newRpc(long timestampNs) {
+        RecordedRpc rpc = rpcFactory.get();
         rpc.protocol = "http";
-        rpc.at = timestampNs;
+        rpc.requestTimeNs = timestampNs;
         String target = requestParser.target();
         boolean isTracking = target.startsWith("/ofrep/v1/track");
         rpc.method = target.equals(FLAGS_PATH) ? "all" : target.startsWith(FLAGS_PATH + "/") ? "one"
@@ -177,19 +177,19 @@
 
     @Override
     public void onComplete() {
-        Spoken rpc = pendingRpcs.poll();
+        RecordedRpc rpc = pendingRpcs.poll();
         if (rpc != null) {
-            rpc.took = Math.max(0, lastChunkNs - rpc.at);
+            rpc.durationNs = Math.max(0, lastChunkNs - rpc.requestTimeNs);
             rpc.code = Integer.toString(status);
-            rpc.outcome = Spoken.Outcome.ofHttpStatus(status);
-            rpc.answer = responseBody.toByteArray();
+            rpc.outcome = RecordedRpc.Outcome.ofHttpStatus(status);
+            rpc.response = responseBody.toByteArray();
             listener.accept(rpc);
         }
         responseBody.reset();
     }
 
     @Override
-    public void hole(boolean isClient, long length) {
+    public void gap(boolean isClient, long length) {
         count("holes in conversations");
         clientDelayed |= isClient;
         serverDelayed |= !isClient;
@@ -203,8 +203,8 @@
     }
 
     private void abortPendingRpcs() {
-        for (Spoken rpc : pendingRpcs) {
-            rpc.outcome = Spoken.Outcome.torn;
+        for (RecordedRpc rpc : pendingRpcs) {
+            rpc.outcome = RecordedRpc.Outcome.torn;
             listener.accept(rpc);
         }
         pendingRpcs.clear();
@@ -212,9 +212,9 @@
     }
 
     @Override
-    public void over() {
-        for (Spoken rpc : pendingRpcs) {
-            rpc.outcome = Spoken.Outcome.open;
+    public void connectionClosed() {
+        for (RecordedRpc rpc : pendingRpcs) {
+            rpc.outcome = RecordedRpc.Outcome.open;
             listener.accept(rpc);
         }
         pendingRpcs.clear();
--- a/src/main/java/honeygap/capture/message/PgConversation.java
+++ b/src/main/java/honeygap/capture/message/PgConnectionDecoder.java
@@ -17,7 +17,7 @@
  * statement, the server at a chunk of complete messages that ends in ReadyForQuery, and only after the client has
  * resynchronized.
  */
-public final class PgConversation implements Conversation {
+public final class PgConnectionDecoder implements ConnectionDecoder {
 
     private static final int MAX_MESSAGE_BYTES = 4 * 65536;
     private static final int MAX_STARTUP_BYTES = 10_000;
@@ -28,8 +28,8 @@
 
     private enum Stage { START, MESSAGES, OUT_OF_SYNC, OPAQUE }
 
-    private final Supplier<Spoken> rpcFactory;
-    private final Hearer listener;
+    private final Supplier<RecordedRpc> rpcFactory;
+    private final RpcListener listener;
     private final Map<String, Long> counts;
     private final Statement statement = new Statement();
     private FrameDecoder clientFrames = new FrameDecoder(MAX_MESSAGE_BYTES);
@@ -37,10 +37,10 @@
     private Stage clientStage;
     private Stage serverStage = Stage.MESSAGES;
     /** Unanswered queries in order; {@link #NOT_AN_RPC} stands in for queries that are no RPC, such as an empty one. */
-    private final ArrayDeque<Spoken> pendingRpcs = new ArrayDeque<>();
-    private static final Spoken NOT_AN_RPC = new Spoken();
+    private final ArrayDeque<RecordedRpc> pendingRpcs = new ArrayDeque<>();
+    private static final RecordedRpc NOT_AN_RPC = new RecordedRpc();
     private final ByteArrayOutputStream response = new ByteArrayOutputStream();
-    private Spoken.Outcome outcome;
+    private RecordedRpc.Outcome outcome;
     private String errorCode = "";
     private boolean isEncryptionRequested;
     /**
@@ -59,7 +59,7 @@
      * @param rpcFactory creates RPCs with the connection's fields set
      * @param counts numbers of decoding problems, by kind
      */
-    public PgConversation(boolean isFromStart, Supplier<Spoken> rpcFactory, Hearer listener, Map<String, Long> counts) {
+    public PgConnectionDecoder(boolean isFromStart, Supplier<RecordedRpc> rpcFactory, RpcListener listener, Map<String, Long> counts) {
         this.rpcFactory = rpcFactory;
         this.listener = listener;
         this.counts = counts;
@@ -171,14 +171,14 @@
             pendingRpcs.add(NOT_AN_RPC);
             return;
         }
-        Spoken rpc = rpcFactory.get();
+        RecordedRpc rpc = rpcFactory.get();
         rpc.protocol = "pg";
         rpc.method = statement.method();
         rpc.id = statement.id();
         rpc.tenant = statement.tenant() == null ? "" : statement.tenant();
         rpc.key = statement.key();
         rpc.deadlineMs = statement.timeoutMs();
-        rpc.at = timestampNs;
+        rpc.requestTimeNs = timestampNs;
         ByteBuffer whole = clientFrames.message();
         rpc.request = new byte[whole.remaining()];
         whole.duplicate().get(rpc.request);
@@ -232,15 +232,15 @@
                 break;
             case 'C':
                 appendToResponse();
-                outcome = outcome == null ? Spoken.Outcome.served : outcome;
+                outcome = outcome == null ? RecordedRpc.Outcome.served : outcome;
                 break;
             case 'I':
-                outcome = outcome == null ? Spoken.Outcome.served : outcome;
+                outcome = outcome == null ? RecordedRpc.Outcome.served : outcome;
                 break;
             case 'E':
                 appendToResponse();
                 errorCode = PgMessages.errorField(serverFrames.body(), 'C');
-                outcome = Spoken.Outcome.ofSqlState(errorCode);
+                outcome = RecordedRpc.Outcome.ofSqlState(errorCode);
                 if (PgMessages.errorField(serverFrames.body(), 'S').equals("FATAL")) {
                     completeRpc(timestampNs);
                 }
@@ -266,12 +266,12 @@
     }
 
     private void completeRpc(long timestampNs) {
-        Spoken rpc = pendingRpcs.poll();
+        RecordedRpc rpc = pendingRpcs.poll();
         if (rpc != null && rpc != NOT_AN_RPC) {
-            rpc.took = Math.max(0, timestampNs - rpc.at);
-            rpc.outcome = outcome == null ? Spoken.Outcome.failed : outcome;
+            rpc.durationNs = Math.max(0, timestampNs - rpc.requestTimeNs);
+            rpc.outcome = outcome == null ? RecordedRpc.Outcome.failed : outcome;
             rpc.code = errorCode;
-            rpc.answer = response.toByteArray();
+            rpc.response = response.toByteArray();
             listener.accept(rpc);
         }
         outcome = null;
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public void hole(boolean isClient, long length) {
+    public void gap(boolean isClient, long length) {
         count("holes in conversations");
         clientDelayed |= isClient;
         serverDelayed |= !isClient;
@@ -298,9 +298,9 @@
     }
 
     private void abortPendingRpcs() {
-        for (Spoken rpc : pendingRpcs) {
+        for (RecordedRpc rpc : pendingRpcs) {
             if (rpc != NOT_AN_RPC) {
-                rpc.outcome = Spoken.Outcome.torn;
+                rpc.outcome = RecordedRpc.Outcome.torn;
                 listener.accept(rpc);
             }
         }
@@ -311,10 +311,10 @@
     }
 
     @Override
-    public void over() {
-        for (Spoken rpc : pendingRpcs) {
+    public void connectionClosed() {
+        for (RecordedRpc rpc : pendingRpcs) {
             if (rpc != NOT_AN_RPC) {
-                rpc.outcome = Spoken.Outcome.open;
+                rpc.outcome = RecordedRpc.Outcome.open;
                 listener.accept(rpc);
             }
         }
--- a/src/main/java/honeygap/capture/message/Spoken.java
+++ b/src/main/java/honeygap/capture/message/RecordedRpc.java
@@ -4,7 +4,7 @@
 import honeygap.net.pg.PgMessages;
 
 /** One RPC decoded from a capture: request, response, and timing. */
-public final class Spoken {
+public final class RecordedRpc {
 
     /**
      * How the RPC ended: successfully, pushed back, with an error, without a response in the capture, or with bytes
@@ -37,9 +37,9 @@
     /** Whether the message itself shows that the RPC only reads, so that repeating it is safe. */
     public boolean isReadOnly;
     /** When the request's last byte was seen, in nanoseconds since the Unix epoch. */
-    public long at;
+    public long requestTimeNs;
     /** Nanoseconds from the request's last byte to the response's; negative if unknown. */
-    public long took = -1;
+    public long durationNs = -1;
     public Outcome outcome = Outcome.open;
     /** The protocol's result code: a SQLSTATE or an HTTP status. */
     public String code = "";
@@ -47,7 +47,7 @@
     public long deadlineMs;
     /** The complete request and response messages. */
     public byte[] request = {};
-    public byte[] answer = {};
+    public byte[] response = {};
     /** Start and end offsets of the key in the request. */
     public int keyStart;
     public int keyEnd;
--- a/src/main/java/honeygap/capture/query/Filter.java
+++ b/src/main/java/honeygap/capture/query/RpcFilter.java
@@ -1,6 +1,6 @@
 package honeygap.capture.query;
 
-import honeygap.capture.message.Spoken;
+import honeygap.capture.message.RecordedRpc;
 import honeygap.read.ComparisonOperators;
 import java.util.Locale;
 import java.util.Map;
@@ -18,39 +18,39 @@
 import org.antlr.v4.runtime.Token;
 
 /** Compiles filter expressions that select RPCs, such as {@code method == "book" and took > 20ms and not served}. */
-public final class Filter {
+public final class RpcFilter {
 
     /** A syntax error in a filter, with its column, counted from 1. */
-    public static final class Unread extends IllegalArgumentException {
+    public static final class FilterSyntaxException extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1;
 
         public final int column;
 
-        Unread(int column, String message) {
+        FilterSyntaxException(int column, String message) {
             super("column " + column + ": " + message);
             this.column = column;
         }
     }
 
-    private static final Map<String, Function<Spoken, String>> TEXT_FIELDS = new TreeMap<>(Map.of(
+    private static final Map<String, Function<RecordedRpc, String>> TEXT_FIELDS = new TreeMap<>(Map.of(
             "method", rpc -> rpc.method, "key", rpc -> rpc.key, "tenant", rpc -> rpc.tenant,
             "id", rpc -> rpc.id, "code", rpc -> rpc.code, "protocol", rpc -> rpc.protocol,
             "client", rpc -> rpc.client.toString(), "server", rpc -> rpc.server.toString(),
             "outcome", rpc -> rpc.outcome.name()));
 
     /** Numeric fields without a unit. */
-    private static final Map<String, ToDoubleFunction<Spoken>> NUMBER_FIELDS = new TreeMap<>(Map.of(
+    private static final Map<String, ToDoubleFunction<RecordedRpc>> NUMBER_FIELDS = new TreeMap<>(Map.of(
             "connection", rpc -> rpc.connection, "requestBytes", rpc -> rpc.request.length,
-            "answerBytes", rpc -> rpc.answer.length));
+            "answerBytes", rpc -> rpc.response.length));
 
     /** Durations, in nanoseconds. */
-    private static final Map<String, ToDoubleFunction<Spoken>> TIME_FIELDS = new TreeMap<>(Map.of(
-            "took", rpc -> rpc.took, "deadline", rpc -> rpc.deadlineMs * 1e6));
+    private static final Map<String, ToDoubleFunction<RecordedRpc>> TIME_FIELDS = new TreeMap<>(Map.of(
+            "took", rpc -> rpc.durationNs, "deadline", rpc -> rpc.deadlineMs * 1e6));
 
     private static final Map<String, Double> NANOS_PER_UNIT = Map.of("ns", 1.0, "us", 1e3, "ms", 1e6, "s", 1e9, "m", 6e10);
 
-    private Filter() {
+    private RpcFilter() {
     }
 
     /** Describes all fields, for help texts and error messages. */
@@ -63,9 +63,9 @@
     /**
      * Compiles a filter; null and blank expressions select all RPCs.
      *
-     * @throws Unread if the expression is not valid
+     * @throws FilterSyntaxException if the expression is not valid
      */
-    public static Predicate<Spoken> of(String expression) {
+    public static Predicate<RecordedRpc> parse(String expression) {
         if (expression == null || expression.isBlank()) {
             return rpc -> true;
         }
@@ -75,7 +75,7 @@
                                     RecognitionException cause) {
                 String problem = symbol instanceof Token token && token.getType() != Token.EOF
                         ? "\"" + token.getText() + "\" is unexpected here" : "the filter ends unexpectedly";
-                throw new Unread(column + 1, problem);
+                throw new FilterSyntaxException(column + 1, problem);
             }
         };
         // Line breaks become spaces, so that the column alone identifies the position.
@@ -88,37 +88,37 @@
         return new PredicateBuilder().visitWhole(parser.whole());
     }
 
-    private static final class PredicateBuilder extends QueryBaseVisitor<Predicate<Spoken>> {
+    private static final class PredicateBuilder extends QueryBaseVisitor<Predicate<RecordedRpc>> {
 
         @Override
-        public Predicate<Spoken> visitWhole(QueryParser.WholeContext context) {
+        public Predicate<RecordedRpc> visitWhole(QueryParser.WholeContext context) {
             return visit(context.either());
         }
 
         @Override
-        public Predicate<Spoken> visitEither(QueryParser.EitherContext context) {
+        public Predicate<RecordedRpc> visitEither(QueryParser.EitherContext context) {
             return context.both().stream().map(this::visit).reduce(Predicate::or).orElseThrow();
         }
 
         @Override
-        public Predicate<Spoken> visitBoth(QueryParser.BothContext context) {
+        public Predicate<RecordedRpc> visitBoth(QueryParser.BothContext context) {
             return context.plain().stream().map(this::visit).reduce(Predicate::and).orElseThrow();
         }
 
         @Override
-        public Predicate<Spoken> visitNot(QueryParser.NotContext context) {
+        public Predicate<RecordedRpc> visitNot(QueryParser.NotContext context) {
             return visit(context.plain()).negate();
         }
 
         @Override
-        public Predicate<Spoken> visitInner(QueryParser.InnerContext context) {
+        public Predicate<RecordedRpc> visitInner(QueryParser.InnerContext context) {
             return visit(context.either());
         }
 
         @Override
-        public Predicate<Spoken> visitHolds(QueryParser.HoldsContext context) {
+        public Predicate<RecordedRpc> visitHolds(QueryParser.HoldsContext context) {
             String word = context.WORD().getText();
-            for (Spoken.Outcome outcome : Spoken.Outcome.values()) {
+            for (RecordedRpc.Outcome outcome : RecordedRpc.Outcome.values()) {
                 if (outcome.name().equals(word)) {
                     return rpc -> rpc.outcome == outcome;
                 }
@@ -129,15 +129,15 @@
             throw unknownWord(context.WORD().getSymbol(), "not a condition");
         }
 
-        private static Unread unknownWord(Token token, String problem) {
-            return new Unread(token.getCharPositionInLine() + 1, "\"" + token.getText() + "\" is " + problem
+        private static FilterSyntaxException unknownWord(Token token, String problem) {
+            return new FilterSyntaxException(token.getCharPositionInLine() + 1, "\"" + token.getText() + "\" is " + problem
                     + "; known: " + describeFields());
         }
 
         @Override
-        public Predicate<Spoken> visitMatch(QueryParser.MatchContext context) {
+        public Predicate<RecordedRpc> visitMatch(QueryParser.MatchContext context) {
             Token field = context.WORD().getSymbol();
-            Function<Spoken, String> text = TEXT_FIELDS.get(field.getText());
+            Function<RecordedRpc, String> text = TEXT_FIELDS.get(field.getText());
             if (text == null) {
                 throw unknownWord(field, "not a text field");
             }
@@ -145,36 +145,36 @@
                 Pattern pattern = Pattern.compile(unquote(context.TEXT().getSymbol()));
                 return rpc -> pattern.matcher(text.apply(rpc)).find();
             } catch (PatternSyntaxException e) {
-                throw new Unread(context.TEXT().getSymbol().getCharPositionInLine() + 1, "invalid pattern: "
+                throw new FilterSyntaxException(context.TEXT().getSymbol().getCharPositionInLine() + 1, "invalid pattern: "
                         + e.getDescription().toLowerCase(Locale.ROOT));
             }
         }
 
         @Override
-        public Predicate<Spoken> visitAmong(QueryParser.AmongContext context) {
+        public Predicate<RecordedRpc> visitAmong(QueryParser.AmongContext context) {
             return context.value().stream().map(value -> compare(context.WORD().getSymbol(), "==", value))
                     .reduce(Predicate::or).orElseThrow();
         }
 
         @Override
-        public Predicate<Spoken> visitCompare(QueryParser.CompareContext context) {
+        public Predicate<RecordedRpc> visitCompare(QueryParser.CompareContext context) {
             return compare(context.WORD().getSymbol(), context.compare.getText(), context.value());
         }
 
-        private static Predicate<Spoken> compare(Token field, String operator, QueryParser.ValueContext value) {
+        private static Predicate<RecordedRpc> compare(Token field, String operator, QueryParser.ValueContext value) {
             Token token = value.getStart();
             String name = field.getText();
             boolean isText = token.getType() == QueryLexer.TEXT;
             if (TEXT_FIELDS.containsKey(name)) {
                 if (!isText) {
-                    throw new Unread(token.getCharPositionInLine() + 1, name + " is text; put the value in quotes");
+                    throw new FilterSyntaxException(token.getCharPositionInLine() + 1, name + " is text; put the value in quotes");
                 }
                 String expected = unquote(token);
-                Function<Spoken, String> text = TEXT_FIELDS.get(name);
+                Function<RecordedRpc, String> text = TEXT_FIELDS.get(name);
                 return rpc -> ComparisonOperators.matches(operator, text.apply(rpc).compareTo(expected));
             }
             boolean isTime = TIME_FIELDS.containsKey(name);
-            ToDoubleFunction<Spoken> number = isTime ? TIME_FIELDS.get(name) : NUMBER_FIELDS.get(name);
+            ToDoubleFunction<RecordedRpc> number = isTime ? TIME_FIELDS.get(name) : NUMBER_FIELDS.get(name);
             if (number == null) {
                 throw unknownWord(field, "not a field");
             }
@@ -193,10 +193,10 @@
             }
             String unit = text.substring(unitStart);
             if (isText || unitStart == 0) {
-                throw new Unread(column, name + " is a number; put the value without quotes");
+                throw new FilterSyntaxException(column, name + " is a number; put the value without quotes");
             }
             if (isTime != NANOS_PER_UNIT.containsKey(unit) || !isTime && !unit.isEmpty()) {
-                throw new Unread(column, isTime ? name + " is a time; give it a unit, as 20ms (ns, us, ms, s, m)"
+                throw new FilterSyntaxException(column, isTime ? name + " is a time; give it a unit, as 20ms (ns, us, ms, s, m)"
                         : name + " is a number without a unit");
             }
             return Double.parseDouble(text.substring(0, unitStart)) * (isTime ? NANOS_PER_UNIT.get(unit) : 1);
--- a/src/main/java/honeygap/capture/record/Rows.java
+++ b/src/main/java/honeygap/capture/record/RpcWriter.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import honeygap.capture.message.Spoken;
+import honeygap.capture.message.RecordedRpc;
 import java.io.BufferedWriter;
 import java.io.Closeable;
 import java.io.IOException;
@@ -19,25 +19,25 @@
 import org.apache.avro.generic.GenericRecord;
 
 /** Writes one row for each RPC, in one of several formats. */
-public interface Rows extends Closeable {
+public interface RpcWriter extends Closeable {
 
-    void write(Spoken rpc) throws IOException;
+    void write(RecordedRpc rpc) throws IOException;
 
     /** CSV (RFC 4180) with a header row. */
-    final class Csv implements Rows {
+    final class Csv implements RpcWriter {
 
         private final Writer out;
 
         public Csv(OutputStream out) throws IOException {
             this.out = new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8));
-            String[] names = Row.COLUMNS.stream().map(Row.Column::name).toArray(String[]::new);
+            String[] names = RpcColumns.COLUMNS.stream().map(RpcColumns.Column::name).toArray(String[]::new);
             this.out.write(String.join(",", names) + "\r\n");
         }
 
         @Override
-        public void write(Spoken rpc) throws IOException {
+        public void write(RecordedRpc rpc) throws IOException {
             String separator = "";
-            for (Row.Column column : Row.COLUMNS) {
+            for (RpcColumns.Column column : RpcColumns.COLUMNS) {
                 out.write(separator);
                 separator = ",";
                 String text = column.value().apply(rpc).toString();
@@ -54,7 +54,7 @@
     }
 
     /** JSON Lines: one object on each line. */
-    final class JsonLines implements Rows {
+    final class JsonLines implements RpcWriter {
 
         private final JsonGenerator out;
 
@@ -64,9 +64,9 @@
         }
 
         @Override
-        public void write(Spoken rpc) throws IOException {
+        public void write(RecordedRpc rpc) throws IOException {
             out.writeStartObject();
-            for (Row.Column column : Row.COLUMNS) {
+            for (RpcColumns.Column column : RpcColumns.COLUMNS) {
                 Object value = column.value().apply(rpc);
                 if (column.isText()) {
                     out.writeStringField(column.name(), value.toString());
@@ -85,14 +85,14 @@
     }
 
     /** An Avro container file with zstd-compressed blocks. */
-    final class Avro implements Rows {
+    final class Avro implements RpcWriter {
 
         private final Schema schema;
         private final DataFileWriter<GenericRecord> out;
 
         public Avro(OutputStream to) throws IOException {
             SchemaBuilder.FieldAssembler<Schema> fields = SchemaBuilder.record("Rpc").namespace("honeygap").fields();
-            for (Row.Column column : Row.COLUMNS) {
+            for (RpcColumns.Column column : RpcColumns.COLUMNS) {
                 fields = column.isText() ? fields.requiredString(column.name()) : fields.requiredLong(column.name());
             }
             schema = fields.endRecord();
@@ -102,9 +102,9 @@
         }
 
         @Override
-        public void write(Spoken rpc) throws IOException {
+        public void write(RecordedRpc rpc) throws IOException {
             GenericRecord row = new GenericData.Record(schema);
-            for (Row.Column column : Row.COLUMNS) {
+            for (RpcColumns.Column column : RpcColumns.COLUMNS) {
                 row.put(column.name(), column.value().apply(rpc));
             }
             out.append(row);
--- a/src/main/java/honeygap/capture/redact/Anonymous.java
+++ b/src/main/java/honeygap/capture/redact/CaptureRedactor.java
@@ -6,15 +6,15 @@
 import java.io.UncheckedIOException;
 
 /** Rewrites a capture: synthesizes its packets anew from the streams, with keys and values masked. */
-public final class Anonymous implements Reassembly.Listener {
+public final class CaptureRedactor implements Reassembly.Listener {
 
-    private final Mask masker;
+    private final DataMasker masker;
     private final PacketSynthesizer synthesizer;
 
     /** The redactors of a connection's two directions. */
-    private record ConnectionRedactors(Redactor client, Redactor server) { }
+    private record ConnectionRedactors(StreamRedactor client, StreamRedactor server) { }
 
-    public Anonymous(Mask masker, PacketSynthesizer.Sink sink) {
+    public CaptureRedactor(DataMasker masker, PacketSynthesizer.Sink sink) {
         this.masker = masker;
         synthesizer = new PacketSynthesizer(sink);
     }
@@ -34,12 +34,12 @@
 
     @Override
     public void opened(Reassembly.Flow flow, long timestampNs) {
-        flow.attachment = new ConnectionRedactors(new Redactor(masker, true, flow.isFromStart),
-                new Redactor(masker, false, flow.isFromStart));
+        flow.attachment = new ConnectionRedactors(new StreamRedactor(masker, true, flow.isFromStart),
+                new StreamRedactor(masker, false, flow.isFromStart));
         runUnchecked(() -> synthesizer.opened(flow.number, flow.client, flow.server, flow.isFromStart, timestampNs));
     }
 
-    private static Redactor redactorFor(Reassembly.Flow flow, boolean isClient) {
+    private static StreamRedactor redactorFor(Reassembly.Flow flow, boolean isClient) {
         ConnectionRedactors redactors = (ConnectionRedactors) flow.attachment;
         return isClient ? redactors.client : redactors.server;
     }
@@ -50,19 +50,19 @@
 
     @Override
     public void data(Reassembly.Flow flow, boolean isClient, byte[] bytes, long timestampNs) {
-        write(flow, isClient, redactorFor(flow, isClient).take(bytes), timestampNs);
+        write(flow, isClient, redactorFor(flow, isClient).redact(bytes), timestampNs);
     }
 
     @Override
     public void hole(Reassembly.Flow flow, boolean isClient, long length, long timestampNs) {
-        write(flow, isClient, redactorFor(flow, isClient).lose(), timestampNs);
+        write(flow, isClient, redactorFor(flow, isClient).blankRemaining(), timestampNs);
         synthesizer.skipBytes(flow.number, isClient, length);
     }
 
     @Override
     public void closed(Reassembly.Flow flow, Reassembly.End end, long timestampNs) {
-        write(flow, true, redactorFor(flow, true).lose(), timestampNs);
-        write(flow, false, redactorFor(flow, false).lose(), timestampNs);
+        write(flow, true, redactorFor(flow, true).blankRemaining(), timestampNs);
+        write(flow, false, redactorFor(flow, false).blankRemaining(), timestampNs);
         runUnchecked(() -> synthesizer.closed(flow.number, true, end == Reassembly.End.RESET, timestampNs));
     }
 }
--- a/src/main/java/honeygap/capture/redact/Mask.java
+++ b/src/main/java/honeygap/capture/redact/DataMasker.java
@@ -11,11 +11,11 @@
  * digits and the letters a to f stay in that range, so hexadecimal stays hexadecimal. The same value under the same
  * secret always gets the same replacement, so keys can still be matched.
  */
-public final class Mask {
+public final class DataMasker {
 
     private final Mac mac;
 
-    public Mask(byte[] secret) {
+    public DataMasker(byte[] secret) {
         try {
             mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec(secret, "HmacSHA256"));
@@ -63,7 +63,7 @@
     }
 
     /** Masks the values in JSON in place; field names and the values of protocol fields are left as they are. */
-    public void hideJson(byte[] json, int from, int to) {
+    public void maskJson(byte[] json, int from, int to) {
         new JsonMasker(json, from, to).maskAll();
     }
 
--- a/src/main/java/honeygap/capture/redact/Redactor.java
+++ b/src/main/java/honeygap/capture/redact/StreamRedactor.java
@@ -10,7 +10,7 @@
  * a message is complete. Data that can't be parsed is blanked, and so is the rest of the connection, since it may
  * contain anything.
  */
-public final class Redactor {
+public final class StreamRedactor {
 
     private static final int MAX_MESSAGE_BYTES = 1 << 21;
     private static final int MAX_HTTP_HEAD_BYTES = 1 << 15;
@@ -19,20 +19,20 @@
 
     private enum Protocol { UNKNOWN, STARTUP, PG, HTTP, OPAQUE }
 
-    private final Mask masker;
+    private final DataMasker masker;
     private final boolean isClient;
     private Protocol protocol;
     private byte[] buffer = {};
 
     /** Creates a redactor. A connection that was not captured from its start can't be parsed and is blanked. */
-    public Redactor(Mask masker, boolean isClient, boolean isFromStart) {
+    public StreamRedactor(DataMasker masker, boolean isClient, boolean isFromStart) {
         this.masker = masker;
         this.isClient = isClient;
         protocol = isFromStart ? Protocol.UNKNOWN : Protocol.OPAQUE;
     }
 
     /** Buffers bytes and returns, in order, the redacted bytes that are ready to be written. */
-    public byte[] take(byte[] bytes) {
+    public byte[] redact(byte[] bytes) {
         if (protocol == Protocol.OPAQUE) {
             byte[] blanked = new byte[bytes.length];
             Arrays.fill(blanked, FILL_BYTE);
@@ -68,7 +68,7 @@
      * Returns the buffered bytes blanked, on a gap or at the end of the connection. The rest of the stream is blanked
      * too, since nothing after a gap can be parsed.
      */
-    public byte[] lose() {
+    public byte[] blankRemaining() {
         byte[] blanked = new byte[buffer.length];
         Arrays.fill(blanked, FILL_BYTE);
         buffer = new byte[0];
@@ -230,7 +230,7 @@
             if (end > buffer.length) {
                 return 0;
             }
-            masker.hideJson(buffer, bodyStart, end);
+            masker.maskJson(buffer, bodyStart, end);
         }
         if (end <= 0) {
             return end < 0 ? markUnreadable() : 0;
@@ -304,7 +304,7 @@
             System.arraycopy(buffer, chunkBounds[2 * i], body, offset, chunkBounds[2 * i + 1] - chunkBounds[2 * i]);
             offset += chunkBounds[2 * i + 1] - chunkBounds[2 * i];
         }
-        masker.hideJson(body, 0, length);
+        masker.maskJson(body, 0, length);
         offset = 0;
         for (int i = 0; i < count; i++) {
             System.arraycopy(body, offset, buffer, chunkBounds[2 * i], chunkBounds[2 * i + 1] - chunkBounds[2 * i]);
--- a/src/main/java/honeygap/capture/replay/Tally.java
+++ b/src/main/java/honeygap/capture/replay/ReplayReport.java
@@ -1,6 +1,6 @@
 package honeygap.capture.replay;
 
-import honeygap.capture.message.Spoken;
+import honeygap.capture.message.RecordedRpc;
 import java.io.PrintWriter;
 import java.util.EnumMap;
 import java.util.Map;
@@ -8,12 +8,12 @@
 import org.HdrHistogram.Histogram;
 
 /** Statistics of a replay: outcomes compared with the recorded ones, response times, and send delays. */
-public final class Tally {
+public final class ReplayReport {
 
     /** An RPC sent more than this many nanoseconds after its due time counts as late. */
     private static final long LATE_AFTER_NS = 5_000_000;
 
-    private final Map<Spoken.Outcome, Map<Spoken.Outcome, Long>> outcomeCounts = new EnumMap<>(Spoken.Outcome.class);
+    private final Map<RecordedRpc.Outcome, Map<RecordedRpc.Outcome, Long>> outcomeCounts = new EnumMap<>(RecordedRpc.Outcome.class);
     private final Map<String, Histogram> replayedTimesByMethod = new TreeMap<>();
     private final Histogram recordedTimes = new Histogram(3);
     private final Histogram sendError = new Histogram(3);
@@ -31,14 +31,14 @@
     }
 
     /** Records a completed RPC. Its duration counts from the due time, so that a late send doesn't hide latency. */
-    public void rpcCompleted(Spoken rpc, Spoken.Outcome outcome, long durationNs, Boolean isSameValue) {
+    public void rpcCompleted(RecordedRpc rpc, RecordedRpc.Outcome outcome, long durationNs, Boolean isSameValue) {
         completedCount++;
-        outcomeCounts.computeIfAbsent(rpc.outcome, recordedOutcome -> new EnumMap<>(Spoken.Outcome.class))
+        outcomeCounts.computeIfAbsent(rpc.outcome, recordedOutcome -> new EnumMap<>(RecordedRpc.Outcome.class))
                 .merge(outcome, 1L, Long::sum);
         replayedTimesByMethod.computeIfAbsent(rpc.method, method -> new Histogram(3))
                 .recordValue(Math.max(0, durationNs));
-        if (rpc.took >= 0) {
-            recordedTimes.recordValue(rpc.took);
+        if (rpc.durationNs >= 0) {
+            recordedTimes.recordValue(rpc.durationNs);
         }
         if (isSameValue != null) {
             sameValues += isSameValue ? 1 : 0;
@@ -46,24 +46,24 @@
         }
     }
 
-    public long sent() {
+    public long sentCount() {
         return sentCount;
     }
 
-    public long ended() {
+    public long completedCount() {
         return completedCount;
     }
 
-    public long late() {
+    public long lateCount() {
         return lateCount;
     }
 
     /** Number of RPCs whose outcome differs from a known recorded one, or whose compared value differs. */
-    public long different() {
+    public long differenceCount() {
         long differences = differentValues;
-        for (Map.Entry<Spoken.Outcome, Map<Spoken.Outcome, Long>> recorded : outcomeCounts.entrySet()) {
-            boolean isKnown = recorded.getKey() != Spoken.Outcome.open && recorded.getKey() != Spoken.Outcome.torn;
-            for (Map.Entry<Spoken.Outcome, Long> replayed : recorded.getValue().entrySet()) {
+        for (Map.Entry<RecordedRpc.Outcome, Map<RecordedRpc.Outcome, Long>> recorded : outcomeCounts.entrySet()) {
+            boolean isKnown = recorded.getKey() != RecordedRpc.Outcome.open && recorded.getKey() != RecordedRpc.Outcome.torn;
+            for (Map.Entry<RecordedRpc.Outcome, Long> replayed : recorded.getValue().entrySet()) {
                 differences += isKnown && replayed.getKey() != recorded.getKey() ? replayed.getValue() : 0;
             }
         }
@@ -75,7 +75,7 @@
         return sendError.getValueAtPercentile(percentile);
     }
 
-    public void print(PrintWriter out, Plan schedule) {
+    public void print(PrintWriter out, ReplaySchedule schedule) {
         out.printf("sent %d, ended %d, left out for their effects %d, not selected %d%n", sentCount, completedCount,
                 schedule.skippedForEffects(), schedule.notSelected());
         out.printf("send-time error: p50 %.3f ms, p99 %.3f ms, max %.3f ms; late by over %d ms: %d; held for the one"
--- a/src/main/java/honeygap/capture/replay/Plan.java
+++ b/src/main/java/honeygap/capture/replay/ReplaySchedule.java
@@ -1,6 +1,6 @@
 package honeygap.capture.replay;
 
-import honeygap.capture.message.Spoken;
+import honeygap.capture.message.RecordedRpc;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -15,13 +15,13 @@
  * is due at its recorded time, whether or not earlier ones have completed. Only RPCs of one connection wait for each
  * other, as they did in the recording. Lateness is measured against the recorded schedule. Times are in nanoseconds.
  */
-public final class Plan {
+public final class ReplaySchedule {
 
     /** Receives the actions to carry out; each call of {@link #next} emits at most one. */
     public interface Sender {
 
         /** Sends an RPC on a connection; {@code dueNs} is its due time on the replay clock. */
-        void send(RecordedConnection connection, Spoken rpc, long dueNs);
+        void send(RecordedConnection connection, RecordedRpc rpc, long dueNs);
 
         /** Closes a connection that has reached the idle timeout. */
         void close(RecordedConnection connection);
@@ -43,12 +43,12 @@
     }
 
     private static final class ScheduledRpc implements Comparable<ScheduledRpc> {
-        final Spoken rpc;
+        final RecordedRpc rpc;
         final long dueNs;
         final long sequence;
         final RecordedConnection connection;
 
-        ScheduledRpc(Spoken rpc, long dueNs, long sequence, RecordedConnection connection) {
+        ScheduledRpc(RecordedRpc rpc, long dueNs, long sequence, RecordedConnection connection) {
             this.rpc = rpc;
             this.dueNs = dueNs;
             this.sequence = sequence;
@@ -63,7 +63,7 @@
 
     private final double speed;
     private final boolean includeEffects;
-    private final Predicate<Spoken> filter;
+    private final Predicate<RecordedRpc> filter;
     private final long idleTimeoutNs;
     private final PriorityQueue<ScheduledRpc> scheduled = new PriorityQueue<>();
     /** Free connections whose next RPC is due. */
@@ -90,7 +90,7 @@
      * @param filter selects the RPCs to replay
      * @param idleTimeoutNs how long an idle connection is kept open
      */
-    public Plan(double speed, boolean includeEffects, Predicate<Spoken> filter, long idleTimeoutNs) {
+    public ReplaySchedule(double speed, boolean includeEffects, Predicate<RecordedRpc> filter, long idleTimeoutNs) {
         this.speed = speed;
         this.includeEffects = includeEffects;
         this.filter = filter;
@@ -110,7 +110,7 @@
     }
 
     /** Schedules a recorded RPC; those of one connection have to be added in order. */
-    public void schedule(Spoken rpc) {
+    public void schedule(RecordedRpc rpc) {
         if (!filter.test(rpc)) {
             notSelected++;
             return;
@@ -120,9 +120,9 @@
             return;
         }
         if (firstRequestNs == Long.MIN_VALUE) {
-            firstRequestNs = rpc.at;
+            firstRequestNs = rpc.requestTimeNs;
         }
-        long dueNs = Math.max(0, roundStartNs + (long) ((rpc.at - firstRequestNs) / speed));
+        long dueNs = Math.max(0, roundStartNs + (long) ((rpc.requestTimeNs - firstRequestNs) / speed));
         lastDueNs = Math.max(lastDueNs, dueNs);
         RecordedConnection connection = connections.computeIfAbsent(
                 round + "/" + rpc.connection + "/" + rpc.client, RecordedConnection::new);
--- a/src/main/java/honeygap/capture/replay/Replayer.java
+++ b/src/main/java/honeygap/capture/replay/Replayer.java
@@ -1,6 +1,6 @@
 package honeygap.capture.replay;
 
-import honeygap.capture.message.Spoken;
+import honeygap.capture.message.RecordedRpc;
 import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
@@ -18,12 +18,12 @@
 import org.apache.mina.core.session.IoSession;
 
 /** Replays recorded RPCs against one address. A separate thread reads ahead; all network I/O is on an event loop. */
-public final class Replayer implements Loop.Stepper, Plan.Sender {
+public final class Replayer implements Loop.Stepper, ReplaySchedule.Sender {
 
     /** Reads a recording once from its start and passes on its RPCs in order of time. */
     public interface Source {
 
-        void read(java.util.function.Consumer<Spoken> consumer) throws Exception;
+        void read(java.util.function.Consumer<RecordedRpc> consumer) throws Exception;
     }
 
     /** The loop's clock counts tenths of a millisecond. */
@@ -32,16 +32,16 @@
     private static final long TIMEOUT_MARGIN_MS = 2_000;
     private static final int MAX_MESSAGE_BYTES = 1 << 20;
     /** Markers in the read-ahead queue: the start of another round, and the end of the input. */
-    private static final Spoken NEXT_ROUND_MARKER = new Spoken();
-    private static final Spoken END_MARKER = new Spoken();
+    private static final RecordedRpc NEXT_ROUND_MARKER = new RecordedRpc();
+    private static final RecordedRpc END_MARKER = new RecordedRpc();
 
     private final Loop loop = new Loop(true);
     private final InetSocketAddress target;
-    private final Plan schedule;
-    private final Rewriting rewriter;
-    private final Tally report;
+    private final ReplaySchedule schedule;
+    private final RequestRewriter rewriter;
+    private final ReplayReport report;
     private final boolean compareValues;
-    private final BlockingQueue<Spoken> readAhead = new ArrayBlockingQueue<>(READ_AHEAD_RPCS);
+    private final BlockingQueue<RecordedRpc> readAhead = new ArrayBlockingQueue<>(READ_AHEAD_RPCS);
     private final CountDownLatch finished = new CountDownLatch(1);
     private volatile Exception readFailure;
     private long startTick = -1;
@@ -50,7 +50,7 @@
     private boolean isFinished;
     private long wakeupTick = Long.MAX_VALUE;
 
-    public Replayer(InetSocketAddress target, Plan schedule, Rewriting rewriter, Tally report, boolean compareValues) {
+    public Replayer(InetSocketAddress target, ReplaySchedule schedule, RequestRewriter rewriter, ReplayReport report, boolean compareValues) {
         this.target = target;
         this.schedule = schedule;
         this.rewriter = rewriter;
@@ -93,7 +93,7 @@
         }
     }
 
-    private void enqueue(Spoken rpc) {
+    private void enqueue(RecordedRpc rpc) {
         try {
             readAhead.put(rpc);
         } catch (InterruptedException e) {
@@ -107,7 +107,7 @@
         schedule.setNow((now - startTick) * NANOS_PER_TICK);
         // Schedules a bounded number of RPCs; the others wait in the queue, which is bounded too.
         while (schedule.incomplete() < READ_AHEAD_RPCS) {
-            Spoken rpc = readAhead.poll();
+            RecordedRpc rpc = readAhead.poll();
             if (rpc == null) {
                 break;
             } else if (rpc == NEXT_ROUND_MARKER) {
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void send(Plan.RecordedConnection recordedConnection, Spoken rpc, long dueNs) {
+    public void send(ReplaySchedule.RecordedConnection recordedConnection, RecordedRpc rpc, long dueNs) {
         ReplayConnection connection = (ReplayConnection) recordedConnection.attachment;
         if (connection == null || connection.isClosed) {
             connection = rpc.protocol.equals("pg") ? new PgConnection(recordedConnection)
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void close(Plan.RecordedConnection recordedConnection) {
+    public void close(ReplaySchedule.RecordedConnection recordedConnection) {
         if (recordedConnection.attachment instanceof ReplayConnection connection) {
             connection.abort();
         }
@@ -168,19 +168,19 @@
     /** A connection to the target with at most one RPC in flight. */
     private abstract class ReplayConnection implements ConnectionHandler {
 
-        final Plan.RecordedConnection recordedConnection;
+        final ReplaySchedule.RecordedConnection recordedConnection;
         IoSession session;
         boolean isReady;
         boolean isClosed;
-        Spoken rpc;
+        RecordedRpc rpc;
         private long dueNs;
         private Loop.Timer timeout;
 
-        ReplayConnection(Plan.RecordedConnection recordedConnection) {
+        ReplayConnection(ReplaySchedule.RecordedConnection recordedConnection) {
             this.recordedConnection = recordedConnection;
         }
 
-        void sendRpc(Spoken rpc, long dueNs) {
+        void sendRpc(RecordedRpc rpc, long dueNs) {
             this.rpc = rpc;
             this.dueNs = dueNs;
             report.rpcSent(replayTimeNs() - dueNs);
@@ -195,15 +195,15 @@
             session.write(new GatheringBuffer(rewriter.rewrite(rpc, round)));
         }
 
-        void completeRpc(Spoken.Outcome outcome, byte[] response) {
+        void completeRpc(RecordedRpc.Outcome outcome, byte[] response) {
             if (rpc != null) {
                 timeout.cancel();
-                Spoken completed = rpc;
+                RecordedRpc completed = rpc;
                 rpc = null;
-                boolean isComparable = compareValues && response != null && completed.outcome == Spoken.Outcome.served
-                        && outcome == Spoken.Outcome.served;
+                boolean isComparable = compareValues && response != null && completed.outcome == RecordedRpc.Outcome.served
+                        && outcome == RecordedRpc.Outcome.served;
                 report.rpcCompleted(completed, outcome, replayTimeNs() - dueNs,
-                        isComparable ? Arrays.equals(completed.answer, response) : null);
+                        isComparable ? Arrays.equals(completed.response, response) : null);
                 loop.defer(() -> schedule.rpcCompleted(recordedConnection));
             }
         }
@@ -214,7 +214,7 @@
                 if (session != null) {
                     session.closeNow();
                 }
-                completeRpc(Spoken.Outcome.open, null);
+                completeRpc(RecordedRpc.Outcome.open, null);
             }
         }
 
@@ -237,7 +237,7 @@
             try {
                 parse(bytes);
             } catch (Malformed e) {
-                completeRpc(Spoken.Outcome.torn, null);
+                completeRpc(RecordedRpc.Outcome.torn, null);
                 abort();
             }
         }
@@ -249,9 +249,9 @@
 
         private final FrameDecoder frames = new FrameDecoder(MAX_MESSAGE_BYTES);
         private final ByteArrayOutputStream response = new ByteArrayOutputStream();
-        private Spoken.Outcome outcome;
+        private RecordedRpc.Outcome outcome;
 
-        PgConnection(Plan.RecordedConnection recordedConnection) {
+        PgConnection(ReplaySchedule.RecordedConnection recordedConnection) {
             super(recordedConnection);
         }
 
@@ -276,9 +276,9 @@
                     response.writeBytes(message);
                 }
                 if (type == 'C') {
-                    outcome = Spoken.Outcome.served;
+                    outcome = RecordedRpc.Outcome.served;
                 } else if (type == 'E') {
-                    outcome = Spoken.Outcome.ofSqlState(PgMessages.errorField(frames.body(), 'C'));
+                    outcome = RecordedRpc.Outcome.ofSqlState(PgMessages.errorField(frames.body(), 'C'));
                     if (PgMessages.errorField(frames.body(), 'S').equals("FATAL")) {
                         completeRpc(outcome, null);
                         abort();
@@ -295,7 +295,7 @@
             byte[] bytes = response.toByteArray();
             response.reset();
             if (wasReady) {
-                completeRpc(outcome == null ? Spoken.Outcome.failed : outcome, bytes);
+                completeRpc(outcome == null ? RecordedRpc.Outcome.failed : outcome, bytes);
             } else if (rpc != null) {
                 writeRequest();
             }
@@ -310,7 +310,7 @@
         private int status;
         private boolean isCloseRequested;
 
-        HttpConnection(Plan.RecordedConnection recordedConnection) {
+        HttpConnection(ReplaySchedule.RecordedConnection recordedConnection) {
             super(recordedConnection);
         }
 
@@ -354,7 +354,7 @@
         public void onComplete() {
             byte[] bytes = body.toByteArray();
             body.reset();
-            completeRpc(Spoken.Outcome.ofHttpStatus(status), bytes);
+            completeRpc(RecordedRpc.Outcome.ofHttpStatus(status), bytes);
             if (isCloseRequested) {
                 abort();
             }
--- a/src/main/java/honeygap/capture/replay/Rewriting.java
+++ b/src/main/java/honeygap/capture/replay/RequestRewriter.java
@@ -1,7 +1,7 @@
 package honeygap.capture.replay;
 
-import honeygap.capture.message.Spoken;
-import honeygap.capture.redact.Mask;
+import honeygap.capture.message.RecordedRpc;
+import honeygap.capture.redact.DataMasker;
 import honeygap.net.pg.PgMessages;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -11,22 +11,22 @@
  * Rewrites recorded requests for replay: assigns a new id, replaces the deadline if one is configured, maps
  * idempotency tokens, and optionally masks keys. Equal keys stay equal, and so do equal tokens within a round.
  */
-public final class Rewriting {
+public final class RequestRewriter {
 
     private final long seed;
     private final long deadlineMs;
-    private final Mask keyMasker;
+    private final DataMasker keyMasker;
     private long idCount;
 
     /** Creates a rewriter. A deadline of 0 keeps the recorded one; without a masker (null) keys are not changed. */
-    public Rewriting(long seed, long deadlineMs, Mask keyMasker) {
+    public RequestRewriter(long seed, long deadlineMs, DataMasker keyMasker) {
         this.seed = seed;
         this.deadlineMs = deadlineMs;
         this.keyMasker = keyMasker;
     }
 
     /** Returns the complete message to send, including its length prefix. */
-    public ByteBuffer rewrite(Spoken rpc, int round) {
+    public ByteBuffer rewrite(RecordedRpc rpc, int round) {
         if (!rpc.protocol.equals("pg")) {
             return ByteBuffer.wrap(rpc.request);
         }
--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/tape/Recorder.java
@@ -4,8 +4,8 @@
 import honeygap.capture.file.Packet;
 import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.packet.Address;
-import honeygap.capture.redact.Mask;
-import honeygap.capture.redact.Redactor;
+import honeygap.capture.redact.DataMasker;
+import honeygap.capture.redact.StreamRedactor;
 import honeygap.net.Counters;
 import honeygap.net.TrafficListener;
 import java.io.IOException;
@@ -40,8 +40,8 @@
         /** Stream offsets reached so far in each direction. */
         long received;
         long sent;
-        Redactor sentRedactor;
-        Redactor receivedRedactor;
+        StreamRedactor sentRedactor;
+        StreamRedactor receivedRedactor;
         Address local;
         Address remote;
     }
@@ -57,7 +57,7 @@
     private final long maxFileBytes;
     private final long maxFileAgeNs;
     private final int maxFiles;
-    private final Mask mask;
+    private final DataMasker mask;
     private final RecordRingBuffer ring;
     private final long startNanos = System.nanoTime();
     private final long startMillis = System.currentTimeMillis();
@@ -87,7 +87,7 @@
      * may be null.
      */
     public Recorder(Path folder, String name, long maxFileBytes, long maxFileAgeNs, int maxFiles, int ringBytes,
-            Mask mask) throws IOException {
+            DataMasker mask) throws IOException {
         this.folder = folder;
         this.name = name;
         this.maxFileBytes = maxFileBytes;
@@ -237,8 +237,8 @@
         recorded.local = address(endpoints[0]);
         recorded.remote = address(endpoints[1]);
         if (mask != null) {
-            recorded.sentRedactor = new Redactor(mask, !isAccepted, true);
-            recorded.receivedRedactor = new Redactor(mask, isAccepted, true);
+            recorded.sentRedactor = new StreamRedactor(mask, !isAccepted, true);
+            recorded.receivedRedactor = new StreamRedactor(mask, isAccepted, true);
         }
         connections.put(connection, recorded);
         synthesizer.opened(connection, isAccepted ? recorded.remote : recorded.local,
@@ -261,11 +261,11 @@
         content.get(data);
         bytes.addAndGet(data.length);
         boolean isClient = isReceived == recorded.isAccepted;
-        Redactor redactor = isReceived ? recorded.receivedRedactor : recorded.sentRedactor;
+        StreamRedactor redactor = isReceived ? recorded.receivedRedactor : recorded.sentRedactor;
         long expectedOffset = isReceived ? recorded.received : recorded.sent;
         if (offset > expectedOffset) {
             if (redactor != null) {
-                byte[] masked = redactor.lose();
+                byte[] masked = redactor.blankRemaining();
                 synthesizer.data(connection, isClient, masked, 0, masked.length, lastTimestampNs);
             }
             synthesizer.skipBytes(connection, isClient, offset - expectedOffset);
@@ -275,7 +275,7 @@
         } else {
             recorded.sent = offset + data.length;
         }
-        byte[] redacted = redactor == null ? data : redactor.take(data);
+        byte[] redacted = redactor == null ? data : redactor.redact(data);
         synthesizer.data(connection, isClient, redacted, 0, redacted.length, lastTimestampNs);
     }
 
@@ -285,9 +285,9 @@
             return;
         }
         if (mask != null) {
-            byte[] lastReceived = recorded.receivedRedactor.lose();
+            byte[] lastReceived = recorded.receivedRedactor.blankRemaining();
             synthesizer.data(connection, recorded.isAccepted, lastReceived, 0, lastReceived.length, lastTimestampNs);
-            byte[] lastSent = recorded.sentRedactor.lose();
+            byte[] lastSent = recorded.sentRedactor.blankRemaining();
             synthesizer.data(connection, !recorded.isAccepted, lastSent, 0, lastSent.length, lastTimestampNs);
         }
         synthesizer.closed(connection, !recorded.isAccepted, false, lastTimestampNs);
--- a/src/main/java/honeygap/cli/CaptureCommand.java
+++ b/src/main/java/honeygap/cli/CaptureCommand.java
@@ -7,15 +7,15 @@
 import honeygap.capture.file.MalformedCaptureException;
 import honeygap.capture.file.CaptureVerifier;
 import honeygap.capture.file.PacketSynthesizer;
-import honeygap.capture.make.Morning;
-import honeygap.capture.message.Spoken;
+import honeygap.capture.make.TrafficGenerator;
+import honeygap.capture.message.RecordedRpc;
 import honeygap.capture.packet.Address;
 import honeygap.capture.packet.Decoder;
 import honeygap.capture.packet.Segment;
-import honeygap.capture.query.Filter;
-import honeygap.capture.record.Rows;
-import honeygap.capture.redact.Anonymous;
-import honeygap.capture.redact.Mask;
+import honeygap.capture.query.RpcFilter;
+import honeygap.capture.record.RpcWriter;
+import honeygap.capture.redact.CaptureRedactor;
+import honeygap.capture.redact.DataMasker;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -83,7 +83,7 @@
                 return fail(err, e.getMessage());
             } catch (NoSuchFileException e) {
                 return fail(err, e.getFile() + ": no such file");
-            } catch (IOException | Filter.Unread e) {
+            } catch (IOException | RpcFilter.FilterSyntaxException e) {
                 return fail(err, String.valueOf(e.getMessage()));
             }
         }
@@ -107,14 +107,14 @@
                 description = "Only RPCs that match this filter, such as: method == \"book\" and took > 20ms and not served")
         String where;
 
-        abstract void process(Spoken rpc, PrintWriter out) throws IOException;
+        abstract void process(RecordedRpc rpc, PrintWriter out) throws IOException;
 
         void finished(Map<String, Long> counts, PrintWriter out) throws IOException {
         }
 
         @Override
         void run(MergedCaptureReader reading, PrintWriter out) throws IOException {
-            Predicate<Spoken> filter = Filter.of(where);
+            Predicate<RecordedRpc> filter = RpcFilter.parse(where);
             try {
                 finished(reading.conversations(rpc -> {
                     if (filter.test(rpc)) {
@@ -163,7 +163,7 @@
         }
 
         @Override
-        void process(Spoken rpc, PrintWriter out) {
+        void process(RecordedRpc rpc, PrintWriter out) {
             countsByOutcome.merge(rpc.protocol + " " + rpc.method + " " + rpc.outcome, 1L, Long::sum);
         }
 
@@ -183,11 +183,11 @@
     static final class ListRpcs extends RpcCommand {
 
         @Override
-        void process(Spoken rpc, PrintWriter out) {
-            out.printf("%s %s %s -> %s %s %s %s %s%n", Instant.ofEpochSecond(0, rpc.at), rpc.protocol,
+        void process(RecordedRpc rpc, PrintWriter out) {
+            out.printf("%s %s %s -> %s %s %s %s %s%n", Instant.ofEpochSecond(0, rpc.requestTimeNs), rpc.protocol,
                     rpc.client, rpc.server, rpc.method, rpc.id.isEmpty() ? "-" : rpc.id,
                     rpc.outcome + (rpc.code.isEmpty() ? "" : "(" + rpc.code + ")"),
-                    rpc.took < 0 ? "-" : String.format("%.3fms", rpc.took / 1e6));
+                    rpc.durationNs < 0 ? "-" : String.format("%.3fms", rpc.durationNs / 1e6));
         }
     }
 
@@ -196,11 +196,11 @@
     static final class Show extends RpcCommand {
 
         @Override
-        void process(Spoken rpc, PrintWriter out) {
+        void process(RecordedRpc rpc, PrintWriter out) {
             out.printf("%s connection %d, %s -> %s, %s %s, key %s, took %.3f ms%n  asked    %s%n  answered %s%n",
-                    Instant.ofEpochSecond(0, rpc.at), rpc.connection, rpc.client, rpc.server,
-                    rpc.method, rpc.outcome, rpc.key.isEmpty() ? "-" : rpc.key, rpc.took / 1e6,
-                    printable(rpc.request), printable(rpc.answer));
+                    Instant.ofEpochSecond(0, rpc.requestTimeNs), rpc.connection, rpc.client, rpc.server,
+                    rpc.method, rpc.outcome, rpc.key.isEmpty() ? "-" : rpc.key, rpc.durationNs / 1e6,
+                    printable(rpc.request), printable(rpc.response));
         }
 
         private static String printable(byte[] bytes) {
@@ -219,7 +219,7 @@
         @CommandLine.Option(names = {"-o", "--to"}, paramLabel = "FILE", required = true)
         private Path to;
 
-        private Rows rows;
+        private RpcWriter rows;
         private long rowCount;
 
         @Override
@@ -227,11 +227,11 @@
             String name = to.getFileName().toString();
             OutputStream bytes = Files.newOutputStream(to);
             if (name.endsWith(".avro")) {
-                rows = new Rows.Avro(bytes);
+                rows = new RpcWriter.Avro(bytes);
             } else if (name.endsWith(".csv")) {
-                rows = new Rows.Csv(bytes);
+                rows = new RpcWriter.Csv(bytes);
             } else if (name.endsWith(".jsonl")) {
-                rows = new Rows.JsonLines(bytes);
+                rows = new RpcWriter.JsonLines(bytes);
             } else {
                 bytes.close();
                 throw new IOException(to + ": name it .avro, .csv or .jsonl");
@@ -245,7 +245,7 @@
         }
 
         @Override
-        void process(Spoken rpc, PrintWriter out) throws IOException {
+        void process(RecordedRpc rpc, PrintWriter out) throws IOException {
             rows.write(rpc);
             rowCount++;
         }
@@ -315,7 +315,7 @@
 
         private Set<List<Address>> selectConnections() throws IOException {
             Set<List<Address>> selected = new HashSet<>();
-            Predicate<Spoken> filter = Filter.of(where);
+            Predicate<RecordedRpc> filter = RpcFilter.parse(where);
             try (MergedCaptureReader firstPass = new MergedCaptureReader(files)) {
                 firstPass.conversations(rpc -> {
                     if (filter.test(rpc)) {
@@ -373,7 +373,7 @@
 
         @Override
         void write(MergedCaptureReader reading, CaptureWriter writer) throws IOException {
-            Anonymous anonymiser = new Anonymous(new Mask(Files.readAllBytes(secretFile)), packet -> {
+            CaptureRedactor anonymiser = new CaptureRedactor(new DataMasker(Files.readAllBytes(secretFile)), packet -> {
                 writer.write(packet);
                 packetCount++;
             });
@@ -420,10 +420,10 @@
             long startTime = Instant.parse("2026-01-05T06:00:00Z").getEpochSecond() * 1_000_000_000L;
             try (CaptureWriter writer = new CaptureWriter(to)) {
                 writer.writeFileHeader(PacketSynthesizer.LINK_TYPE_RAW);
-                Morning generator = new Morning(writer::write, seed, rate, (long) (seconds * 1e9), startTime, keys,
+                TrafficGenerator generator = new TrafficGenerator(writer::write, seed, rate, (long) (seconds * 1e9), startTime, keys,
                         Address.of(serverAddress));
-                long rpcCount = generator.make();
-                spec.commandLine().getOut().println(rpcCount + " RPCs on " + generator.connections() + " connections in "
+                long rpcCount = generator.generate();
+                spec.commandLine().getOut().println(rpcCount + " RPCs on " + generator.connectionCount() + " connections in "
                         + to + ", seed " + seed);
             }
             return 0;
--- a/src/main/java/honeygap/cli/Replay.java
+++ b/src/main/java/honeygap/cli/Replay.java
@@ -2,13 +2,13 @@
 
 import honeygap.capture.MergedCaptureReader;
 import honeygap.capture.file.MalformedCaptureException;
-import honeygap.capture.message.Spoken;
-import honeygap.capture.query.Filter;
-import honeygap.capture.redact.Mask;
-import honeygap.capture.replay.Plan;
+import honeygap.capture.message.RecordedRpc;
+import honeygap.capture.query.RpcFilter;
+import honeygap.capture.redact.DataMasker;
+import honeygap.capture.replay.ReplaySchedule;
 import honeygap.capture.replay.Replayer;
-import honeygap.capture.replay.Rewriting;
-import honeygap.capture.replay.Tally;
+import honeygap.capture.replay.RequestRewriter;
+import honeygap.capture.replay.ReplayReport;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.file.NoSuchFileException;
@@ -80,17 +80,17 @@
             int colon = to.lastIndexOf(':');
             InetSocketAddress target = new InetSocketAddress(to.substring(0, Math.max(0, colon)),
                     Integer.parseInt(to.substring(colon + 1)));
-            Predicate<Spoken> filter = Filter.of(where);
-            Plan plan = new Plan(speed, effects, filter, 10_000_000_000L);
-            Mask mask = mapKeys ? new Mask(ByteBuffer.allocate(8).putLong(seed).array()) : null;
-            Tally tally = new Tally();
+            Predicate<RecordedRpc> filter = RpcFilter.parse(where);
+            ReplaySchedule plan = new ReplaySchedule(speed, effects, filter, 10_000_000_000L);
+            DataMasker mask = mapKeys ? new DataMasker(ByteBuffer.allocate(8).putLong(seed).array()) : null;
+            ReplayReport tally = new ReplayReport();
             ProgressLine progress = new ProgressLine();
-            new Replayer(target, plan, new Rewriting(seed, deadline, mask), tally, byValue).play(this::readByStartTime, repeat,
-                    () -> progress.show("sent " + tally.sent() + ", ended " + tally.ended() + ", late " + tally.late()
-                            + ", differ " + tally.different()));
+            new Replayer(target, plan, new RequestRewriter(seed, deadline, mask), tally, byValue).play(this::readByStartTime, repeat,
+                    () -> progress.show("sent " + tally.sentCount() + ", ended " + tally.completedCount() + ", late " + tally.lateCount()
+                            + ", differ " + tally.differenceCount()));
             progress.clear();
             tally.print(spec.commandLine().getOut(), plan);
-            return tally.different() == 0 && tally.sent() == tally.ended() ? 0 : 1;
+            return tally.differenceCount() == 0 && tally.sentCount() == tally.completedCount() ? 0 : 1;
         } catch (MalformedCaptureException | IllegalArgumentException e) {
             spec.commandLine().getErr().println("replay: " + e.getMessage());
         } catch (NoSuchFileException e) {
@@ -100,19 +100,19 @@
     }
 
     /** Passes on the RPCs in order of their start; a capture yields them in order of their end. */
-    private void readByStartTime(Consumer<Spoken> consumer) throws Exception {
-        PriorityQueue<Spoken> sorted = new PriorityQueue<>(Comparator.comparingLong(rpc -> rpc.at));
+    private void readByStartTime(Consumer<RecordedRpc> consumer) throws Exception {
+        PriorityQueue<RecordedRpc> sorted = new PriorityQueue<>(Comparator.comparingLong(rpc -> rpc.requestTimeNs));
         long[] firstStart = {Long.MIN_VALUE};
-        Consumer<Spoken> timeRange = rpc -> {
-            firstStart[0] = firstStart[0] == Long.MIN_VALUE ? rpc.at : firstStart[0];
-            double seconds = (rpc.at - firstStart[0]) / 1e9;
+        Consumer<RecordedRpc> timeRange = rpc -> {
+            firstStart[0] = firstStart[0] == Long.MIN_VALUE ? rpc.requestTimeNs : firstStart[0];
+            double seconds = (rpc.requestTimeNs - firstStart[0]) / 1e9;
             if (seconds >= from && seconds <= until) {
                 consumer.accept(rpc);
             }
         };
         try (MergedCaptureReader reading = new MergedCaptureReader(files)) {
             reading.conversations(sorted::add, packet -> {
-                while (!sorted.isEmpty() && sorted.peek().at < packet.timestampNs - REORDER_WINDOW_NS) {
+                while (!sorted.isEmpty() && sorted.peek().requestTimeNs < packet.timestampNs - REORDER_WINDOW_NS) {
                     timeRange.accept(sorted.poll());
                 }
             });
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -1,6 +1,6 @@
 package honeygap.cli;
 
-import honeygap.capture.redact.Mask;
+import honeygap.capture.redact.DataMasker;
 import honeygap.capture.tape.Recorder;
 import honeygap.net.Agent;
 import honeygap.net.Loop;
@@ -68,7 +68,7 @@
     void loopCreated(Loop loop) throws IOException {
         this.loop = loop;
         if (recordFolder != null) {
-            Mask mask = redactionSecretFile == null ? null : new Mask(Files.readAllBytes(redactionSecretFile));
+            DataMasker mask = redactionSecretFile == null ? null : new DataMasker(Files.readAllBytes(redactionSecretFile));
             recorder = new Recorder(recordFolder, "agent", recordSize << 20, recordAge * 1_000_000_000L, recordFiles, RECORDER_BUFFER_BYTES,
                     mask);
             loop.setTrafficListener(recorder);
--- a/src/main/java/honeygap/lab/soak/StandInAppliance.java
+++ b/src/main/java/honeygap/lab/soak/StandInAppliance.java
@@ -1,6 +1,6 @@
 package honeygap.lab.soak;
 
-import honeygap.capture.make.Morning;
+import honeygap.capture.make.TrafficGenerator;
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
@@ -142,7 +142,7 @@
             throws IOException, InterruptedException {
         Statement statement = new Statement();
         if (!statement.parse(body)) {
-            write(socket, isDraining ? PgMessages.error(SQLSTATE_CANNOT_CONNECT_NOW, "draining", 0) : Morning.row("1"));
+            write(socket, isDraining ? PgMessages.error(SQLSTATE_CANNOT_CONNECT_NOW, "draining", 0) : TrafficGenerator.rowResponse("1"));
             return true;
         }
         boolean refuses = isDraining || hasFault(FaultKind.APPLIANCE_REFUSES);
@@ -164,7 +164,7 @@
         }
         Thread.sleep(WORK_MS);
         answeredKeys.put(statement.key(), record.now());
-        writeAnswer(socket, Morning.row(statement.id()));
+        writeAnswer(socket, TrafficGenerator.rowResponse(statement.id()));
         return true;
     }
 
--- a/src/main/java/honeygap/standin/StoreServer.java
+++ b/src/main/java/honeygap/standin/StoreServer.java
@@ -1,6 +1,6 @@
 package honeygap.standin;
 
-import honeygap.capture.make.Morning;
+import honeygap.capture.make.TrafficGenerator;
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
@@ -78,7 +78,7 @@
                         boolean isRead = statement.parse(frames.body());
                         sleep();
                         served.incrementAndGet();
-                        write(socket, isRead ? Morning.row(valueOf(statement.key())) : PgMessages.emptyQueryResponse());
+                        write(socket, isRead ? TrafficGenerator.rowResponse(valueOf(statement.key())) : PgMessages.emptyQueryResponse());
                     }
                 }
             }
@@ -87,7 +87,7 @@
 
     private static String valueOf(String key) {
         boolean isGeneratedKey = key.matches("[0-9a-f]{16}");
-        return Morning.value(key, isGeneratedKey ? 2 * Morning.valueLength(key) : 32);
+        return TrafficGenerator.value(key, isGeneratedKey ? 2 * TrafficGenerator.valueLength(key) : 32);
     }
 
     private void sleep() {
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -65,7 +65,7 @@
         noClasses().that().resideInAPackage("honeygap.manage").should().dependOnClassesThat().resideInAnyPackage(IO)
                 .check(ALL);
         noClasses().that().resideInAPackage("honeygap.capture.stream..").or()
-                .haveFullyQualifiedName("honeygap.capture.replay.Plan").should().dependOnClassesThat()
+                .haveFullyQualifiedName("honeygap.capture.replay.ReplaySchedule").should().dependOnClassesThat()
                 .resideInAnyPackage(IO).check(ALL);
         noClasses().that().resideInAPackage("honeygap.net..").or().resideInAPackage("honeygap.read..").should()
                 .dependOnClassesThat().resideInAPackage("honeygap.capture..").check(ALL);
--- a/src/test/java/honeygap/FuzzTest.java
+++ b/src/test/java/honeygap/FuzzTest.java
@@ -5,16 +5,16 @@
 import honeygap.capture.file.CaptureReader;
 import honeygap.capture.file.Packet;
 import honeygap.capture.file.MalformedCaptureException;
-import honeygap.capture.message.Conversation;
-import honeygap.capture.message.HttpConversation;
-import honeygap.capture.message.PgConversation;
-import honeygap.capture.message.Spoken;
+import honeygap.capture.message.ConnectionDecoder;
+import honeygap.capture.message.HttpConnectionDecoder;
+import honeygap.capture.message.PgConnectionDecoder;
+import honeygap.capture.message.RecordedRpc;
 import honeygap.capture.packet.Address;
 import honeygap.capture.packet.Decoder;
 import honeygap.capture.packet.Segment;
-import honeygap.capture.query.Filter;
-import honeygap.capture.redact.Mask;
-import honeygap.capture.redact.Redactor;
+import honeygap.capture.query.RpcFilter;
+import honeygap.capture.redact.DataMasker;
+import honeygap.capture.redact.StreamRedactor;
 import honeygap.capture.stream.Reassembly;
 import honeygap.net.http.ResponseParser;
 import honeygap.net.http.Refusal;
@@ -165,19 +165,19 @@
     /** Random chunks and gaps in both directions: no RPC is reported twice and nothing is thrown. */
     @Property(tries = 2000, seed = SEED)
     void conversations(@ForAll("chunks") List<byte[]> chunks, @ForAll boolean isHttp, @ForAll boolean isWhole) {
-        Map<Spoken, Integer> callCounts = new HashMap<>();
+        Map<RecordedRpc, Integer> callCounts = new HashMap<>();
         Map<String, Long> counts = new HashMap<>();
-        Conversation.Hearer hearer = rpc -> callCounts.merge(rpc, 1, Integer::sum);
-        Conversation conversation = isHttp ? new HttpConversation(isWhole, Spoken::new, hearer, counts)
-                : new PgConversation(isWhole, Spoken::new, hearer, counts);
+        ConnectionDecoder.RpcListener hearer = rpc -> callCounts.merge(rpc, 1, Integer::sum);
+        ConnectionDecoder conversation = isHttp ? new HttpConnectionDecoder(isWhole, RecordedRpc::new, hearer, counts)
+                : new PgConnectionDecoder(isWhole, RecordedRpc::new, hearer, counts);
         int i = 0;
         for (byte[] chunk : chunks) {
             if (chunk.length % 7 == 3) {
-                conversation.hole(i % 2 == 0, 10);
+                conversation.gap(i % 2 == 0, 10);
             }
             conversation.data(i++ % 2 == 0, chunk, i);
         }
-        conversation.over();
+        conversation.connectionClosed();
         assertTrue(callCounts.values().stream().allMatch(times -> times == 1));
     }
 
@@ -243,17 +243,17 @@
     /** A redactor outputs as many bytes as it gets, whatever they are; after a gap it masks everything. */
     @Property(tries = 2000, seed = SEED)
     void redactor(@ForAll("chunks") List<byte[]> chunks, @ForAll boolean isClient, @ForAll boolean isWhole) {
-        Redactor redactor = new Redactor(new Mask(new byte[] {1}), isClient, isWhole);
+        StreamRedactor redactor = new StreamRedactor(new DataMasker(new byte[] {1}), isClient, isWhole);
         int in = 0;
         int out = 0;
         for (byte[] chunk : chunks) {
             in += chunk.length;
-            out += redactor.take(chunk).length;
+            out += redactor.redact(chunk).length;
             assertTrue(out <= in);
         }
-        out += redactor.lose().length;
+        out += redactor.blankRemaining().length;
         assertTrue(in == out, in + " bytes in, " + out + " bytes out");
-        for (byte one : redactor.take(new byte[] {'a', 'b'})) {
+        for (byte one : redactor.redact(new byte[] {'a', 'b'})) {
             assertTrue(one == 'x');
         }
     }
@@ -267,7 +267,7 @@
         }
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
         int length = bytes.length;
-        new Mask(new byte[] {1}).hideJson(bytes, 0, length);
+        new DataMasker(new byte[] {1}).maskJson(bytes, 0, length);
         assertTrue(bytes.length == length);
     }
 
@@ -281,8 +281,8 @@
     @Property(tries = 3000, seed = SEED)
     void filters(@ForAll("filterWords") String filter) {
         try {
-            Filter.of(filter);
-        } catch (Filter.Unread e) {
+            RpcFilter.parse(filter);
+        } catch (RpcFilter.FilterSyntaxException e) {
             assertTrue(e.column >= 1 && e.column <= filter.length() + 1, e.getMessage());
         }
     }
--- a/src/test/java/honeygap/capture/FilesTest.java
+++ b/src/test/java/honeygap/capture/FilesTest.java
@@ -12,7 +12,7 @@
 import honeygap.capture.file.MalformedCaptureException;
 import honeygap.capture.file.CaptureVerifier;
 import honeygap.capture.file.PacketSynthesizer;
-import honeygap.capture.make.Morning;
+import honeygap.capture.make.TrafficGenerator;
 import honeygap.capture.packet.Address;
 import honeygap.capture.packet.Decoder;
 import honeygap.capture.packet.Segment;
@@ -44,8 +44,8 @@
     /** The packets of a small synthetic workload. */
     static List<Packet> syntheticTraffic(long seed, double rate, double seconds) throws IOException {
         List<Packet> packets = new ArrayList<>();
-        new Morning(packet -> packets.add(copy(packet)), seed, rate, (long) (seconds * 1e9), 1_000_000_000L, 50, SERVER)
-                .make();
+        new TrafficGenerator(packet -> packets.add(copy(packet)), seed, rate, (long) (seconds * 1e9), 1_000_000_000L, 50, SERVER)
+                .generate();
         return packets;
     }
 
--- a/src/test/java/honeygap/capture/RoundTripTest.java
+++ b/src/test/java/honeygap/capture/RoundTripTest.java
@@ -12,12 +12,12 @@
 import honeygap.capture.file.CaptureWriter;
 import honeygap.capture.file.Packet;
 import honeygap.capture.file.CaptureVerifier;
-import honeygap.capture.message.Spoken;
-import honeygap.capture.redact.Mask;
-import honeygap.capture.replay.Plan;
+import honeygap.capture.message.RecordedRpc;
+import honeygap.capture.redact.DataMasker;
+import honeygap.capture.replay.ReplaySchedule;
 import honeygap.capture.replay.Replayer;
-import honeygap.capture.replay.Rewriting;
-import honeygap.capture.replay.Tally;
+import honeygap.capture.replay.RequestRewriter;
+import honeygap.capture.replay.ReplayReport;
 import honeygap.capture.tape.Recorder;
 import honeygap.capture.tape.RecordRingBuffer;
 import honeygap.net.Agent;
@@ -82,7 +82,7 @@
         assertEquals(0, Loop.invariantViolations());
     }
 
-    private void startAgent(Mask mask, int ringBytes, long maxFileBytes, int maxFiles) throws Exception {
+    private void startAgent(DataMasker mask, int ringBytes, long maxFileBytes, int maxFiles) throws Exception {
         StringBuilder endpoints = new StringBuilder();
         for (int i = 0; i < 3; i++) {
             StoreServer store = new StoreServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -117,8 +117,8 @@
         return file;
     }
 
-    private static List<Spoken> read(List<Path> files) throws IOException {
-        List<Spoken> all = new ArrayList<>();
+    private static List<RecordedRpc> read(List<Path> files) throws IOException {
+        List<RecordedRpc> all = new ArrayList<>();
         try (MergedCaptureReader reading = new MergedCaptureReader(files)) {
             reading.conversations(all::add, packet -> { });
         }
@@ -131,12 +131,12 @@
         }
     }
 
-    private Tally replay(Path file, boolean effects, String where, double speed, int repeat) throws Exception {
-        Plan schedule = new Plan(speed, effects, honeygap.capture.query.Filter.of(where), 10 * SECOND);
-        Tally report = new Tally();
-        new Replayer(agent.address(0), schedule, new Rewriting(5, 0, null), report, true).play(consumer -> {
-            List<Spoken> all = read(List.of(file));
-            all.sort((a, b) -> Long.compare(a.at, b.at));
+    private ReplayReport replay(Path file, boolean effects, String where, double speed, int repeat) throws Exception {
+        ReplaySchedule schedule = new ReplaySchedule(speed, effects, honeygap.capture.query.RpcFilter.parse(where), 10 * SECOND);
+        ReplayReport report = new ReplayReport();
+        new Replayer(agent.address(0), schedule, new RequestRewriter(5, 0, null), report, true).play(consumer -> {
+            List<RecordedRpc> all = read(List.of(file));
+            all.sort((a, b) -> Long.compare(a.requestTimeNs, b.requestTimeNs));
             all.forEach(consumer);
         }, repeat, () -> { });
         return report;
@@ -149,33 +149,33 @@
     @ParameterizedTest
     @CsvSource({"false,", "true,", "true,secret"})
     void recordsBothSidesOfEachRpc(boolean effects, String secret) throws Exception {
-        startAgent(secret == null ? null : new Mask(secret.getBytes(StandardCharsets.UTF_8)), 8 << 20, 1 << 30, 10);
+        startAgent(secret == null ? null : new DataMasker(secret.getBytes(StandardCharsets.UTF_8)), 8 << 20, 1 << 30, 10);
         Path file = generateCapture(11, 200, 3);
-        List<Spoken> generated = read(List.of(file));
+        List<RecordedRpc> generated = read(List.of(file));
         long selected = generated.stream().filter(one -> effects || one.isReadOnly).count();
-        Tally report = replay(file, effects, "served", 2, 1);
-        long served = generated.stream().filter(one -> (effects || one.isReadOnly) && one.outcome == Spoken.Outcome.served)
+        ReplayReport report = replay(file, effects, "served", 2, 1);
+        long served = generated.stream().filter(one -> (effects || one.isReadOnly) && one.outcome == RecordedRpc.Outcome.served)
                 .count();
-        assertEquals(served + " " + served, report.sent() + " " + report.ended());
+        assertEquals(served + " " + served, report.sentCount() + " " + report.completedCount());
         assertTrue(selected > 100 && served < selected);
-        assertEquals(0, report.different(), "responses are equal byte for byte");
+        assertEquals(0, report.differenceCount(), "responses are equal byte for byte");
         agent.close();
         recorder.close();
-        List<Spoken> recorded = read(recordedFiles());
-        Map<String, Spoken> clientSide = new HashMap<>();
-        Map<String, Spoken> applianceSide = new HashMap<>();
+        List<RecordedRpc> recorded = read(recordedFiles());
+        Map<String, RecordedRpc> clientSide = new HashMap<>();
+        Map<String, RecordedRpc> applianceSide = new HashMap<>();
         int port = agent.address(0).getPort();
-        for (Spoken one : recorded) {
+        for (RecordedRpc one : recorded) {
             (one.server.port() == port ? clientSide : applianceSide).put(one.id, one);
         }
         assertEquals(served + " " + served, clientSide.size() + " " + applianceSide.size());
-        for (Spoken one : clientSide.values()) {
-            Spoken other = applianceSide.get(one.id);
+        for (RecordedRpc one : clientSide.values()) {
+            RecordedRpc other = applianceSide.get(one.id);
             assertNotNull(other, one.id);
-            assertEquals(Spoken.Outcome.served, one.outcome);
+            assertEquals(RecordedRpc.Outcome.served, one.outcome);
             assertEquals(one.method + one.key + one.outcome, other.method + other.key + other.outcome);
-            assertTrue(Arrays.equals(one.answer, other.answer), one.id);
-            assertTrue(one.at <= other.at && one.took > 0 && other.took > 0, one.id);
+            assertTrue(Arrays.equals(one.response, other.response), one.id);
+            assertTrue(one.requestTimeNs <= other.requestTimeNs && one.durationNs > 0 && other.durationNs > 0, one.id);
         }
         StringBuilder bytes = new StringBuilder();
         for (Path one : recordedFiles()) {
@@ -185,7 +185,7 @@
             bytes.append(new String(new ZstdInputStream(Files.newInputStream(one)).readAllBytes(),
                     StandardCharsets.ISO_8859_1));
         }
-        for (Spoken one : generated) {
+        for (RecordedRpc one : generated) {
             if (secret != null) {
                 assertFalse(bytes.toString().contains(one.key), "a key is in the recording: " + one.key);
             }
@@ -259,9 +259,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void countsDataThatDoesNotFitRing(boolean isRedacted) throws Exception {
-        startAgent(isRedacted ? new Mask(new byte[] {1}) : null, 1024, 1 << 30, 3);
-        Tally report = replay(generateCapture(14, 400, 3), true, "served", 4, 1);
-        assertEquals(0, report.different(), "the agent's responses are not affected");
+        startAgent(isRedacted ? new DataMasker(new byte[] {1}) : null, 1024, 1 << 30, 3);
+        ReplayReport report = replay(generateCapture(14, 400, 3), true, "served", 4, 1);
+        assertEquals(0, report.differenceCount(), "the agent's responses are not affected");
         agent.close();
         recorder.close();
         Counters counters = new Counters().group("recording", recorder);
@@ -271,10 +271,10 @@
         for (Path one : recordedFiles()) {
             assertEquals(List.of(), new CaptureVerifier(new ZstdInputStream(Files.newInputStream(one)), false).faults());
         }
-        for (Spoken one : read(recordedFiles())) {
-            if (!isRedacted && one.outcome == Spoken.Outcome.served) {
-                assertTrue(new String(one.answer, StandardCharsets.ISO_8859_1).contains(
-                        honeygap.capture.make.Morning.value(one.key, 16)), "response belongs to another RPC");
+        for (RecordedRpc one : read(recordedFiles())) {
+            if (!isRedacted && one.outcome == RecordedRpc.Outcome.served) {
+                assertTrue(new String(one.response, StandardCharsets.ISO_8859_1).contains(
+                        honeygap.capture.make.TrafficGenerator.value(one.key, 16)), "response belongs to another RPC");
             }
         }
     }
@@ -290,9 +290,9 @@
         // Replaces the folder by a file, so that the next recording file can't be created.
         Files.delete(folder.resolve("recording"));
         Files.write(folder.resolve("recording"), new byte[1]);
-        Tally report = replay(file, true, "served", 1, 1);
-        assertEquals(0, report.different());
-        assertEquals(report.sent(), report.ended());
+        ReplayReport report = replay(file, true, "served", 1, 1);
+        assertEquals(0, report.differenceCount());
+        assertEquals(report.sentCount(), report.completedCount());
         Counters counters = new Counters().group("recording", recorder);
         assertEquals(1, counters.groups().get("recording").get("ended by a fault"));
     }
@@ -303,15 +303,15 @@
     void replaysAtSpeedWithRepeatsAndFilters(double speed, int repeat, String where, int rounds) throws Exception {
         startAgent(null, 8 << 20, 1 << 30, 3);
         Path file = generateCapture(16, 100, 2);
-        List<Spoken> generated = read(List.of(file));
-        long selected = generated.stream().filter(honeygap.capture.query.Filter.of(where)).filter(one -> one.isReadOnly).count();
+        List<RecordedRpc> generated = read(List.of(file));
+        long selected = generated.stream().filter(honeygap.capture.query.RpcFilter.parse(where)).filter(one -> one.isReadOnly).count();
         long startNs = System.nanoTime();
-        Tally report = replay(file, false, where, speed, repeat);
+        ReplayReport report = replay(file, false, where, speed, repeat);
         double seconds = (System.nanoTime() - startNs) / 1e9;
-        assertEquals(rounds * selected, report.sent());
-        assertEquals(report.sent(), report.ended());
-        long first = generated.stream().mapToLong(one -> one.at).min().orElseThrow();
-        long last = generated.stream().mapToLong(one -> one.at).max().orElseThrow();
+        assertEquals(rounds * selected, report.sentCount());
+        assertEquals(report.sentCount(), report.completedCount());
+        long first = generated.stream().mapToLong(one -> one.requestTimeNs).min().orElseThrow();
+        long last = generated.stream().mapToLong(one -> one.requestTimeNs).max().orElseThrow();
         assertTrue(where.isEmpty() ? seconds >= rounds * (last - first) / 1e9 / speed * 0.95 : seconds > 0,
                 "took " + seconds);
     }
@@ -319,18 +319,18 @@
     /** The schedule alone, on a simulated clock: due times, order within a connection, idle timeout. */
     @Test
     void schedulesRpcs() {
-        Plan schedule = new Plan(2, false, rpc -> true, 1000);
+        ReplaySchedule schedule = new ReplaySchedule(2, false, rpc -> true, 1000);
         List<String> actions = new ArrayList<>();
-        Map<String, Plan.RecordedConnection> connections = new HashMap<>();
-        Plan.Sender sender = new Plan.Sender() {
+        Map<String, ReplaySchedule.RecordedConnection> connections = new HashMap<>();
+        ReplaySchedule.Sender sender = new ReplaySchedule.Sender() {
             @Override
-            public void send(Plan.RecordedConnection connection, Spoken rpc, long dueNs) {
+            public void send(ReplaySchedule.RecordedConnection connection, RecordedRpc rpc, long dueNs) {
                 actions.add(rpc.id + "@" + dueNs);
                 connections.put(rpc.id, connection);
             }
 
             @Override
-            public void close(Plan.RecordedConnection connection) {
+            public void close(ReplaySchedule.RecordedConnection connection) {
                 actions.add("close");
             }
         };
@@ -352,7 +352,7 @@
         assertEquals("0 1 1", schedule.incomplete() + " " + schedule.skippedForEffects() + " " + schedule.delayedByPrevious());
     }
 
-    private static String runUntil(Plan schedule, Plan.Sender sender, List<String> actions, long nowNs) {
+    private static String runUntil(ReplaySchedule schedule, ReplaySchedule.Sender sender, List<String> actions, long nowNs) {
         actions.clear();
         schedule.setNow(nowNs);
         while (schedule.next(sender)) {
@@ -361,11 +361,11 @@
         return actions.toString();
     }
 
-    private static Spoken recordedRpc(String id, long connection, long timeNs, boolean isRead) {
-        Spoken rpc = new Spoken();
+    private static RecordedRpc recordedRpc(String id, long connection, long timeNs, boolean isRead) {
+        RecordedRpc rpc = new RecordedRpc();
         rpc.id = id;
         rpc.connection = connection;
-        rpc.at = timeNs;
+        rpc.requestTimeNs = timeNs;
         rpc.isReadOnly = isRead;
         return rpc;
     }
@@ -428,7 +428,7 @@
         }
         Loop loop = new Loop();
         recorder = new Recorder(folder.resolve("recording"), "agent", 1 << 30, 3600 * SECOND, 3, 8 << 20,
-                isRedacted ? new Mask(new byte[] {9}) : null);
+                isRedacted ? new DataMasker(new byte[] {9}) : null);
         loop.setTrafficListener(recorder);
         String json = "{'listen':'127.0.0.1:0','servers':[{'name':'s','address':'127.0.0.1:"
                 + server.address().getPort() + "'}]}";
@@ -453,12 +453,12 @@
         recorder.close();
         server.close();
         Map<String, Integer> kinds = new java.util.TreeMap<>();
-        for (Spoken one : read(recordedFiles())) {
+        for (RecordedRpc one : read(recordedFiles())) {
             kinds.merge(one.method + " " + one.outcome + " " + one.code, 1, Integer::sum);
             assertEquals(!isRedacted, new String(one.request, StandardCharsets.ISO_8859_1).contains("sherpa"));
             assertEquals(!isRedacted, new String(one.request, StandardCharsets.ISO_8859_1).contains("tomato"));
             assertEquals(!isRedacted && one.code.equals("200") && !one.method.equals("track"),
-                    new String(one.answer, StandardCharsets.ISO_8859_1).contains("Namaste"));
+                    new String(one.response, StandardCharsets.ISO_8859_1).contains("Namaste"));
             assertTrue(one.key.length() > 8);
         }
         assertEquals("{all served 200=10, one served 200=10, one served 404=10, track served 200=10}", kinds.toString());
--- a/src/test/java/honeygap/capture/StreamsTest.java
+++ b/src/test/java/honeygap/capture/StreamsTest.java
@@ -7,15 +7,15 @@
 
 import honeygap.capture.file.Packet;
 import honeygap.capture.file.PacketSynthesizer;
-import honeygap.capture.message.Conversations;
-import honeygap.capture.message.PgConversation;
-import honeygap.capture.message.Spoken;
+import honeygap.capture.message.CaptureDecoder;
+import honeygap.capture.message.PgConnectionDecoder;
+import honeygap.capture.message.RecordedRpc;
 import honeygap.capture.packet.Address;
 import honeygap.capture.packet.Decoder;
 import honeygap.capture.packet.Segment;
-import honeygap.capture.query.Filter;
-import honeygap.capture.redact.Anonymous;
-import honeygap.capture.redact.Mask;
+import honeygap.capture.query.RpcFilter;
+import honeygap.capture.redact.CaptureRedactor;
+import honeygap.capture.redact.DataMasker;
 import honeygap.capture.stream.ReassemblyBuffer;
 import honeygap.capture.stream.Reassembly;
 import honeygap.net.pg.PgMessages;
@@ -201,9 +201,9 @@
         }
     }
 
-    static List<Spoken> rpcs(List<Packet> packets, Map<String, Long> counts) {
-        List<Spoken> exchanges = new ArrayList<>();
-        Conversations conversations = new Conversations(exchanges::add);
+    static List<RecordedRpc> rpcs(List<Packet> packets, Map<String, Long> counts) {
+        List<RecordedRpc> exchanges = new ArrayList<>();
+        CaptureDecoder conversations = new CaptureDecoder(exchanges::add);
         Reassembly reassembly = new Reassembly();
         Decoder decoder = new Decoder();
         Segment segment = new Segment();
@@ -215,17 +215,17 @@
         }
         reassembly.end();
         drain(reassembly, conversations);
-        counts.putAll(conversations.counts());
+        counts.putAll(conversations.problemCounts());
         counts.putAll(reassembly.counts());
         return exchanges;
     }
 
-    private static Map<String, String> byId(List<Spoken> exchanges) {
+    private static Map<String, String> byId(List<RecordedRpc> exchanges) {
         Map<String, String> descriptions = new TreeMap<>();
         exchanges.forEach(one -> descriptions.put(one.id, one.method + " " + one.key + " "
                 + one.outcome + " " + one.code + " "
                 + new String(one.request, StandardCharsets.ISO_8859_1)
-                + new String(one.answer, StandardCharsets.ISO_8859_1)));
+                + new String(one.response, StandardCharsets.ISO_8859_1)));
         return descriptions;
     }
 
@@ -264,7 +264,7 @@
     @Test
     void splitAnywhere() throws IOException {
         ByteBuffer query = PgMessages.query("SELECT content FROM kv WHERE name = 'ab12' /* id=i1,c=look,t=a,d=50 */");
-        ByteBuffer answer = honeygap.capture.make.Morning.row("0102");
+        ByteBuffer answer = honeygap.capture.make.TrafficGenerator.rowResponse("0102");
         byte[][] messages = {bytes(PgMessages.startupMessage()), bytes(PgMessages.startupResponse()), bytes(query), bytes(answer)};
         for (int part = 0; part < messages.length; part++) {
             for (int split = 0; split <= messages[part].length; split++) {
@@ -276,11 +276,11 @@
                     synthesis.data(1, i % 2 == 0, messages[i], 0, at, 10 + i);
                     synthesis.data(1, i % 2 == 0, messages[i], at, messages[i].length - at, 10 + i);
                 }
-                List<Spoken> exchanges = rpcs(packets, new HashMap<>());
+                List<RecordedRpc> exchanges = rpcs(packets, new HashMap<>());
                 assertEquals(1, exchanges.size(), "part " + part + " at " + split);
                 assertEquals("look ab12 served 1", exchanges.get(0).method + " "
                         + exchanges.get(0).key + " " + exchanges.get(0).outcome
-                        + " " + exchanges.get(0).took);
+                        + " " + exchanges.get(0).durationNs);
             }
         }
     }
@@ -310,10 +310,10 @@
             remaining.subList(0, packets.size() / 2).clear();
         }
         Map<String, Long> counts = new HashMap<>();
-        List<Spoken> exchanges = rpcs(remaining, counts);
+        List<RecordedRpc> exchanges = rpcs(remaining, counts);
         int correct = 0;
-        for (Spoken one : exchanges) {
-            if (one.outcome == Spoken.Outcome.torn || one.outcome == Spoken.Outcome.open) {
+        for (RecordedRpc one : exchanges) {
+            if (one.outcome == RecordedRpc.Outcome.torn || one.outcome == RecordedRpc.Outcome.open) {
                 continue;
             }
             assertEquals(expected.get(one.id), byId(List.of(one)).get(one.id), "seed " + seed);
@@ -341,7 +341,7 @@
         java.nio.file.Path serverFile = folder.resolve("down.pcapng");
         java.nio.file.Files.write(clientFile, FilesTest.encode(up, false));
         java.nio.file.Files.write(serverFile, FilesTest.encode(down, true));
-        List<Spoken> exchanges = new ArrayList<>();
+        List<RecordedRpc> exchanges = new ArrayList<>();
         try (MergedCaptureReader reading = new MergedCaptureReader(List.of(clientFile, serverFile))) {
             reading.conversations(exchanges::add, packet -> { });
         }
@@ -359,22 +359,22 @@
         "served and|11", "(served|8", "served)|7", "requestBytes > 3ms|16", "key ~ \"[\"|7", "served served|8",
         "method == \"open|11", "took > 5x|8", "and|1"})
     void filters(String expression, String expected) {
-        Spoken exchange = new Spoken();
+        RecordedRpc exchange = new RecordedRpc();
         exchange.protocol = "pg";
         exchange.client = CLIENT;
         exchange.server = FilesTest.SERVER;
         exchange.method = "book";
         exchange.key = "ab12";
         exchange.tenant = "a\"b";
-        exchange.took = 30_000_000;
+        exchange.durationNs = 30_000_000;
         exchange.connection = 7;
         exchange.request = new byte[3];
-        exchange.outcome = Spoken.Outcome.served;
+        exchange.outcome = RecordedRpc.Outcome.served;
         if (expected.matches("\\d+")) {
-            Filter.Unread fault = assertThrows(Filter.Unread.class, () -> Filter.of(expression));
+            RpcFilter.FilterSyntaxException fault = assertThrows(RpcFilter.FilterSyntaxException.class, () -> RpcFilter.parse(expression));
             assertEquals(Integer.parseInt(expected), fault.column, fault.getMessage());
         } else {
-            assertEquals(expected.equals("true"), Filter.of(expression).test(exchange));
+            assertEquals(expected.equals("true"), RpcFilter.parse(expression).test(exchange));
         }
     }
 
@@ -382,9 +382,9 @@
     @Test
     void anonymised() throws IOException {
         List<Packet> packets = FilesTest.syntheticTraffic(7, 100, 3);
-        List<Spoken> before = rpcs(packets, new HashMap<>());
+        List<RecordedRpc> before = rpcs(packets, new HashMap<>());
         List<Packet> hidden = new ArrayList<>();
-        Anonymous anonymous = new Anonymous(new Mask("secret".getBytes(StandardCharsets.UTF_8)),
+        CaptureRedactor anonymous = new CaptureRedactor(new DataMasker("secret".getBytes(StandardCharsets.UTF_8)),
                 packet -> hidden.add(FilesTest.copy(packet)));
         Reassembly reassembly = new Reassembly();
         Decoder decoder = new Decoder();
@@ -397,18 +397,18 @@
         }
         reassembly.end();
         drain(reassembly, anonymous);
-        List<Spoken> after = rpcs(hidden, new HashMap<>());
+        List<RecordedRpc> after = rpcs(hidden, new HashMap<>());
         assertEquals(before.size(), after.size());
         Map<String, String> keys = new HashMap<>();
-        Map<String, Spoken> byId = new HashMap<>();
+        Map<String, RecordedRpc> byId = new HashMap<>();
         after.forEach(original -> byId.put(original.id, original));
         StringBuilder content = new StringBuilder();
         hidden.forEach(packet -> content.append(new String(packet.data, StandardCharsets.ISO_8859_1)));
-        for (Spoken original : before) {
-            Spoken masked = byId.get(original.id);
-            assertEquals(original.method + original.outcome + original.request.length + "/" + original.answer.length,
+        for (RecordedRpc original : before) {
+            RecordedRpc masked = byId.get(original.id);
+            assertEquals(original.method + original.outcome + original.request.length + "/" + original.response.length,
                     masked.method
-                    + masked.outcome + masked.request.length + "/" + masked.answer.length);
+                    + masked.outcome + masked.request.length + "/" + masked.response.length);
             assertTrue(keys.merge(original.key, masked.key, (was, is) -> was.equals(is) ? is : "?") != "?", original.key);
             assertTrue(masked.key.matches("[0-9a-f]{16}") && !content.toString().contains(original.key), masked.key);
         }
@@ -424,7 +424,7 @@
     void maskedJson(String json, String maskedValues) throws Exception {
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
         int length = bytes.length;
-        new Mask(new byte[] {1, 2}).hideJson(bytes, 0, bytes.length);
+        new DataMasker(new byte[] {1, 2}).maskJson(bytes, 0, bytes.length);
         String hidden = new String(bytes, StandardCharsets.UTF_8);
         assertEquals(length, bytes.length);
         for (String value : maskedValues.split(" ")) {
@@ -449,13 +449,13 @@
     @CsvSource({"D,true,'[1 torn, 2 torn]'", "C,true,'[1 torn, 2 torn]'", "'',false,'[1 torn, 2 failed]'"})
     void restOfAResponseAfterAHole(String rest, boolean isSkipped, String expected) {
         List<String> outcomes = new ArrayList<>();
-        PgConversation conversation = new PgConversation(false, Spoken::new,
+        PgConnectionDecoder conversation = new PgConnectionDecoder(false, RecordedRpc::new,
                 one -> outcomes.add(one.id + " " + one.outcome), new HashMap<>());
         for (int id = 1; id <= 2; id++) {
             conversation.data(true, bytes("Q", "SELECT content FROM kv WHERE name = 'k' /* id=" + id
                     + ",c=look,t=acme,d=500 */\0"), id);
             if (id == 1) {
-                conversation.hole(false, 20);
+                conversation.gap(false, 20);
                 conversation.data(false, bytes("D", "\0\0"), id);
             }
         }
@@ -465,7 +465,7 @@
                     : join(bytes("C", "SELECT 1\0"), ready), 3);
         }
         conversation.data(false, join(bytes("E", "SERROR\0CXX000\0Mno\0\0"), ready), 4);
-        conversation.over();
+        conversation.connectionClosed();
         assertEquals(expected, outcomes.toString());
     }
 
--- a/src/test/java/honeygap/cli/CaptureCommandTest.java
+++ b/src/test/java/honeygap/cli/CaptureCommandTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.capture.record.Row;
+import honeygap.capture.record.RpcColumns;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -94,7 +94,7 @@
             int rows = 0;
             try (DataFileReader<GenericRecord> reader = new DataFileReader<>(file.toFile(), new GenericDatumReader<>())) {
                 for (GenericRecord row : reader) {
-                    assertEquals(Row.COLUMNS.size(), row.getSchema().getFields().size());
+                    assertEquals(RpcColumns.COLUMNS.size(), row.getSchema().getFields().size());
                     assertTrue((Long) row.get("took_ns") > 0 && row.get("key_hash").toString().length() == 16);
                     rows++;
                 }
@@ -103,7 +103,7 @@
         } else {
             List<String> rows = Files.readAllLines(file);
             assertEquals(rpcs + (form.equals("csv") ? 1 : 0), rows.size());
-            for (Row.Column column : Row.COLUMNS) {
+            for (RpcColumns.Column column : RpcColumns.COLUMNS) {
                 assertTrue(rows.get(0).contains(column.name()), rows.get(0));
             }
         }
