--- a/src/main/java/honeygap/net/askers/FlagClientConnection.java
+++ b/src/main/java/honeygap/net/askers/FlagClientConnection.java
@@ -2,7 +2,7 @@
 
 import honeygap.flags.EvaluationCoordinator;
 import honeygap.flags.ServerAnswer;
-import honeygap.net.guests.ClientConnection;
+import honeygap.net.connections.ClientConnection;
 import honeygap.net.http.Refusal;
 import honeygap.net.http.RequestParser;
 import honeygap.net.ofrep.PendingEvaluation;
--- a/src/main/java/honeygap/net/askers/FlagClients.java
+++ b/src/main/java/honeygap/net/askers/FlagClients.java
@@ -5,7 +5,7 @@
 import honeygap.net.Downstream;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.net.guests.ClientConnections;
+import honeygap.net.connections.ClientConnections;
 import honeygap.net.http.Refusal;
 import honeygap.net.ofrep.EvaluationDispatcher;
 import honeygap.net.shutdown.ShutdownLog;
--- a/src/main/java/honeygap/net/clients/PgClientConnection.java
+++ b/src/main/java/honeygap/net/clients/PgClientConnection.java
@@ -1,6 +1,6 @@
 package honeygap.net.clients;
 
-import honeygap.net.guests.ClientConnection;
+import honeygap.net.connections.ClientConnection;
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Query;
 import honeygap.net.pg.Statement;
--- a/src/main/java/honeygap/net/clients/PgClients.java
+++ b/src/main/java/honeygap/net/clients/PgClients.java
@@ -11,7 +11,7 @@
 import honeygap.net.LogRateLimiter;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.net.guests.ClientConnections;
+import honeygap.net.connections.ClientConnections;
 import honeygap.net.pg.Query;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
--- a/src/main/java/honeygap/net/guests/ClientConnection.java
+++ b/src/main/java/honeygap/net/connections/ClientConnection.java
@@ -1,4 +1,4 @@
-package honeygap.net.guests;
+package honeygap.net.connections;
 
 import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
--- a/src/main/java/honeygap/net/guests/ClientConnections.java
+++ b/src/main/java/honeygap/net/connections/ClientConnections.java
@@ -1,4 +1,4 @@
-package honeygap.net.guests;
+package honeygap.net.connections;
 
 import honeygap.net.Counters;
 import honeygap.net.Loop;
--- a/src/main/java/honeygap/net/door/AdminConnection.java
+++ b/src/main/java/honeygap/net/door/AdminConnection.java
@@ -1,6 +1,6 @@
 package honeygap.net.door;
 
-import honeygap.net.guests.ClientConnection;
+import honeygap.net.connections.ClientConnection;
 import honeygap.net.http.Refusal;
 import honeygap.net.http.RequestParser;
 import java.io.IOException;
--- a/src/main/java/honeygap/net/door/AdminEndpoint.java
+++ b/src/main/java/honeygap/net/door/AdminEndpoint.java
@@ -7,7 +7,7 @@
 import honeygap.net.Agent;
 import honeygap.net.Counters;
 import honeygap.net.Loop;
-import honeygap.net.guests.ClientConnections;
+import honeygap.net.connections.ClientConnections;
 import honeygap.net.http.Refusal;
 import honeygap.net.shutdown.ShutdownLog;
 import honeygap.read.JsonObject;
