--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -9,7 +9,7 @@
 import honeygap.fleet.Build;
 import honeygap.fleet.Fleet;
 import honeygap.fleet.Pick;
-import honeygap.net.askers.FlagClients;
+import honeygap.net.flagclients.FlagClients;
 import honeygap.net.desk.VoteSubmitter;
 import honeygap.net.desk.RolloutStatusStream;
 import honeygap.net.desk.RolloutStatusParser;
--- a/src/main/java/honeygap/net/askers/FlagClientConnection.java
+++ b/src/main/java/honeygap/net/flagclients/FlagClientConnection.java
@@ -1,4 +1,4 @@
-package honeygap.net.askers;
+package honeygap.net.flagclients;
 
 import honeygap.flags.EvaluationCoordinator;
 import honeygap.flags.ServerAnswer;
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -81,13 +81,13 @@
 
     @Test
     void clientSideIsIndependentOfUpstreamSide() {
-        for (String front : List.of("honeygap.net.clients..", "honeygap.net.askers..", "honeygap.net.connections..")) {
+        for (String front : List.of("honeygap.net.clients..", "honeygap.net.flagclients..", "honeygap.net.connections..")) {
             noDependency(front, "honeygap.net.appliances..", "honeygap.net.servers..", "honeygap.net.links..").check(ALL);
         }
         for (String back : List.of("honeygap.net.appliances..", "honeygap.net.servers..", "honeygap.net.links..")) {
-            noDependency(back, "honeygap.net.clients..", "honeygap.net.askers..", "honeygap.net.connections..").check(ALL);
+            noDependency(back, "honeygap.net.clients..", "honeygap.net.flagclients..", "honeygap.net.connections..").check(ALL);
         }
-        noDependency("honeygap.net.clients..", "honeygap.net.askers..").check(ALL);
+        noDependency("honeygap.net.clients..", "honeygap.net.flagclients..").check(ALL);
         noDependency("honeygap.net.appliances..", "honeygap.net.servers..").check(ALL);
     }
 
