--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -17,7 +17,7 @@
 import honeygap.net.list.StaticList;
 import honeygap.net.list.DiscoveryClient;
 import honeygap.net.ofrep.EvaluationDispatcher;
-import honeygap.net.servers.FlagServerConnection;
+import honeygap.net.flagservers.FlagServerConnection;
 import honeygap.read.FlagSettings;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.io.IOException;
--- a/src/main/java/honeygap/net/servers/FlagServerConnection.java
+++ b/src/main/java/honeygap/net/flagservers/FlagServerConnection.java
@@ -1,4 +1,4 @@
-package honeygap.net.servers;
+package honeygap.net.flagservers;
 
 import honeygap.flags.ServerAnswer;
 import honeygap.fleet.Pick;
