--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -13,7 +13,7 @@
 import honeygap.net.desk.VoteSubmitter;
 import honeygap.net.desk.RolloutStatusStream;
 import honeygap.net.desk.RolloutStatusParser;
-import honeygap.net.links.ConnectionPool;
+import honeygap.net.upstream.ConnectionPool;
 import honeygap.net.list.StaticList;
 import honeygap.net.list.DiscoveryClient;
 import honeygap.net.ofrep.EvaluationDispatcher;
--- a/src/main/java/honeygap/net/PostgresProtocol.java
+++ b/src/main/java/honeygap/net/PostgresProtocol.java
@@ -7,7 +7,7 @@
 import honeygap.net.desk.VoteSubmitter;
 import honeygap.net.desk.RolloutStatusStream;
 import honeygap.net.desk.RolloutStatusParser;
-import honeygap.net.links.ConnectionPool;
+import honeygap.net.upstream.ConnectionPool;
 import honeygap.net.list.DiscoveryClient;
 import honeygap.read.DeploymentSettings;
 import honeygap.read.JsonObject;
--- a/src/main/java/honeygap/net/appliances/PostgresConnection.java
+++ b/src/main/java/honeygap/net/appliances/PostgresConnection.java
@@ -2,9 +2,9 @@
 
 import honeygap.fleet.Pick;
 import honeygap.net.GatheringBuffer;
-import honeygap.net.links.UpstreamConnection;
-import honeygap.net.links.ConnectionPool;
-import honeygap.net.links.RemoteAppliance;
+import honeygap.net.upstream.UpstreamConnection;
+import honeygap.net.upstream.ConnectionPool;
+import honeygap.net.upstream.RemoteAppliance;
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Query;
 import honeygap.net.pg.MessageValidator;
--- a/src/main/java/honeygap/net/list/DiscoveryClient.java
+++ b/src/main/java/honeygap/net/list/DiscoveryClient.java
@@ -13,7 +13,7 @@
 import honeygap.net.OncePerSecond;
 import honeygap.net.http.ResponseStream;
 import honeygap.net.http.StreamEnd;
-import honeygap.net.links.RemoteAppliance;
+import honeygap.net.upstream.RemoteAppliance;
 import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import java.io.IOException;
--- a/src/main/java/honeygap/net/list/StaticList.java
+++ b/src/main/java/honeygap/net/list/StaticList.java
@@ -8,7 +8,7 @@
 import honeygap.net.Upstream;
 import honeygap.net.EngineAdapter;
 import honeygap.net.Counters;
-import honeygap.net.links.RemoteAppliance;
+import honeygap.net.upstream.RemoteAppliance;
 import honeygap.read.FlagSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/honeygap/net/links/UpstreamConnection.java
+++ b/src/main/java/honeygap/net/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package honeygap.net.links;
+package honeygap.net.upstream;
 
 import honeygap.fleet.Appliance;
 import honeygap.fleet.Pick;
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -82,9 +82,9 @@
     @Test
     void clientSideIsIndependentOfUpstreamSide() {
         for (String front : List.of("honeygap.net.clients..", "honeygap.net.flagclients..", "honeygap.net.connections..")) {
-            noDependency(front, "honeygap.net.appliances..", "honeygap.net.flagservers..", "honeygap.net.links..").check(ALL);
+            noDependency(front, "honeygap.net.appliances..", "honeygap.net.flagservers..", "honeygap.net.upstream..").check(ALL);
         }
-        for (String back : List.of("honeygap.net.appliances..", "honeygap.net.flagservers..", "honeygap.net.links..")) {
+        for (String back : List.of("honeygap.net.appliances..", "honeygap.net.flagservers..", "honeygap.net.upstream..")) {
             noDependency(back, "honeygap.net.clients..", "honeygap.net.flagclients..", "honeygap.net.connections..").check(ALL);
         }
         noDependency("honeygap.net.clients..", "honeygap.net.flagclients..").check(ALL);
