--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -4,7 +4,7 @@
 import honeygap.capture.tape.Recorder;
 import honeygap.net.Agent;
 import honeygap.net.Loop;
-import honeygap.net.door.AdminEndpoint;
+import honeygap.net.admin.AdminEndpoint;
 import honeygap.read.Malformed;
 import honeygap.read.Template;
 import honeygap.share.host.TableReplicator;
--- a/src/main/java/honeygap/net/door/AdminConnection.java
+++ b/src/main/java/honeygap/net/admin/AdminConnection.java
@@ -1,4 +1,4 @@
-package honeygap.net.door;
+package honeygap.net.admin;
 
 import honeygap.net.connections.ClientConnection;
 import honeygap.net.http.Refusal;
--- a/src/main/java/honeygap/net/door/LedgerFile.java
+++ b/src/main/java/honeygap/net/admin/LedgerFile.java
@@ -1,4 +1,4 @@
-package honeygap.net.door;
+package honeygap.net.admin;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/honeygap/share/host/TableReplicator.java
+++ b/src/main/java/honeygap/share/host/TableReplicator.java
@@ -2,7 +2,7 @@
 
 import honeygap.net.Counters;
 import honeygap.net.LoadSharing;
-import honeygap.net.door.AsyncHandler;
+import honeygap.net.admin.AsyncHandler;
 import honeygap.net.http.Refusal;
 import honeygap.read.Malformed;
 import honeygap.share.exchange.MessageCodec;
--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -9,7 +9,7 @@
 import honeygap.net.Agent;
 import honeygap.net.FlagProtocol;
 import honeygap.net.Loop;
-import honeygap.net.door.AdminEndpoint;
+import honeygap.net.admin.AdminEndpoint;
 import honeygap.read.FlagSettings;
 import honeygap.read.JsonObject;
 import com.fasterxml.jackson.core.JsonFactory;
--- a/src/test/java/honeygap/net/door/LedgerFileTest.java
+++ b/src/test/java/honeygap/net/admin/LedgerFileTest.java
@@ -1,4 +1,4 @@
-package honeygap.net.door;
+package honeygap.net.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
