--- a/src/main/java/honeygap/net/PostgresProtocol.java
+++ b/src/main/java/honeygap/net/PostgresProtocol.java
@@ -8,7 +8,7 @@
 import honeygap.net.desk.RolloutStatusStream;
 import honeygap.net.desk.RolloutStatusParser;
 import honeygap.net.upstream.ConnectionPool;
-import honeygap.net.list.DiscoveryClient;
+import honeygap.net.discovery.DiscoveryClient;
 import honeygap.read.DeploymentSettings;
 import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
--- a/src/main/java/honeygap/net/list/DiscoveryClient.java
+++ b/src/main/java/honeygap/net/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package honeygap.net.list;
+package honeygap.net.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/honeygap/net/list/StaticList.java
+++ b/src/main/java/honeygap/net/discovery/StaticList.java
@@ -1,4 +1,4 @@
-package honeygap.net.list;
+package honeygap.net.discovery;
 
 import honeygap.DecisionEngine;
 import honeygap.fleet.Appliance;
--- a/src/test/java/honeygap/net/list/StartTimesTest.java
+++ b/src/test/java/honeygap/net/discovery/StartTimesTest.java
@@ -1,4 +1,4 @@
-package honeygap.net.list;
+package honeygap.net.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
