--- a/src/main/java/honeygap/DecisionEngine.java
+++ b/src/main/java/honeygap/DecisionEngine.java
@@ -14,7 +14,7 @@
 import honeygap.rules.shutdown.ShutdownSchedule;
 import honeygap.rules.votes.Voting;
 import honeygap.rules.work.WorkEstimate;
-import honeygap.terms.*;
+import honeygap.settings.*;
 import java.util.ArrayDeque;
 import java.util.List;
 
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -33,7 +33,7 @@
     private static final int READ_TIMEOUT_MS = 5000;
     /** Name prefixes of the classes that an agent uses; the rest of the jar is for other subcommands. */
     private static final List<String> PARTS = List.of("honeygap/DecisionEngine", "honeygap/DecisionHandler", "honeygap/rules/",
-            "honeygap/terms/", "honeygap/fleet/", "honeygap/net/", "honeygap/read/", "honeygap/cli/Serve",
+            "honeygap/settings/", "honeygap/fleet/", "honeygap/net/", "honeygap/read/", "honeygap/cli/Serve",
             "honeygap/cli/Configured", "honeygap/cli/Start", "honeygap/cli/HangUp");
 
     @CommandLine.Spec
--- a/src/main/java/honeygap/lab/scale/SimulatedAgent.java
+++ b/src/main/java/honeygap/lab/scale/SimulatedAgent.java
@@ -2,7 +2,7 @@
 
 import honeygap.fleet.RandomSource;
 import honeygap.rules.discovery.ListCallSchedule;
-import honeygap.terms.ListSettings;
+import honeygap.settings.ListSettings;
 import java.util.function.Consumer;
 
 /**
--- a/src/main/java/honeygap/net/PostgresProtocol.java
+++ b/src/main/java/honeygap/net/PostgresProtocol.java
@@ -13,7 +13,7 @@
 import honeygap.read.JsonObject;
 import honeygap.read.Malformed;
 import honeygap.rules.shutdown.ShutdownSchedule;
-import honeygap.terms.ListSettings;
+import honeygap.settings.ListSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
--- a/src/main/java/honeygap/read/DeploymentSettings.java
+++ b/src/main/java/honeygap/read/DeploymentSettings.java
@@ -2,11 +2,11 @@
 
 import honeygap.DecisionEngine;
 import honeygap.fleet.Method;
-import honeygap.terms.ColdStartSettings;
-import honeygap.terms.DeskSettings;
-import honeygap.terms.ExposureSettings;
-import honeygap.terms.ListSettings;
-import honeygap.terms.RetryLimits;
+import honeygap.settings.ColdStartSettings;
+import honeygap.settings.DeskSettings;
+import honeygap.settings.ExposureSettings;
+import honeygap.settings.ListSettings;
+import honeygap.settings.RetryLimits;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/honeygap/rules/builds/ExposureLimit.java
+++ b/src/main/java/honeygap/rules/builds/ExposureLimit.java
@@ -1,7 +1,7 @@
 package honeygap.rules.builds;
 
 import honeygap.fleet.*;
-import honeygap.terms.ExposureSettings;
+import honeygap.settings.ExposureSettings;
 import java.util.ArrayDeque;
 
 /** Limits which RPCs may be sent to a build on trial: by stage, cap, rolling counts and routing keys. */
--- a/src/main/java/honeygap/rules/cold/ColdStartLimit.java
+++ b/src/main/java/honeygap/rules/cold/ColdStartLimit.java
@@ -2,7 +2,7 @@
 
 import honeygap.fleet.*;
 import honeygap.rules.work.WorkEstimate;
-import honeygap.terms.ColdStartSettings;
+import honeygap.settings.ColdStartSettings;
 
 /** Limits the work that this agent sends to an appliance that has just started. */
 public record ColdStartLimit(Fleet fleet, RandomSource random, ColdStartSettings settings) {
--- a/src/main/java/honeygap/rules/discovery/ListCallSchedule.java
+++ b/src/main/java/honeygap/rules/discovery/ListCallSchedule.java
@@ -1,7 +1,7 @@
 package honeygap.rules.discovery;
 
 import honeygap.fleet.RandomSource;
-import honeygap.terms.ListSettings;
+import honeygap.settings.ListSettings;
 
 /**
  * Schedules calls to discovery for the list of appliances: the first call, and retries with back-off and full jitter.
--- a/src/main/java/honeygap/rules/discovery/ListLease.java
+++ b/src/main/java/honeygap/rules/discovery/ListLease.java
@@ -3,7 +3,7 @@
 import honeygap.fleet.Appliance;
 import honeygap.fleet.Fleet;
 import honeygap.fleet.Pick;
-import honeygap.terms.ListSettings;
+import honeygap.settings.ListSettings;
 
 /**
  * Determines which appliances are still known to serve. The list from discovery is a lease: it is valid for a bounded
--- a/src/main/java/honeygap/rules/evidence/DeskCounts.java
+++ b/src/main/java/honeygap/rules/evidence/DeskCounts.java
@@ -3,7 +3,7 @@
 import honeygap.fleet.*;
 import honeygap.rules.fit.Fit;
 import honeygap.rules.work.WorkEstimate;
-import honeygap.terms.DeskSettings;
+import honeygap.settings.DeskSettings;
 import java.util.List;
 
 /** Evidence on the build on trial from the desk's counts of all agents' picks. */
--- a/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
+++ b/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
@@ -3,7 +3,7 @@
 import honeygap.fleet.*;
 import honeygap.rules.health.ApplianceHealth;
 import honeygap.rules.work.WorkEstimate;
-import honeygap.terms.ColdStartSettings;
+import honeygap.settings.ColdStartSettings;
 
 /** Limits the picks in flight at an appliance, and at all appliances of a build together. */
 public record ConcurrencyLimits(Fleet fleet, ApplianceHealth health, ColdStartSettings coldStartSettings) {
--- a/src/main/java/honeygap/rules/votes/Voting.java
+++ b/src/main/java/honeygap/rules/votes/Voting.java
@@ -4,7 +4,7 @@
 import honeygap.fleet.*;
 import honeygap.rules.evidence.*;
 import honeygap.rules.fit.Fit;
-import honeygap.terms.DeskSettings;
+import honeygap.settings.DeskSettings;
 
 /** Decides how this agent votes on the build on trial, and when it sends its vote to the desk. */
 public record Voting(Fleet fleet, RandomSource random, FailureEvidence failureEvidence,
--- a/src/main/java/honeygap/terms/ColdStartSettings.java
+++ b/src/main/java/honeygap/settings/ColdStartSettings.java
@@ -1,4 +1,4 @@
-package honeygap.terms;
+package honeygap.settings;
 
 /**
  * How appliances behave after a start. Times are tenths of a millisecond.
--- a/src/main/java/honeygap/terms/DeskSettings.java
+++ b/src/main/java/honeygap/settings/DeskSettings.java
@@ -1,4 +1,4 @@
-package honeygap.terms;
+package honeygap.settings;
 
 /**
  * How the release desk counts votes and reports. Times are tenths of a millisecond.
--- a/src/main/java/honeygap/terms/ExposureSettings.java
+++ b/src/main/java/honeygap/settings/ExposureSettings.java
@@ -1,4 +1,4 @@
-package honeygap.terms;
+package honeygap.settings;
 
 /**
  * How much traffic a build on trial may receive.
--- a/src/main/java/honeygap/terms/ListSettings.java
+++ b/src/main/java/honeygap/settings/ListSettings.java
@@ -1,4 +1,4 @@
-package honeygap.terms;
+package honeygap.settings;
 
 /**
  * How the list of appliances is obtained. Times are tenths of a millisecond.
--- a/src/main/java/honeygap/terms/RetryLimits.java
+++ b/src/main/java/honeygap/settings/RetryLimits.java
@@ -1,4 +1,4 @@
-package honeygap.terms;
+package honeygap.settings;
 
 /**
  * Limits on retries.
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void decisionsDependOnNoIo() {
-        noClasses().that().resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.terms..", "honeygap.flags..").should()
+        noClasses().that().resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.settings..", "honeygap.flags..").should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO).check(ALL);
         noClasses().that().resideInAPackage("honeygap.fleet..").should().dependOnClassesThat()
--- a/src/test/java/honeygap/ShutdownRulesTest.java
+++ b/src/test/java/honeygap/ShutdownRulesTest.java
@@ -7,7 +7,7 @@
 import honeygap.fleet.Rpc;
 import honeygap.rules.shutdown.ShutdownPhase;
 import honeygap.rules.shutdown.ShutdownSchedule;
-import honeygap.terms.DeskSettings;
+import honeygap.settings.DeskSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
+++ b/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import honeygap.fleet.Fleet;
-import honeygap.terms.ListSettings;
+import honeygap.settings.ListSettings;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/honeygap/rules/discovery/ListCallsTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListCallsTest.java
@@ -6,7 +6,7 @@
 
 import honeygap.fleet.RandomSource;
 import honeygap.fleet.Fleet;
-import honeygap.terms.ListSettings;
+import honeygap.settings.ListSettings;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
+++ b/src/test/java/honeygap/rules/discovery/ListLeaseRulesTest.java
@@ -12,7 +12,7 @@
 import honeygap.fleet.Pick;
 import honeygap.fleet.Rpc;
 import honeygap.fleet.Tenant;
-import honeygap.terms.ListSettings;
+import honeygap.settings.ListSettings;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
