--- a/src/main/java/honeygap/spread/PeerLoad.java
+++ b/src/main/java/honeygap/peerload/PeerLoad.java
@@ -1,4 +1,4 @@
-package honeygap.spread;
+package honeygap.peerload;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/honeygap/share/host/TableReplicator.java
+++ b/src/main/java/honeygap/share/host/TableReplicator.java
@@ -22,7 +22,7 @@
 import honeygap.share.work.WorkLimits;
 import honeygap.share.work.WorkKind;
 import honeygap.share.work.WorkerPool;
-import honeygap.spread.PeerLoad;
+import honeygap.peerload.PeerLoad;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
