--- a/src/main/java/honeygap/capture/message/HttpConnectionDecoder.java
+++ b/src/main/java/honeygap/capture/message/HttpConnectionDecoder.java
@@ -4,7 +4,7 @@
 import honeygap.net.http.Refusal;
 import honeygap.net.http.RequestParser;
 import honeygap.net.ofrep.OfrepJson;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/honeygap/capture/message/PgConnectionDecoder.java
+++ b/src/main/java/honeygap/capture/message/PgConnectionDecoder.java
@@ -4,7 +4,7 @@
 import honeygap.net.pg.MessageValidator;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
--- a/src/main/java/honeygap/capture/query/RpcFilter.java
+++ b/src/main/java/honeygap/capture/query/RpcFilter.java
@@ -1,7 +1,7 @@
 package honeygap.capture.query;
 
 import honeygap.capture.message.RecordedRpc;
-import honeygap.read.ComparisonOperators;
+import honeygap.config.ComparisonOperators;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/honeygap/capture/replay/Replayer.java
+++ b/src/main/java/honeygap/capture/replay/Replayer.java
@@ -7,7 +7,7 @@
 import honeygap.net.http.ResponseParser;
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/main/java/honeygap/cli/Check.java
+++ b/src/main/java/honeygap/cli/Check.java
@@ -1,9 +1,9 @@
 package honeygap.cli;
 
 import honeygap.net.Agent;
-import honeygap.read.JsonObject;
-import honeygap.read.FlagSettings;
-import honeygap.read.Malformed;
+import honeygap.config.JsonObject;
+import honeygap.config.FlagSettings;
+import honeygap.config.Malformed;
 import java.io.PrintWriter;
 import picocli.CommandLine;
 
--- a/src/main/java/honeygap/cli/Manage.java
+++ b/src/main/java/honeygap/cli/Manage.java
@@ -2,8 +2,8 @@
 
 import honeygap.manage.host.FleetSettings;
 import honeygap.manage.host.Manager;
-import honeygap.read.Malformed;
-import honeygap.read.Template;
+import honeygap.config.Malformed;
+import honeygap.config.Template;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
--- a/src/main/java/honeygap/cli/Rehearse.java
+++ b/src/main/java/honeygap/cli/Rehearse.java
@@ -6,8 +6,8 @@
 import honeygap.net.Loop;
 import honeygap.net.PostgresProtocol;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.JsonObject;
-import honeygap.read.Malformed;
+import honeygap.config.JsonObject;
+import honeygap.config.Malformed;
 import honeygap.standin.StoreServer;
 import java.io.IOException;
 import java.io.InputStream;
@@ -33,7 +33,7 @@
     private static final int READ_TIMEOUT_MS = 5000;
     /** Name prefixes of the classes that an agent uses; the rest of the jar is for other subcommands. */
     private static final List<String> PARTS = List.of("honeygap/DecisionEngine", "honeygap/DecisionHandler", "honeygap/rules/",
-            "honeygap/settings/", "honeygap/fleet/", "honeygap/net/", "honeygap/read/", "honeygap/cli/Serve",
+            "honeygap/settings/", "honeygap/fleet/", "honeygap/net/", "honeygap/config/", "honeygap/cli/Serve",
             "honeygap/cli/Configured", "honeygap/cli/Start", "honeygap/cli/HangUp");
 
     @CommandLine.Spec
--- a/src/main/java/honeygap/cli/Render.java
+++ b/src/main/java/honeygap/cli/Render.java
@@ -1,7 +1,7 @@
 package honeygap.cli;
 
-import honeygap.read.Malformed;
-import honeygap.read.Template;
+import honeygap.config.Malformed;
+import honeygap.config.Template;
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
--- a/src/main/java/honeygap/cli/Standin.java
+++ b/src/main/java/honeygap/cli/Standin.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import honeygap.read.JsonObject;
-import honeygap.read.Malformed;
-import honeygap.read.Template;
+import honeygap.config.JsonObject;
+import honeygap.config.Malformed;
+import honeygap.config.Template;
 import honeygap.standin.FlagServer;
 import honeygap.standin.StoreServer;
 import java.io.IOException;
--- a/src/main/java/honeygap/read/ComparisonOperators.java
+++ b/src/main/java/honeygap/config/ComparisonOperators.java
@@ -1,4 +1,4 @@
-package honeygap.read;
+package honeygap.config;
 
 /** Comparison operators of filters and selectors. */
 public final class ComparisonOperators {
--- a/src/main/java/honeygap/read/FlagSettings.java
+++ b/src/main/java/honeygap/config/FlagSettings.java
@@ -1,4 +1,4 @@
-package honeygap.read;
+package honeygap.config;
 
 import honeygap.DecisionEngine;
 import honeygap.flags.FallbackPolicy;
--- a/src/main/java/honeygap/read/JsonObject.java
+++ b/src/main/java/honeygap/config/JsonObject.java
@@ -1,4 +1,4 @@
-package honeygap.read;
+package honeygap.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/honeygap/read/Malformed.java
+++ b/src/main/java/honeygap/config/Malformed.java
@@ -1,4 +1,4 @@
-package honeygap.read;
+package honeygap.config;
 
 /** Thrown for input that cannot be parsed or is not valid; the message says what is wrong with it. */
 public class Malformed extends Exception {
--- a/src/main/java/honeygap/read/SettingsReader.java
+++ b/src/main/java/honeygap/config/SettingsReader.java
@@ -1,4 +1,4 @@
-package honeygap.read;
+package honeygap.config;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/honeygap/read/Template.java
+++ b/src/main/java/honeygap/config/Template.java
@@ -1,4 +1,4 @@
-package honeygap.read;
+package honeygap.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/honeygap/manage/host/FleetSettings.java
+++ b/src/main/java/honeygap/manage/host/FleetSettings.java
@@ -1,8 +1,8 @@
 package honeygap.manage.host;
 
-import honeygap.read.JsonObject;
-import honeygap.read.Malformed;
-import honeygap.read.SettingsReader;
+import honeygap.config.JsonObject;
+import honeygap.config.Malformed;
+import honeygap.config.SettingsReader;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/honeygap/manage/host/Selector.java
+++ b/src/main/java/honeygap/manage/host/Selector.java
@@ -1,6 +1,6 @@
 package honeygap.manage.host;
 
-import honeygap.read.ComparisonOperators;
+import honeygap.config.ComparisonOperators;
 import java.util.Map;
 import java.util.function.Predicate;
 import org.antlr.v4.runtime.BaseErrorListener;
--- a/src/main/java/honeygap/net/Agent.java
+++ b/src/main/java/honeygap/net/Agent.java
@@ -1,6 +1,6 @@
 package honeygap.net;
 
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -18,7 +18,7 @@
 import honeygap.net.discovery.DiscoveryClient;
 import honeygap.net.ofrep.EvaluationDispatcher;
 import honeygap.net.flagservers.FlagServerConnection;
-import honeygap.read.FlagSettings;
+import honeygap.config.FlagSettings;
 import honeygap.rules.shutdown.ShutdownSchedule;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/honeygap/net/WarmUp.java
+++ b/src/main/java/honeygap/net/WarmUp.java
@@ -13,9 +13,9 @@
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.DeploymentSettings;
-import honeygap.read.JsonObject;
-import honeygap.read.Malformed;
+import honeygap.config.DeploymentSettings;
+import honeygap.config.JsonObject;
+import honeygap.config.Malformed;
 import java.util.ArrayDeque;
 import java.util.List;
 
--- a/src/main/java/honeygap/net/appliances/PostgresConnection.java
+++ b/src/main/java/honeygap/net/appliances/PostgresConnection.java
@@ -9,7 +9,7 @@
 import honeygap.net.pg.Query;
 import honeygap.net.pg.MessageValidator;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/honeygap/net/clients/PgClientConnection.java
+++ b/src/main/java/honeygap/net/clients/PgClientConnection.java
@@ -6,7 +6,7 @@
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
 import honeygap.net.shutdown.ShutdownEvent;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/src/main/java/honeygap/net/desk/RolloutStatusStream.java
+++ b/src/main/java/honeygap/net/desk/RolloutStatusStream.java
@@ -3,7 +3,7 @@
 import honeygap.net.Counters;
 import honeygap.net.Loop;
 import honeygap.net.http.ResponseStream;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/honeygap/net/desk/VoteSubmitter.java
+++ b/src/main/java/honeygap/net/desk/VoteSubmitter.java
@@ -8,7 +8,7 @@
 import honeygap.net.Loop;
 import honeygap.net.http.ResponseParser;
 import honeygap.net.http.Connection;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/honeygap/net/discovery/JsonDocumentReader.java
+++ b/src/main/java/honeygap/net/discovery/JsonDocumentReader.java
@@ -1,7 +1,7 @@
 package honeygap.net.discovery;
 
 import honeygap.net.http.LineSplitter;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.util.Arrays;
 
 /**
--- a/src/main/java/honeygap/net/discovery/ListEntry.java
+++ b/src/main/java/honeygap/net/discovery/ListEntry.java
@@ -1,8 +1,8 @@
 package honeygap.net.discovery;
 
 import honeygap.fleet.Appliance;
-import honeygap.read.JsonObject;
-import honeygap.read.Malformed;
+import honeygap.config.JsonObject;
+import honeygap.config.Malformed;
 import java.net.InetSocketAddress;
 
 /**
--- a/src/main/java/honeygap/net/discovery/StaticList.java
+++ b/src/main/java/honeygap/net/discovery/StaticList.java
@@ -9,7 +9,7 @@
 import honeygap.net.EngineAdapter;
 import honeygap.net.Counters;
 import honeygap.net.upstream.RemoteAppliance;
-import honeygap.read.FlagSettings;
+import honeygap.config.FlagSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/honeygap/net/flagservers/FlagServerConnection.java
+++ b/src/main/java/honeygap/net/flagservers/FlagServerConnection.java
@@ -8,7 +8,7 @@
 import honeygap.net.upstream.ConnectionPool;
 import honeygap.net.upstream.RemoteAppliance;
 import honeygap.net.ofrep.EvaluationCall;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
--- a/src/main/java/honeygap/net/http/Connection.java
+++ b/src/main/java/honeygap/net/http/Connection.java
@@ -3,7 +3,7 @@
 import honeygap.net.GatheringBuffer;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/honeygap/net/http/Refusal.java
+++ b/src/main/java/honeygap/net/http/Refusal.java
@@ -1,6 +1,6 @@
 package honeygap.net.http;
 
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 
 /** A rejected request: the response status, the kind under which the rejection is counted, and a message. */
 public final class Refusal extends Malformed {
--- a/src/main/java/honeygap/net/http/ResponseStream.java
+++ b/src/main/java/honeygap/net/http/ResponseStream.java
@@ -1,7 +1,7 @@
 package honeygap.net.http;
 
 import honeygap.net.Loop;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
--- a/src/main/java/honeygap/net/ofrep/EvaluationCall.java
+++ b/src/main/java/honeygap/net/ofrep/EvaluationCall.java
@@ -5,7 +5,7 @@
 import honeygap.fleet.Pick;
 import honeygap.fleet.Tenant;
 import honeygap.net.Call;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 
 /** The RPC that sends a request to flag servers, for one evaluation or for several that share it. */
 public final class EvaluationCall extends Call {
--- a/src/main/java/honeygap/net/ofrep/OfrepJson.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepJson.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.core.StreamReadFeature;
 import honeygap.flags.ServerAnswer;
 import honeygap.net.http.Refusal;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/honeygap/net/pg/MessageValidator.java
+++ b/src/main/java/honeygap/net/pg/MessageValidator.java
@@ -1,6 +1,6 @@
 package honeygap.net.pg;
 
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.nio.ByteBuffer;
 
 /**
--- a/src/main/java/honeygap/net/upstream/UpstreamConnection.java
+++ b/src/main/java/honeygap/net/upstream/UpstreamConnection.java
@@ -5,7 +5,7 @@
 import honeygap.net.Call;
 import honeygap.net.Loop;
 import honeygap.net.ConnectionHandler;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import org.apache.mina.core.future.ConnectFuture;
--- a/src/main/java/honeygap/share/host/PeerClient.java
+++ b/src/main/java/honeygap/share/host/PeerClient.java
@@ -1,6 +1,6 @@
 package honeygap.share.host;
 
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import honeygap.share.exchange.MessageCodec;
 import honeygap.share.exchange.Message;
 import java.io.IOException;
--- a/src/main/java/honeygap/share/host/ReplicationSettings.java
+++ b/src/main/java/honeygap/share/host/ReplicationSettings.java
@@ -1,8 +1,8 @@
 package honeygap.share.host;
 
-import honeygap.read.JsonObject;
-import honeygap.read.Malformed;
-import honeygap.read.SettingsReader;
+import honeygap.config.JsonObject;
+import honeygap.config.Malformed;
+import honeygap.config.SettingsReader;
 import honeygap.share.table.TableLimits;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/honeygap/share/host/TableReplicator.java
+++ b/src/main/java/honeygap/share/host/TableReplicator.java
@@ -4,7 +4,7 @@
 import honeygap.net.LoadSharing;
 import honeygap.net.admin.AsyncHandler;
 import honeygap.net.http.Refusal;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import honeygap.share.exchange.MessageCodec;
 import honeygap.share.exchange.Message;
 import honeygap.share.exchange.PartnerSelector;
--- a/src/main/java/honeygap/standin/FlagSet.java
+++ b/src/main/java/honeygap/standin/FlagSet.java
@@ -1,8 +1,8 @@
 package honeygap.standin;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import honeygap.read.JsonObject;
-import honeygap.read.Malformed;
+import honeygap.config.JsonObject;
+import honeygap.config.Malformed;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/main/java/honeygap/standin/StoreServer.java
+++ b/src/main/java/honeygap/standin/StoreServer.java
@@ -4,7 +4,7 @@
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -17,7 +17,7 @@
 
     private static final String[] IO = {"java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
         "org.apache.mina..", "org.tinylog..", "com.fasterxml..", "picocli..", "honeygap.net..", "honeygap.cli..",
-        "honeygap.read..", "honeygap.wire.."};
+        "honeygap.config..", "honeygap.wire.."};
 
     private static ArchRule noDependency(String from, String... to) {
         return noClasses().that().resideInAPackage(from).should().dependOnClassesThat().resideInAnyPackage(to);
@@ -29,7 +29,7 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO).check(ALL);
         noClasses().that().resideInAPackage("honeygap.fleet..").should().dependOnClassesThat()
-                .resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.flags..", "honeygap.net..", "honeygap.read..")
+                .resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.flags..", "honeygap.net..", "honeygap.config..")
                 .check(ALL);
     }
 
@@ -67,7 +67,7 @@
         noClasses().that().resideInAPackage("honeygap.capture.stream..").or()
                 .haveFullyQualifiedName("honeygap.capture.replay.ReplaySchedule").should().dependOnClassesThat()
                 .resideInAnyPackage(IO).check(ALL);
-        noClasses().that().resideInAPackage("honeygap.net..").or().resideInAPackage("honeygap.read..").should()
+        noClasses().that().resideInAPackage("honeygap.net..").or().resideInAPackage("honeygap.config..").should()
                 .dependOnClassesThat().resideInAPackage("honeygap.capture..").check(ALL);
     }
 
@@ -95,14 +95,14 @@
     void nothingDependsOnTheCommandLine() {
         noClasses().that().resideOutsideOfPackage("honeygap.cli..").should().dependOnClassesThat()
                 .resideInAPackage("honeygap.cli..").check(ALL);
-        noClasses().that().resideInAnyPackage("honeygap.net..", "honeygap.read..", "honeygap.flags..").should()
+        noClasses().that().resideInAnyPackage("honeygap.net..", "honeygap.config..", "honeygap.flags..").should()
                 .dependOnClassesThat().resideInAPackage("honeygap.standin..").check(ALL);
     }
 
     /** The template library needs much memory and agents have little, so only one class, loaded on demand, uses it. */
     @Test
     void onlyTemplateUsesTheTemplateLibrary() {
-        noClasses().that().doNotHaveFullyQualifiedName("honeygap.read.Template").should().dependOnClassesThat()
+        noClasses().that().doNotHaveFullyQualifiedName("honeygap.config.Template").should().dependOnClassesThat()
                 .resideInAnyPackage("sjsonnet..", "scala..", "os..").check(ALL);
     }
 }
--- a/src/test/java/honeygap/FuzzTest.java
+++ b/src/test/java/honeygap/FuzzTest.java
@@ -20,7 +20,7 @@
 import honeygap.net.http.Refusal;
 import honeygap.net.http.RequestParser;
 import honeygap.net.ofrep.OfrepJson;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/test/java/honeygap/bench/Forwarder.java
+++ b/src/test/java/honeygap/bench/Forwarder.java
@@ -6,7 +6,7 @@
 import honeygap.net.http.ResponseParser;
 import honeygap.net.http.Refusal;
 import honeygap.net.http.RequestParser;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.io.ByteArrayOutputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/honeygap/read/DeploymentTest.java
+++ b/src/test/java/honeygap/config/DeploymentTest.java
@@ -1,4 +1,4 @@
-package honeygap.read;
+package honeygap.config;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/honeygap/net/FlagStressTest.java
+++ b/src/test/java/honeygap/net/FlagStressTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.read.FlagSettings;
+import honeygap.config.FlagSettings;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/src/test/java/honeygap/net/FlagsTest.java
+++ b/src/test/java/honeygap/net/FlagsTest.java
@@ -6,9 +6,9 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import honeygap.read.JsonObject;
-import honeygap.read.FlagSettings;
-import honeygap.read.Malformed;
+import honeygap.config.JsonObject;
+import honeygap.config.FlagSettings;
+import honeygap.config.Malformed;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/src/test/java/honeygap/net/ParsersTest.java
+++ b/src/test/java/honeygap/net/ParsersTest.java
@@ -6,7 +6,7 @@
 import honeygap.net.http.ResponseParser;
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
-import honeygap.read.Malformed;
+import honeygap.config.Malformed;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.params.ParameterizedTest;
