--- a/src/main/java/honeygap/DecisionEngine.java
+++ b/src/main/java/honeygap/DecisionEngine.java
@@ -7,7 +7,7 @@
 import honeygap.rules.discovery.ListLease;
 import honeygap.rules.evidence.*;
 import honeygap.rules.health.ApplianceHealth;
-import honeygap.rules.room.ConcurrencyLimits;
+import honeygap.rules.concurrency.ConcurrencyLimits;
 import honeygap.rules.routing.*;
 import honeygap.rules.shutdown.Shutdown;
 import honeygap.rules.shutdown.ShutdownPhase;
--- a/src/main/java/honeygap/rules/room/ConcurrencyLimits.java
+++ b/src/main/java/honeygap/rules/concurrency/ConcurrencyLimits.java
@@ -1,4 +1,4 @@
-package honeygap.rules.room;
+package honeygap.rules.concurrency;
 
 import honeygap.fleet.*;
 import honeygap.rules.health.ApplianceHealth;
--- a/src/main/java/honeygap/rules/routing/ApplianceSelector.java
+++ b/src/main/java/honeygap/rules/routing/ApplianceSelector.java
@@ -7,7 +7,7 @@
 import honeygap.rules.evidence.FailureEvidence;
 import honeygap.rules.fit.Fit;
 import honeygap.rules.health.ApplianceHealth;
-import honeygap.rules.room.ConcurrencyLimits;
+import honeygap.rules.concurrency.ConcurrencyLimits;
 import honeygap.rules.work.WorkEstimate;
 import java.util.List;
 
