--- a/src/main/java/honeygap/rules/builds/ExposureLimit.java
+++ b/src/main/java/honeygap/rules/exposure/ExposureLimit.java
@@ -1,4 +1,4 @@
-package honeygap.rules.builds;
+package honeygap.rules.exposure;
 
 import honeygap.fleet.*;
 import honeygap.settings.ExposureSettings;
--- a/src/main/java/honeygap/rules/routing/ApplianceSelector.java
+++ b/src/main/java/honeygap/rules/routing/ApplianceSelector.java
@@ -1,7 +1,7 @@
 package honeygap.rules.routing;
 
 import honeygap.fleet.*;
-import honeygap.rules.builds.ExposureLimit;
+import honeygap.rules.exposure.ExposureLimit;
 import honeygap.rules.cold.ColdStartLimit;
 import honeygap.rules.discovery.ListLease;
 import honeygap.rules.evidence.FailureEvidence;
