--- a/src/main/java/honeygap/rules/cold/ColdStartLimit.java
+++ b/src/main/java/honeygap/rules/coldstart/ColdStartLimit.java
@@ -1,4 +1,4 @@
-package honeygap.rules.cold;
+package honeygap.rules.coldstart;
 
 import honeygap.fleet.*;
 import honeygap.rules.work.WorkEstimate;
--- a/src/main/java/honeygap/rules/routing/ApplianceSelector.java
+++ b/src/main/java/honeygap/rules/routing/ApplianceSelector.java
@@ -2,7 +2,7 @@
 
 import honeygap.fleet.*;
 import honeygap.rules.exposure.ExposureLimit;
-import honeygap.rules.cold.ColdStartLimit;
+import honeygap.rules.coldstart.ColdStartLimit;
 import honeygap.rules.discovery.ListLease;
 import honeygap.rules.evidence.FailureEvidence;
 import honeygap.rules.fit.Fit;
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -36,7 +36,7 @@
     /** Each module depends only on those before it in the list; the model fit, for example, not on routing. */
     @Test
     void decisionModulesAreLayered() {
-        String[] order = {"fit", "work", "health", "cold", "exposure", "concurrency", "evidence", "votes", "shutdown", "routing"};
+        String[] order = {"fit", "work", "health", "coldstart", "exposure", "concurrency", "evidence", "votes", "shutdown", "routing"};
         for (int i = 0; i < order.length; i++) {
             for (int later = i + 1; later < order.length; later++) {
                 noDependency("honeygap.rules." + order[i] + "..", "honeygap.rules." + order[later] + "..").check(ALL);
