--- a/src/main/java/honeygap/share/exchange/Message.java
+++ b/src/main/java/honeygap/replication/exchange/Message.java
@@ -1,7 +1,7 @@
-package honeygap.share.exchange;
+package honeygap.replication.exchange;
 
-import honeygap.share.table.DigestEntry;
-import honeygap.share.table.Delta;
+import honeygap.replication.table.DigestEntry;
+import honeygap.replication.table.Delta;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/honeygap/share/exchange/MessageCodec.java
+++ b/src/main/java/honeygap/replication/exchange/MessageCodec.java
@@ -1,13 +1,13 @@
-package honeygap.share.exchange;
+package honeygap.replication.exchange;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import honeygap.config.JsonObject;
 import honeygap.config.Malformed;
-import honeygap.share.table.Entry;
-import honeygap.share.table.DigestEntry;
-import honeygap.share.table.Delta;
+import honeygap.replication.table.Entry;
+import honeygap.replication.table.DigestEntry;
+import honeygap.replication.table.Delta;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/honeygap/share/exchange/PartnerSelector.java
+++ b/src/main/java/honeygap/replication/exchange/PartnerSelector.java
@@ -1,6 +1,6 @@
-package honeygap.share.exchange;
+package honeygap.replication.exchange;
 
-import honeygap.share.member.Peer;
+import honeygap.replication.member.Peer;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
--- a/src/main/java/honeygap/share/host/PeerClient.java
+++ b/src/main/java/honeygap/replication/host/PeerClient.java
@@ -1,8 +1,8 @@
-package honeygap.share.host;
+package honeygap.replication.host;
 
 import honeygap.config.Malformed;
-import honeygap.share.exchange.MessageCodec;
-import honeygap.share.exchange.Message;
+import honeygap.replication.exchange.MessageCodec;
+import honeygap.replication.exchange.Message;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
--- a/src/main/java/honeygap/share/host/ReplicationSettings.java
+++ b/src/main/java/honeygap/replication/host/ReplicationSettings.java
@@ -1,9 +1,9 @@
-package honeygap.share.host;
+package honeygap.replication.host;
 
 import honeygap.config.JsonObject;
 import honeygap.config.Malformed;
 import honeygap.config.SettingsReader;
-import honeygap.share.table.TableLimits;
+import honeygap.replication.table.TableLimits;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/honeygap/share/lock/Rank.java
+++ b/src/main/java/honeygap/replication/lock/Rank.java
@@ -1,4 +1,4 @@
-package honeygap.share.lock;
+package honeygap.replication.lock;
 
 /**
  * Lock order: a thread that holds a lock may acquire only locks that are listed after it. Each table has a lock, and
--- a/src/main/java/honeygap/share/lock/RankedLock.java
+++ b/src/main/java/honeygap/replication/lock/RankedLock.java
@@ -1,4 +1,4 @@
-package honeygap.share.lock;
+package honeygap.replication.lock;
 
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
--- a/src/main/java/honeygap/share/member/FailureDetector.java
+++ b/src/main/java/honeygap/replication/member/FailureDetector.java
@@ -1,4 +1,4 @@
-package honeygap.share.member;
+package honeygap.replication.member;
 
 import honeygap.manage.PhiAccrualDetector;
 import java.util.ArrayList;
--- a/src/main/java/honeygap/share/member/LocalHealth.java
+++ b/src/main/java/honeygap/replication/member/LocalHealth.java
@@ -1,4 +1,4 @@
-package honeygap.share.member;
+package honeygap.replication.member;
 
 /**
  * Local health score: counts signs that this process itself is slow, as Lifeguard does (Dadgar and others,
--- a/src/main/java/honeygap/share/table/Delta.java
+++ b/src/main/java/honeygap/replication/table/Delta.java
@@ -1,4 +1,4 @@
-package honeygap.share.table;
+package honeygap.replication.table;
 
 import java.util.List;
 
--- a/src/main/java/honeygap/share/table/Entry.java
+++ b/src/main/java/honeygap/replication/table/Entry.java
@@ -1,4 +1,4 @@
-package honeygap.share.table;
+package honeygap.replication.table;
 
 /**
  * A small entry that its owner replicates to all other processes.
--- a/src/main/java/honeygap/share/table/StoredEntry.java
+++ b/src/main/java/honeygap/replication/table/StoredEntry.java
@@ -1,4 +1,4 @@
-package honeygap.share.table;
+package honeygap.replication.table;
 
 /** A stored entry and the local time at which its owner wrote it. */
 public record StoredEntry(Entry entry, long writtenAt) {
--- a/src/main/java/honeygap/share/table/TableLimits.java
+++ b/src/main/java/honeygap/replication/table/TableLimits.java
@@ -1,4 +1,4 @@
-package honeygap.share.table;
+package honeygap.replication.table;
 
 /**
  * Limits of a table, whatever other processes send.
--- a/src/main/java/honeygap/share/work/WorkItem.java
+++ b/src/main/java/honeygap/replication/work/WorkItem.java
@@ -1,4 +1,4 @@
-package honeygap.share.work;
+package honeygap.replication.work;
 
 /** A queued or running task, for one partner; the partner is empty where the task concerns none. */
 public final class WorkItem {
--- a/src/main/java/honeygap/share/work/WorkKind.java
+++ b/src/main/java/honeygap/replication/work/WorkKind.java
@@ -1,4 +1,4 @@
-package honeygap.share.work;
+package honeygap.replication.work;
 
 /** Kinds of background work, highest priority first. */
 public enum WorkKind { PROBE, EXCHANGE, EXPIRE, STORE }
--- a/src/main/java/honeygap/share/work/WorkLimits.java
+++ b/src/main/java/honeygap/replication/work/WorkLimits.java
@@ -1,4 +1,4 @@
-package honeygap.share.work;
+package honeygap.replication.work;
 
 /**
  * Limits and scheduling parameters of one kind of work. Times are in units of 0.1 ms.
--- a/src/main/java/honeygap/share/work/WorkQueue.java
+++ b/src/main/java/honeygap/replication/work/WorkQueue.java
@@ -1,4 +1,4 @@
-package honeygap.share.work;
+package honeygap.replication.work;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
--- a/src/main/java/honeygap/share/work/WorkerPool.java
+++ b/src/main/java/honeygap/replication/work/WorkerPool.java
@@ -1,8 +1,8 @@
-package honeygap.share.work;
+package honeygap.replication.work;
 
-import honeygap.share.lock.LockMonitor;
-import honeygap.share.lock.Rank;
-import honeygap.share.lock.RankedLock;
+import honeygap.replication.lock.LockMonitor;
+import honeygap.replication.lock.Rank;
+import honeygap.replication.lock.RankedLock;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.Condition;
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -49,10 +49,10 @@
     /** Replication, membership and work distribution decide without I/O; the event loop does not depend on them. */
     @Test
     void replicationDecisionsDependOnNoIo() {
-        noClasses().that().resideInAnyPackage("honeygap.share.table..", "honeygap.share.member..", "honeygap.peerload..")
+        noClasses().that().resideInAnyPackage("honeygap.replication.table..", "honeygap.replication.member..", "honeygap.peerload..")
                 .should().dependOnClassesThat().resideInAnyPackage(IO).check(ALL);
         noClasses().that().resideInAnyPackage("honeygap.net..", "honeygap.rules..", "honeygap.fleet..").should()
-                .dependOnClassesThat().resideInAnyPackage("honeygap.share..", "honeygap.peerload..", "honeygap.lab..")
+                .dependOnClassesThat().resideInAnyPackage("honeygap.replication..", "honeygap.peerload..", "honeygap.lab..")
                 .check(ALL);
         // Only the subcommand that runs the lab depends on it.
         noClasses().that().resideOutsideOfPackage("honeygap.lab..").and().doNotHaveFullyQualifiedName("honeygap.cli.Lab").should()
--- a/src/test/java/honeygap/share/MembersTest.java
+++ b/src/test/java/honeygap/replication/MembersTest.java
@@ -1,9 +1,9 @@
-package honeygap.share;
+package honeygap.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.share.member.Peer;
+import honeygap.replication.member.Peer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/honeygap/share/SimulatedCluster.java
+++ b/src/test/java/honeygap/replication/SimulatedCluster.java
@@ -1,11 +1,11 @@
-package honeygap.share;
-
-import honeygap.share.exchange.PartnerSelector;
-import honeygap.share.member.FailureDetector;
-import honeygap.share.member.Peer;
-import honeygap.share.table.TableLimits;
-import honeygap.share.table.ProcessIdentity;
-import honeygap.share.table.ReplicatedTable;
+package honeygap.replication;
+
+import honeygap.replication.exchange.PartnerSelector;
+import honeygap.replication.member.FailureDetector;
+import honeygap.replication.member.Peer;
+import honeygap.replication.table.TableLimits;
+import honeygap.replication.table.ProcessIdentity;
+import honeygap.replication.table.ReplicatedTable;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
--- a/src/test/java/honeygap/share/SitesTest.java
+++ b/src/test/java/honeygap/replication/SitesTest.java
@@ -1,4 +1,4 @@
-package honeygap.share;
+package honeygap.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/honeygap/share/TableTest.java
+++ b/src/test/java/honeygap/replication/TableTest.java
@@ -1,17 +1,17 @@
-package honeygap.share;
+package honeygap.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.share.table.TableLimits;
-import honeygap.share.table.Entry;
-import honeygap.share.table.StoredEntry;
-import honeygap.share.table.ProcessIdentity;
-import honeygap.share.table.Delta;
-import honeygap.share.table.ReplicatedTable;
-import honeygap.share.table.MergeCounts;
+import honeygap.replication.table.TableLimits;
+import honeygap.replication.table.Entry;
+import honeygap.replication.table.StoredEntry;
+import honeygap.replication.table.ProcessIdentity;
+import honeygap.replication.table.Delta;
+import honeygap.replication.table.ReplicatedTable;
+import honeygap.replication.table.MergeCounts;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -143,7 +143,7 @@
         assertTrue(b.owners().size() <= 8);
         assertEquals("v", value(b, "a", "n"));
         // Rejected entries are not requested again.
-        assertFalse(exceeded.equals("names") && b.isBehind(List.of(new honeygap.share.table.DigestEntry("a", 1, 21))));
+        assertFalse(exceeded.equals("names") && b.isBehind(List.of(new honeygap.replication.table.DigestEntry("a", 1, 21))));
     }
 
     private static Delta delta(String owner, String name, long counter, String value, long ttl) {
--- a/src/test/java/honeygap/share/WorkTest.java
+++ b/src/test/java/honeygap/replication/WorkTest.java
@@ -1,16 +1,16 @@
-package honeygap.share;
+package honeygap.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import honeygap.share.lock.LockMonitor;
-import honeygap.share.lock.Rank;
-import honeygap.share.lock.RankedLock;
-import honeygap.share.work.WorkLimits;
-import honeygap.share.work.WorkKind;
-import honeygap.share.work.WorkQueue;
-import honeygap.share.work.WorkerPool;
+import honeygap.replication.lock.LockMonitor;
+import honeygap.replication.lock.Rank;
+import honeygap.replication.lock.RankedLock;
+import honeygap.replication.work.WorkLimits;
+import honeygap.replication.work.WorkKind;
+import honeygap.replication.work.WorkQueue;
+import honeygap.replication.work.WorkerPool;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
