--- a/src/main/java/honeygap/capture/tape/RecordRingBuffer.java
+++ b/src/main/java/honeygap/capture/recorder/RecordRingBuffer.java
@@ -1,4 +1,4 @@
-package honeygap.capture.tape;
+package honeygap.capture.recorder;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
--- a/src/main/java/honeygap/capture/tape/Recorder.java
+++ b/src/main/java/honeygap/capture/recorder/Recorder.java
@@ -1,4 +1,4 @@
-package honeygap.capture.tape;
+package honeygap.capture.recorder;
 
 import honeygap.capture.file.CaptureWriter;
 import honeygap.capture.file.Packet;
--- a/src/main/java/honeygap/cli/Serve.java
+++ b/src/main/java/honeygap/cli/Serve.java
@@ -1,7 +1,7 @@
 package honeygap.cli;
 
 import honeygap.capture.redact.DataMasker;
-import honeygap.capture.tape.Recorder;
+import honeygap.capture.recorder.Recorder;
 import honeygap.net.Agent;
 import honeygap.net.Loop;
 import honeygap.net.admin.AdminEndpoint;
