--- a/src/main/java/honeygap/capture/make/TrafficGenerator.java
+++ b/src/main/java/honeygap/capture/generator/TrafficGenerator.java
@@ -1,4 +1,4 @@
-package honeygap.capture.make;
+package honeygap.capture.generator;
 
 import honeygap.capture.file.PacketSynthesizer;
 import honeygap.capture.packet.Address;
--- a/src/main/java/honeygap/lab/soak/StandInAppliance.java
+++ b/src/main/java/honeygap/lab/soak/StandInAppliance.java
@@ -1,6 +1,6 @@
 package honeygap.lab.soak;
 
-import honeygap.capture.make.TrafficGenerator;
+import honeygap.capture.generator.TrafficGenerator;
 import honeygap.net.pg.FrameDecoder;
 import honeygap.net.pg.Statement;
 import honeygap.net.pg.PgMessages;
--- a/src/test/java/honeygap/capture/FilesTest.java
+++ b/src/test/java/honeygap/capture/FilesTest.java
@@ -12,7 +12,7 @@
 import honeygap.capture.file.MalformedCaptureException;
 import honeygap.capture.file.CaptureVerifier;
 import honeygap.capture.file.PacketSynthesizer;
-import honeygap.capture.make.TrafficGenerator;
+import honeygap.capture.generator.TrafficGenerator;
 import honeygap.capture.packet.Address;
 import honeygap.capture.packet.Decoder;
 import honeygap.capture.packet.Segment;
--- a/src/test/java/honeygap/capture/RoundTripTest.java
+++ b/src/test/java/honeygap/capture/RoundTripTest.java
@@ -274,7 +274,7 @@
         for (RecordedRpc one : read(recordedFiles())) {
             if (!isRedacted && one.outcome == RecordedRpc.Outcome.served) {
                 assertTrue(new String(one.response, StandardCharsets.ISO_8859_1).contains(
-                        honeygap.capture.make.TrafficGenerator.value(one.key, 16)), "response belongs to another RPC");
+                        honeygap.capture.generator.TrafficGenerator.value(one.key, 16)), "response belongs to another RPC");
             }
         }
     }
--- a/src/test/java/honeygap/capture/StreamsTest.java
+++ b/src/test/java/honeygap/capture/StreamsTest.java
@@ -264,7 +264,7 @@
     @Test
     void splitAnywhere() throws IOException {
         ByteBuffer query = PgMessages.query("SELECT content FROM kv WHERE name = 'ab12' /* id=i1,c=look,t=a,d=50 */");
-        ByteBuffer answer = honeygap.capture.make.TrafficGenerator.rowResponse("0102");
+        ByteBuffer answer = honeygap.capture.generator.TrafficGenerator.rowResponse("0102");
         byte[][] messages = {bytes(PgMessages.startupMessage()), bytes(PgMessages.startupResponse()), bytes(query), bytes(answer)};
         for (int part = 0; part < messages.length; part++) {
             for (int split = 0; split <= messages[part].length; split++) {
