--- a/src/main/java/honeygap/cli/Wirehost.java
+++ b/src/main/java/honeygap/cli/Wirehost.java
@@ -1,6 +1,6 @@
 package honeygap.cli;
 
-import honeygap.wire.WireHost;
+import honeygap.simulator.WireHost;
 import java.io.InputStream;
 import java.io.PrintStream;
 import java.util.concurrent.Callable;
--- a/src/main/java/honeygap/wire/WireHost.java
+++ b/src/main/java/honeygap/simulator/WireHost.java
@@ -1,4 +1,4 @@
-package honeygap.wire;
+package honeygap.simulator;
 
 import com.fasterxml.jackson.core.JsonEncoding;
 import com.fasterxml.jackson.core.JsonFactory;
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -17,7 +17,7 @@
 
     private static final String[] IO = {"java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
         "org.apache.mina..", "org.tinylog..", "com.fasterxml..", "picocli..", "honeygap.net..", "honeygap.cli..",
-        "honeygap.config..", "honeygap.wire.."};
+        "honeygap.config..", "honeygap.simulator.."};
 
     private static ArchRule noDependency(String from, String... to) {
         return noClasses().that().resideInAPackage(from).should().dependOnClassesThat().resideInAnyPackage(to);
@@ -41,7 +41,7 @@
             for (int later = i + 1; later < order.length; later++) {
                 noDependency("honeygap.rules." + order[i] + "..", "honeygap.rules." + order[later] + "..").check(ALL);
             }
-            noDependency("honeygap.rules." + order[i] + "..", "honeygap.wire..", "honeygap.manage..").check(ALL);
+            noDependency("honeygap.rules." + order[i] + "..", "honeygap.simulator..", "honeygap.manage..").check(ALL);
         }
         noDependency("honeygap.rules.routing..", "honeygap.rules.votes..").check(ALL);
     }
--- a/src/test/java/honeygap/wire/WireHostTest.java
+++ b/src/test/java/honeygap/simulator/WireHostTest.java
@@ -1,4 +1,4 @@
-package honeygap.wire;
+package honeygap.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
