--- a/src/main/java/honeygap/net/FlagProtocol.java
+++ b/src/main/java/honeygap/net/FlagProtocol.java
@@ -65,8 +65,9 @@
         discovery = settings.listAddress == null ? null
                 : new DiscoveryClient(loop, rules, connections, engine::build, settings.listAddress, settings.listMaxAge);
         localRollout = settings.deskAddress == null ? new LocalRollout(settings.caps, Fleet.LONG_AGO) : null;
-        RolloutStatusParser rolloutStatus = new RolloutStatusParser(loop, rules, engine::build, Map.of("one", settings.methods.get(0), "all",
-                settings.methods.get(1), "track", settings.methods.get(2), "tracked", settings.methods.get(3)));
+        RolloutStatusParser rolloutStatus = new RolloutStatusParser(loop, rules, engine::build, Map.of(
+                "one", settings.methods.get(0), "all", settings.methods.get(1),
+                "track", settings.methods.get(2), "tracked", settings.methods.get(3)));
         votes = localRollout != null ? null
                 : new VoteSubmitter(loop, rules, rolloutStatus, settings.deskAddress, settings.deskCallTimeout);
         statusStream = localRollout != null ? null
--- a/src/main/java/honeygap/net/appliances/PostgresConnection.java
+++ b/src/main/java/honeygap/net/appliances/PostgresConnection.java
@@ -55,7 +55,8 @@
         rowSeen = false;
         expectedTypes = REQUEST_TYPES;
         Query query = (Query) call;
-        session.write(new GatheringBuffer(PgMessages.query(query.textBeforeTimeout(), pool.millisLeft(timeoutAt), query.textAfterTimeout())));
+        session.write(new GatheringBuffer(PgMessages.query(
+                query.textBeforeTimeout(), pool.millisLeft(timeoutAt), query.textAfterTimeout())));
     }
 
     @Override
--- a/src/main/java/honeygap/net/clients/PgClients.java
+++ b/src/main/java/honeygap/net/clients/PgClients.java
@@ -55,7 +55,7 @@
     private final Map<AbandonReason, Long> failuresByReason = new EnumMap<>(AbandonReason.class);
 
     /**
-     * Creates the front.
+     * Creates the downstream side of the PostgreSQL protocol.
      *
      * @param methods the methods by name
      * @param info the configuration, which also lists the tenants
@@ -144,7 +144,8 @@
             Pick lastPick = call.picks.isEmpty() ? null : call.picks.get(call.picks.size() - 1);
             EventLog.logAbandonedRpc(call.id, methodNames.get(call.method), call.abandonReason.outerName,
                     lastPick == null ? -1 : lastPick.appliance.id, (call.deadline - loop.clock()) / TENTHS_PER_MS,
-                    "list confirmed " + rules.listAge() / TENTHS_PER_MS + " ms ago, " + rules.coveredAppliances() + " appliances known to serve");
+                    "list confirmed " + rules.listAge() / TENTHS_PER_MS + " ms ago, " + rules.coveredAppliances()
+                            + " appliances known to serve");
         }
     }
 
--- a/src/main/java/honeygap/net/connections/ClientConnection.java
+++ b/src/main/java/honeygap/net/connections/ClientConnection.java
@@ -189,7 +189,7 @@
             // The second timer lets an agent that was itself suspended read the input received meanwhile.
             long start = next == Stage.UNREAD || hasReceivedRequest ? loop.clock() : earliestAcceptedAt;
             stageTimer = loop.schedule(start + (next == Stage.HALF && hasReceivedRequest ? PARTIAL_REQUEST_TIMEOUT
-                            : STAGE_TIMEOUT - 2 * STAGE_GRACE),
+                    : STAGE_TIMEOUT - 2 * STAGE_GRACE),
                     () -> stageTimer = loop.schedule(loop.now() + STAGE_GRACE, this::stageTimedOut));
         }
         connections.updateAwaitingInput(this, next == Stage.START || next == Stage.HALF);
--- a/src/main/java/honeygap/net/connections/ClientConnections.java
+++ b/src/main/java/honeygap/net/connections/ClientConnections.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** All client connections of one front: enforces the connection limit and closes idle connections. */
+/** All client connections of one protocol: enforces the connection limit and closes idle connections. */
 public final class ClientConnections {
 
     /** One connection above the limit is accepted per this many, see {@link #maxAcceptedConnections}. */
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Whether requests are rejected, as there are too many connections or the front is drained; counts rejections. */
+    /** Whether requests are rejected, because of too many connections or a drain; counts rejections. */
     public boolean rejectsRequest() {
         boolean isRejected = connections.size() > maxConnections || drained;
         rejectedCount += isRejected ? 1 : 0;
--- a/src/main/java/honeygap/net/desk/RolloutStatusStream.java
+++ b/src/main/java/honeygap/net/desk/RolloutStatusStream.java
@@ -29,7 +29,7 @@
      * delay of at most a quarter of the timeout.
      */
     public RolloutStatusStream(Loop loop, RolloutStatusParser statusParser, InetSocketAddress address, long silenceTimeout,
-                    long seed) {
+            long seed) {
         this.loop = loop;
         this.statusParser = statusParser;
         this.address = address;
--- a/src/main/java/honeygap/net/desk/VoteSubmitter.java
+++ b/src/main/java/honeygap/net/desk/VoteSubmitter.java
@@ -43,7 +43,7 @@
         this.address = address;
     }
 
-    /** Submits a vote. A pending vote is closed: the module votes again only after it has stopped waiting. */
+    /** Submits a vote. A pending vote is closed: the rules vote again only after they have stopped waiting. */
     @Override
     public void vote(Build build, int stage, int verdict) {
         if (pending != null) {
--- a/src/main/java/honeygap/net/discovery/DiscoveryClient.java
+++ b/src/main/java/honeygap/net/discovery/DiscoveryClient.java
@@ -42,7 +42,7 @@
 
     private final Loop loop;
     private final DecisionEngine rules;
-    private final Upstream back;
+    private final Upstream upstream;
     private final IntFunction<Build> builds;
     private InetSocketAddress address;
     private final long responseTimeout;
@@ -67,11 +67,11 @@
     private long olderLists;
 
     /** The lease of the list is in tenths of a millisecond, or 0 if there is none; calls time out after half of it. */
-    public DiscoveryClient(Loop loop, DecisionEngine rules, Upstream back, IntFunction<Build> builds, InetSocketAddress address,
-            long leaseDuration) {
+    public DiscoveryClient(Loop loop, DecisionEngine rules, Upstream upstream, IntFunction<Build> builds,
+            InetSocketAddress address, long leaseDuration) {
         this.loop = loop;
         this.rules = rules;
-        this.back = back;
+        this.upstream = upstream;
         this.builds = builds;
         this.address = address;
         responseTimeout = (leaseDuration > 0 ? leaseDuration : MISSED_HEARTBEATS_TO_TIMEOUT * HEARTBEAT_INTERVAL) / 2;
@@ -270,7 +270,7 @@
             rules.listCompleted();
             for (RemoteAppliance remote : remotes.values()) {
                 if (remote.state != Appliance.UP) {
-                    back.closeIdle(remote);
+                    upstream.closeIdle(remote);
                 }
             }
             remotes.values().removeIf(remote -> remote.state == Appliance.REMOVED && remote.limit.inFlight == 0);
@@ -279,7 +279,7 @@
 
     private void publish(ListEntry entry) {
         boolean isKnown = remotes.containsKey(entry.name());
-        RemoteAppliance remote = remotes.computeIfAbsent(entry.name(), name -> (RemoteAppliance) back.newAppliance(nextId++));
+        RemoteAppliance remote = remotes.computeIfAbsent(entry.name(), name -> (RemoteAppliance) upstream.newAppliance(nextId++));
         // Compares the wall-clock times as listed: after a clock step the converted monotonic time differs, which would
         // look like a restart.
         boolean hasStarted = !isKnown || remote.processStartedMs != entry.startedAtMs();
@@ -287,7 +287,7 @@
         remote.processStartedMs = entry.startedAtMs();
         boolean hasMoved = entry.address() != null && !entry.address().equals(remote.address);
         if (hasMoved || hasStarted) {
-            back.closeIdle(remote);
+            upstream.closeIdle(remote);
         }
         remote.address = entry.address() != null ? entry.address() : remote.address;
         Zone location = locations.computeIfAbsent(entry.zone(), name -> new Zone());
--- a/src/main/java/honeygap/net/discovery/StaticList.java
+++ b/src/main/java/honeygap/net/discovery/StaticList.java
@@ -19,11 +19,11 @@
 import java.util.function.IntFunction;
 import java.util.function.IntPredicate;
 
-/** The servers listed statically in the operator's configuration file, published to a decision module. */
+/** The servers listed statically in the operator's configuration file, published to the rules. */
 public final class StaticList implements EngineAdapter.ListSource, Counters.Group {
 
     private final DecisionEngine rules;
-    private final Upstream back;
+    private final Upstream upstream;
     private final IntFunction<Build> builds;
     private final Map<String, RemoteAppliance> remotes = new HashMap<>();
     private final Map<String, Zone> locations = new HashMap<>();
@@ -32,9 +32,9 @@
     private long nextId;
     private boolean isFirstList = true;
 
-    public StaticList(DecisionEngine rules, Upstream back, IntFunction<Build> builds) {
+    public StaticList(DecisionEngine rules, Upstream upstream, IntFunction<Build> builds) {
         this.rules = rules;
-        this.back = back;
+        this.upstream = upstream;
         this.builds = builds;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Publishes the servers whose build the filter accepts to the module. A server that is added after the first
+     * Publishes the servers whose build the filter accepts to the rules. A server that is added after the first
      * list, or whose build or address has changed, counts as started now.
      */
     public void publish(IntPredicate buildFilter, long now) {
@@ -62,11 +62,11 @@
             Build build = builds.apply(server.build());
             boolean isNew = remote == null;
             if (isNew) {
-                remote = (RemoteAppliance) back.newAppliance(nextId++);
+                remote = (RemoteAppliance) upstream.newAppliance(nextId++);
                 remote.startedAt = isFirstList ? Fleet.LONG_AGO : now;
                 remotes.put(server.name(), remote);
             } else if (remote.build != build || !server.address().equals(remote.address)) {
-                back.closeIdle(remote);
+                upstream.closeIdle(remote);
                 remote.startedAt = now;
             }
             remote.address = server.address();
@@ -78,7 +78,7 @@
         isFirstList &= listed.isEmpty();
         remotes.values().forEach(remote -> {
             if (!listed.contains(remote) || remote.state != Appliance.UP) {
-                back.closeIdle(remote);
+                upstream.closeIdle(remote);
             }
         });
         remotes.values().removeIf(remote -> !listed.contains(remote));
--- a/src/main/java/honeygap/net/flagclients/FlagClients.java
+++ b/src/main/java/honeygap/net/flagclients/FlagClients.java
@@ -33,7 +33,7 @@
     private long pushedBackCount;
 
     /**
-     * Creates the front.
+     * Creates the downstream side of the flag API.
      *
      * @param evaluateMethod the method for evaluating one flag
      * @param bulkMethod the method for evaluating all flags
--- a/src/test/java/honeygap/net/AcceptorTest.java
+++ b/src/test/java/honeygap/net/AcceptorTest.java
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Ten failures in a row delay a client by less than the second that MINA pauses after a single one. */
+    /** Ten failures in a row delay a client by a fraction of the second that MINA pauses after a single one. */
     @Test
     void acceptCallFailsTemporarily() throws Exception {
         Loop loop = new Loop();
--- a/src/test/java/honeygap/net/AgentTest.java
+++ b/src/test/java/honeygap/net/AgentTest.java
@@ -179,7 +179,10 @@
         assertTrue(appliance.received.size() <= 1);
     }
 
-    /** Idle clients are closed, the longest idle first, before all client descriptors are in use. */
+    /**
+     * Clients that send one request and keep the connection are closed, the longest idle first, before all client
+     * descriptors are in use.
+     */
     @Test
     void idleClientsAreClosed() throws Exception {
         FakeAppliance appliance = new FakeAppliance("ok");
--- a/src/test/java/honeygap/net/FlagsTest.java
+++ b/src/test/java/honeygap/net/FlagsTest.java
@@ -710,7 +710,8 @@
             in.read();
         });
         Loop loop = new Loop();
-        flags = new FlagProtocol(loop, FlagSettings.parse(fields("{'listen':'127.0.0.1:0'," + SHORT_DEADLINES + "'list':{'address':'127.0.0.1:"
+        flags = new FlagProtocol(loop, FlagSettings.parse(fields("{'listen':'127.0.0.1:0'," + SHORT_DEADLINES
+                + "'list':{'address':'127.0.0.1:"
                 + list.getLocalPort() + "'},'rollout':{'desk':{'address':'127.0.0.1:" + desk.getLocalPort()
                 + "'},'caps':[0.5],'soak':'1h'}}")), 7);
         agent = new Agent(loop, List.of(flags));
--- a/src/test/java/honeygap/net/ListLeaseTest.java
+++ b/src/test/java/honeygap/net/ListLeaseTest.java
@@ -9,7 +9,7 @@
 class ListLeaseTest extends Loopback {
 
     private static final long LEASE_MS = 1000;
-    /** Lists come from discovery; a drain has a grace period, and a list is valid for {@link #LEASE_MS}. */
+    /** Lists are fetched on request; a drain has a grace period, and a list is valid for {@link #LEASE_MS}. */
     private static final String SETTINGS = "'RegistryMode':'ask','Rules':{'StopSendingWithinNs':500000000,"
             + "'MustAskInNs':" + LEASE_MS + "000000},";
 
--- a/src/test/java/honeygap/net/RaceConditionTest.java
+++ b/src/test/java/honeygap/net/RaceConditionTest.java
@@ -156,7 +156,7 @@
         assertEquals(0, counter("clients", "open RPCs"));
     }
 
-    /** Formats of the list that discovery services may send, in push and in ask mode. */
+    /** Formats of the list that a discovery service may send, pushed or fetched; checked by where RPCs go then. */
     @ParameterizedTest
     @CsvSource({"ask,INDENTED", "push,INDENTED", "push,LINE", "ask,CUT INDENTED", "ask,CUT-HEARTBEATS INDENTED",
         "push,MIDDLE LINE", "ask,EMPTY LINE", "push,THOUSANDS", "ask,THOUSANDS-INDENTED", "push,reset LINE",
--- a/src/test/java/honeygap/net/ShutdownTest.java
+++ b/src/test/java/honeygap/net/ShutdownTest.java
@@ -93,7 +93,7 @@
         assertEquals("end", client.readAnswer());
     }
 
-    /** An RPC that arrives after the decision to close stays unread: once read, it would have to be answered. */
+    /** An RPC that arrives after the decision to close stays unread: if it were read and dropped, it would be lost. */
     @Test
     void rpcArrivesAfterCloseDecision() throws Exception {
         FakeAppliance appliance = new FakeAppliance("ok");
