--- a/src/main/java/honeygap/net/Call.java
+++ b/src/main/java/honeygap/net/Call.java
@@ -17,7 +17,7 @@
     public Loop.Timer deadlineTimer;
 
     protected Call(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
-                   boolean retry) {
+            boolean retry) {
         super(id, method, tenant, key, takenAt, deadline, work, retry);
     }
 
--- a/src/main/java/honeygap/net/EventLog.java
+++ b/src/main/java/honeygap/net/EventLog.java
@@ -56,7 +56,7 @@
      * had none.
      */
     public static void logAbandonedRpc(String rpc, String method, String reason, long appliance, long leftMs,
-                                String detail) {
+            String detail) {
         Map<String, String> fields = Map.of("event", "given up", "rpc", rpc, "method", method, "reason", reason,
                 "appliance", String.valueOf(appliance), "left_ms", String.valueOf(leftMs));
         fields.forEach(ThreadContext::put);
--- a/src/main/java/honeygap/net/Loop.java
+++ b/src/main/java/honeygap/net/Loop.java
@@ -223,7 +223,7 @@
      * overlap.
      */
     public InetSocketAddress listen(InetSocketAddress address, int backlog, int maxConnections,
-                                    Supplier<ConnectionHandler> handlerFactory) throws IOException {
+            Supplier<ConnectionHandler> handlerFactory) throws IOException {
         return listen(address, backlog, (executor, pool) -> new Acceptor(this, executor, pool, maxConnections),
                 handlerFactory);
     }
@@ -235,7 +235,7 @@
     }
 
     InetSocketAddress listen(InetSocketAddress address, int backlog, AcceptorFactory acceptorFactory,
-                             Supplier<ConnectionHandler> handlerFactory) throws IOException {
+            Supplier<ConnectionHandler> handlerFactory) throws IOException {
         Acceptor acceptor = acceptorFactory.create(this::runOnHelperThread, processorPool);
         acceptor.setHandler(new IoEventDispatcher(this, handlerFactory));
         acceptor.setReuseAddress(true);
--- a/src/main/java/honeygap/net/clients/PgClients.java
+++ b/src/main/java/honeygap/net/clients/PgClients.java
@@ -63,7 +63,7 @@
      * @param idleCloseThreshold number of connections above which idle ones are closed
      */
     public PgClients(Loop loop, DecisionEngine rules, Map<String, Method> methods, JsonObject info,
-                   int maxConnections, int idleCloseThreshold) throws Malformed {
+            int maxConnections, int idleCloseThreshold) throws Malformed {
         this.loop = loop;
         this.rules = rules;
         this.methods = methods;
--- a/src/main/java/honeygap/net/connections/ClientConnection.java
+++ b/src/main/java/honeygap/net/connections/ClientConnection.java
@@ -16,8 +16,9 @@
 public abstract class ClientConnection implements ConnectionHandler {
 
     /**
-     * How long a connection may stay in one stage before it is sent an error or closed, counted from its accept
-     * or its last response. Durations in this class are tenths of a millisecond.
+     * How long a connection may stay in a stage other than REST and ANSWER before it is sent an error or closed,
+     * counted from its accept or, once it has sent a request, from the start of the stage. Durations in this class
+     * are tenths of a millisecond.
      */
     private static final long STAGE_TIMEOUT = 30_000;
     /** The same for the rest of a message on a connection that has already sent a request. */
--- a/src/main/java/honeygap/net/discovery/ListEntry.java
+++ b/src/main/java/honeygap/net/discovery/ListEntry.java
@@ -17,7 +17,7 @@
  * @param cell the cell within which idempotency tokens are recognized
  */
 record ListEntry(String name, int state, InetSocketAddress address, long startedAtMs, int release, String zone,
-                 int cell) {
+        int cell) {
 
     static ListEntry parse(JsonObject entry) throws Malformed {
         String name = entry.text("name");
--- a/src/main/java/honeygap/net/flagclients/FlagClients.java
+++ b/src/main/java/honeygap/net/flagclients/FlagClients.java
@@ -44,7 +44,7 @@
      * @param maxBodyLength the maximum length of a request body in bytes
      */
     public FlagClients(Loop loop, EvaluationDispatcher dispatcher, Method evaluateMethod, Method bulkMethod, Method trackMethod,
-                  Method keyedTrackMethod, long tick, int maxConnections, int maxBodyLength) {
+            Method keyedTrackMethod, long tick, int maxConnections, int maxBodyLength) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.evaluateMethod = evaluateMethod;
--- a/src/main/java/honeygap/net/http/ResponseStream.java
+++ b/src/main/java/honeygap/net/http/ResponseStream.java
@@ -33,7 +33,7 @@
      * most {@code silenceTimeout}; both are in tenths of a millisecond.
      */
     public ResponseStream(Loop loop, InetSocketAddress address, String path, long headTimeout,
-                  long silenceTimeout, LineSplitter.LineHandler lineHandler, Listener listener) {
+            long silenceTimeout, LineSplitter.LineHandler lineHandler, Listener listener) {
         this.loop = loop;
         this.silenceTimeout = silenceTimeout;
         this.listener = listener;
--- a/src/main/java/honeygap/net/ofrep/EvaluationCall.java
+++ b/src/main/java/honeygap/net/ofrep/EvaluationCall.java
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Handles a complete response of this appliance and returns the outcome of the pick, as {@code Answers} decides.
+     * Handles a complete response of this appliance and returns the outcome of the pick, as decided by
+     * {@code EvaluationCoordinator}.
      *
      * @throws Malformed if the response violates the protocol
      */
--- a/src/main/java/honeygap/net/ofrep/EvaluationDispatcher.java
+++ b/src/main/java/honeygap/net/ofrep/EvaluationDispatcher.java
@@ -13,7 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Connects client evaluations with RPCs to flag servers: executes the decisions of {@code Answers}. */
+/** Connects client evaluations with RPCs to flag servers: executes the decisions of {@code EvaluationCoordinator}. */
 public final class EvaluationDispatcher implements EvaluationCoordinator.DecisionSink, Loop.Stepper, Counters.Group {
 
     private static final int MAX_TENANTS = 10_000;
--- a/src/main/java/honeygap/net/ofrep/OfrepRequest.java
+++ b/src/main/java/honeygap/net/ofrep/OfrepRequest.java
@@ -14,14 +14,14 @@
     private final int headLength;
 
     private OfrepRequest(Method method, String flag, long targetingKeyHash, byte[] request, int headLength,
-                         boolean shareable) {
+            boolean shareable) {
         super(method, flag, targetingKeyHash, request, hash(request), shareable);
         this.headLength = headLength;
     }
 
     /** Creates a request; the fields are the header fields to forward, each ending with a line break. */
     public static OfrepRequest of(Method method, String flag, long targetingKeyHash, String path, String fields,
-                                  byte[] body, boolean shareable) {
+            byte[] body, boolean shareable) {
         byte[] head = ("POST " + path + " HTTP/1.1\r\n" + fields + "Content-Type: application/json\r\n"
                 + "Accept: application/json\r\nContent-Length: " + body.length + "\r\nHost: ")
                 .getBytes(StandardCharsets.ISO_8859_1);
--- a/src/main/java/honeygap/net/ofrep/PendingEvaluation.java
+++ b/src/main/java/honeygap/net/ofrep/PendingEvaluation.java
@@ -15,7 +15,10 @@
         super(question, takenAt, deadline, knownVersion);
     }
 
-    /** Final answer: a response of a server or a cached one; the origin is one of the constants of {@code Answers}. */
+    /**
+     * Final answer: a response of a server or a cached one; the origin is one of the constants of
+     * {@code EvaluationCoordinator}.
+     */
     public abstract void answer(ServerAnswer served, int origin);
 
     /** Final answer: pushed back; the duration is in tenths of a millisecond. */
--- a/src/main/java/honeygap/net/pg/Query.java
+++ b/src/main/java/honeygap/net/pg/Query.java
@@ -27,8 +27,8 @@
     private ResponseHandler responseHandler;
 
     public Query(String id, Method method, Tenant tenant, String key, long takenAt, long deadline, long work,
-                 boolean retry, ResponseHandler responseHandler, ByteBuffer textBeforeTimeout,
-                 ByteBuffer textAfterTimeout) {
+            boolean retry, ResponseHandler responseHandler, ByteBuffer textBeforeTimeout,
+            ByteBuffer textAfterTimeout) {
         super(id, method, tenant, key, takenAt, deadline, work, retry);
         this.responseHandler = responseHandler;
         this.textBeforeTimeout = textBeforeTimeout;
--- a/src/main/java/honeygap/net/upstream/ConnectionPool.java
+++ b/src/main/java/honeygap/net/upstream/ConnectionPool.java
@@ -40,8 +40,8 @@
      * appliances. The factory creates connections of the protocol.
      */
     public ConnectionPool(Loop loop, DecisionEngine rules,
-                          BiFunction<ConnectionPool, RemoteAppliance, UpstreamConnection> connectionFactory, long tick,
-                          long connectTimeout, long applianceIdleTimeout, int maxConnections) {
+            BiFunction<ConnectionPool, RemoteAppliance, UpstreamConnection> connectionFactory, long tick,
+            long connectTimeout, long applianceIdleTimeout, int maxConnections) {
         this.loop = loop;
         this.rules = rules;
         this.connectionFactory = connectionFactory;
--- a/src/test/java/honeygap/net/FlagStressTest.java
+++ b/src/test/java/honeygap/net/FlagStressTest.java
@@ -48,7 +48,7 @@
 
     /** One request as received by a server. */
     private record ServerRequest(Server server, int build, String method, String id, long receivedAt,
-                                 boolean hasToken) { }
+            boolean hasToken) { }
 
     /** One evaluation as observed by its client. */
     private record ClientResult(String method, String key, long start, long end, int status, long version) { }
