--- a/src/main/java/honeygap/net/flagclients/FlagClients.java
+++ b/src/main/java/honeygap/net/flagclients/FlagClients.java
@@ -33,7 +33,7 @@
     private long pushedBackCount;
 
     /**
-     * Creates the front.
+     * Creates the downstream side of the flag API.
      *
      * @param evaluateMethod the method for evaluating one flag
      * @param bulkMethod the method for evaluating all flags
@@ -44,7 +44,7 @@
      * @param maxBodyLength the maximum length of a request body in bytes
      */
     public FlagClients(Loop loop, EvaluationDispatcher dispatcher, Method evaluateMethod, Method bulkMethod, Method trackMethod,
-                  Method keyedTrackMethod, long tick, int maxConnections, int maxBodyLength) {
+            Method keyedTrackMethod, long tick, int maxConnections, int maxBodyLength) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.evaluateMethod = evaluateMethod;
