--- a/src/main/java/honeygap/lab/soak/FaultKind.java
+++ b/src/main/java/honeygap/lab/soak/FaultKind.java
@@ -1,8 +1,8 @@
 package honeygap.lab.soak;
 
 /**
- * Faults that a soak run injects into agents and the services around them. Plans draw constants by their order and tell
- * agent faults by the prefix AGENT.
+ * Faults that a soak run injects into agents and the services around them. Plans draw constants by ordinal and
+ * recognise agent faults by the prefix AGENT.
  */
 enum FaultKind {
     /** Killed by SIGKILL; restarted a little later at the same address with its last list. */
--- a/src/main/java/honeygap/lab/soak/SoakLoad.java
+++ b/src/main/java/honeygap/lab/soak/SoakLoad.java
@@ -9,7 +9,7 @@
  *
  * @param deadlineMs deadline of each method in milliseconds
  * @param clientsPerAgent number of concurrent clients per agent
- * @param maxSockets limit of open sockets of an agent
+ * @param maxSockets limit of open file descriptors of an agent
  * @param connectsDuringShutdown whether clients open connections to an agent that shuts down as long as it listens
  */
 record SoakLoad(Map<SoakMethod, Long> deadlineMs, int clientsPerAgent, int maxSockets, boolean connectsDuringShutdown) {
--- a/src/main/java/honeygap/manage/Ledger.java
+++ b/src/main/java/honeygap/manage/Ledger.java
@@ -7,8 +7,8 @@
 /**
  * The commands that an agent has executed or refused in advance. Decides whether a command is executed, was executed
  * before, or comes too late. A command is identified by its id, ordered by its number, and addressed to one
- * generation of the agent. The class does no I/O: the host makes the entries of {@link #recordApplied} durable before it
- * answers, and reloads them with {@link #restore}. Memory is bounded: the oldest entry is evicted first, and
+ * generation of the agent. The class does no I/O: the host makes the entries of {@link #recordApplied} durable before
+ * it answers, and reloads them with {@link #restore}. Memory is bounded: the oldest entry is evicted first, and
  * commands that are not newer than the evicted ones are refused.
  */
 public final class Ledger {
--- a/src/main/java/honeygap/manage/Operation.java
+++ b/src/main/java/honeygap/manage/Operation.java
@@ -66,8 +66,7 @@
 
     /** Persistent form of an operation. */
     public record Snapshot(String id, long number, String action, String argument, int maxConcurrent,
-            int failuresToPause,
-                          long requestedAt, long deadline, State state, List<StepSnapshot> steps) { }
+                           int failuresToPause, long requestedAt, long deadline, State state, List<StepSnapshot> steps) { }
 
     public Snapshot snapshot() {
         return new Snapshot(id, number, action, argument, maxConcurrent, failuresToPause, requestedAt, deadline, state,
--- a/src/main/java/honeygap/manage/OperationScheduler.java
+++ b/src/main/java/honeygap/manage/OperationScheduler.java
@@ -11,11 +11,11 @@
 
 /**
  * Schedules the steps of operations: when to send which command, how to interpret an answer or a missing answer, when
- * to query an instance's ledger, when to pause, and when an operation ends. Event-driven like {@code Rules}: inputs
- * only update the state, and {@link #decideNext} makes one decision at a time. Nothing is sent before the state that
- * it depends on is durable: the host persists each operation that it is given before it asks for the next decision. A
- * step without an answer is never resent blindly; the instance's ledger is queried first. Times are in units of 0.1
- * ms.
+ * to query an instance's ledger, when to pause, and when an operation ends. Event-driven like
+ * {@code DecisionEngine}: inputs only update the state, and {@link #decideNext} makes one decision at a time. Nothing
+ * is sent before the state that it depends on is durable: the host persists each operation that it is given before it
+ * asks for the next decision. A step without an answer is never resent blindly; the instance's ledger is queried
+ * first. Times are in units of 0.1 ms.
  */
 public final class OperationScheduler {
 
--- a/src/main/java/honeygap/manage/host/Manager.java
+++ b/src/main/java/honeygap/manage/host/Manager.java
@@ -158,8 +158,7 @@
      * connect, or no answer.
      */
     private void call(String name, String method, String path, String body, ResponseHandler handler,
-            Runnable onUnreachable,
-                      Runnable onNoAnswer) {
+                      Runnable onUnreachable, Runnable onNoAnswer) {
         InetSocketAddress endpoint = instance(name).adminEndpoint();
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + endpoint.getHostString() + ":"
                 + endpoint.getPort() + path)).timeout(Duration.ofMillis(settings.answerTimeout / 10));
--- a/src/main/java/honeygap/manage/host/OperationStore.java
+++ b/src/main/java/honeygap/manage/host/OperationStore.java
@@ -34,8 +34,9 @@
     }
 
     /**
-     * Saves an operation and returns when it is on disk. The store closes itself when a write fails, and the failed
-     * change would be written with the next one. It is therefore reopened from the disk's contents, at the next call.
+     * Saves an operation and returns when it is on disk. When a write fails the store closes itself, and the failed
+     * change would otherwise be written with the next one. Therefore the next call reopens the store from the contents
+     * of the disk.
      */
     public void save(Operation.Snapshot snapshot) throws IOException {
         try {
--- a/src/main/java/honeygap/replication/member/FailureDetector.java
+++ b/src/main/java/honeygap/replication/member/FailureDetector.java
@@ -35,8 +35,8 @@
     private static final double CUT_OFF_SHARE = 0.5;
     private static final int CUT_OFF_MIN_PEERS = 3;
     /**
-     * A new generation at another address within this many rounds after a heartbeat is a name conflict, not a
-     * restart.
+     * A new generation at another address within this many rounds of the last heartbeat is a name conflict, not a
+     * restart. The name then counts as in conflict for as many rounds.
      */
     private static final int NAME_CONFLICT_ROUNDS = 10;
 
--- a/src/main/java/honeygap/replication/table/ReplicatedTable.java
+++ b/src/main/java/honeygap/replication/table/ReplicatedTable.java
@@ -12,8 +12,8 @@
  * caller has to do both. Only an entry's owner writes it. Each owner numbers its writes, so that one sequence number
  * per owner describes what a process has received, and entries are sent in the order of these numbers: the precise
  * reconciliation of van Renesse and others, "Efficient Reconciliation and Flow Control for Anti-Entropy Protocols"
- * (2008). A restarted owner has a higher generation; its first entry discards all of earlier generations. Times are
- * in units of 0.1 ms of the local clock; messages carry ages instead of clock times.
+ * (2008). A restarted owner has a higher generation; its first entry discards all entries of earlier generations.
+ * Times are in units of 0.1 ms of the local clock; messages carry ages instead of clock times.
  */
 public final class ReplicatedTable {
 
--- a/src/test/java/honeygap/cli/KilledAfterSignalTest.java
+++ b/src/test/java/honeygap/cli/KilledAfterSignalTest.java
@@ -23,9 +23,9 @@
 
 /**
  * Guards against RPCs that are left unanswered when the process is killed some time after SIGTERM. Agents used to
- * accept RPCs seconds after SIGTERM, forward them (within 4 ms, by the appliances' records) and wait for a response until
- * the RPC's own deadline, without regard to the coming SIGKILL; clients then saw the connection end without a complete
- * response. The test covers each way in which an RPC can arrive after the signal.
+ * accept RPCs seconds after SIGTERM, forward them (within 4 ms, by the appliances' records) and wait for a response
+ * until the RPC's own deadline, without regard to the coming SIGKILL; clients then saw the connection end without a
+ * complete response. The test covers each way in which an RPC can arrive after the signal.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class KilledAfterSignalTest {
--- a/src/test/java/honeygap/cli/RestartTest.java
+++ b/src/test/java/honeygap/cli/RestartTest.java
@@ -140,7 +140,10 @@
                 () -> String.join("\n", agent.log));
     }
 
-    /** Without discovery and desk, 90 % of agents serve an RPC within 10 s of a restart, by the list in the settings. */
+    /**
+     * Without discovery and desk, 90 % of ten agents, which are killed and restarted together, serve an RPC within 10 s
+     * of each start, by the list in the settings.
+     */
     @Test
     void readyWithinTenSeconds() throws Exception {
         int appliance = startAppliance();
--- a/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
+++ b/src/test/java/honeygap/lab/scale/ListRecoveryTest.java
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Recovery time allowed: one and a half times what the capacity of discovery requires. A dozen agents, each of which
-     * costs discovery almost half a second, are too few to spread evenly; they get more time, since an agent whose call
-     * fails waits for up to a quarter of the time for asking, then half of it, then all of it.
+     * Recovery time allowed: one and a half times what the capacity of discovery requires. A dozen agents, each of
+     * which costs discovery almost half a second, are too few to spread evenly; they get more time, since an agent
+     * whose call fails waits for up to a quarter of the time for asking, then half of it, then all of it.
      */
     private static double maxRecoveryTime(int agents) {
         return 1.5 * ROUND_OF_CALLS + (agents < 100 ? ASK_WITHIN : 0);
--- a/src/test/java/honeygap/lab/soak/SoakTest.java
+++ b/src/test/java/honeygap/lab/soak/SoakTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Two short soak runs with fixed plans; only the interleaving of threads differs between executions. For longer runs see
- * docs/soak.md. In each run every agent gets SIGTERM once, and SIGKILL at the earliest time allowed. Guards the lease of
- * the list: without it the first run violates the drain rule about two hundred times.
+ * Two short soak runs with fixed plans; only the interleaving of threads differs between executions. For longer runs
+ * see docs/soak.md. In each run every agent gets SIGTERM once, and SIGKILL at the earliest time allowed. Guards the
+ * lease of the list: without it the first run violates the drain rule about two hundred times.
  */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SoakTest {
--- a/src/test/java/honeygap/manage/FleetTest.java
+++ b/src/test/java/honeygap/manage/FleetTest.java
@@ -311,7 +311,8 @@
         "POST /v1/command {|open|400", "POST /v1/command {}|open|400",
         "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"1\",\"action\":\"dance\",\"argument\":\"\"}|open|400",
         "POST /v1/command {\"id\":\"a\",\"number\":\"x\",\"generation\":\"1\",\"action\":\"drain\",\"argument\":\"\"}|open|400",
-        "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"99\",\"action\":\"drain\",\"argument\":\"\"}|open|200 OTHER_GENERATION",
+        "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"99\",\"action\":\"drain\",\"argument\":\"\"}"
+            + "|open|200 OTHER_GENERATION",
         "POST /v1/command {\"id\":\"a\",\"number\":\"1\",\"generation\":\"1\",\"action\":\"drain\",\"argument\":\"\"}|open|200 APPLY",
         "POST /v1/calloff {\"id\":\"b\",\"number\":\"2\"}|open|200 called off",
         "POST /v1/look {\"id\":\"c\"}|open|200"})
