--- a/src/main/java/honeygap/capture/MergedCaptureReader.java
+++ b/src/main/java/honeygap/capture/MergedCaptureReader.java
@@ -87,7 +87,7 @@
         return current.packet;
     }
 
-    /** Reads all remaining packets as conversations; returns counts of RPCs, connections and irregularities by kind. */
+    /** Decodes all remaining packets into RPCs; returns counts of RPCs, connections and irregularities by kind. */
     public Map<String, Long> conversations(ConnectionDecoder.RpcListener listener, PacketListener packetListener) throws IOException {
         CaptureDecoder conversations = new CaptureDecoder(listener);
         Map<String, Long> counts = streams(conversations, packetListener);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Describes what is missing at the end of truncated files, one text a file. */
+    /** Describes what is missing at the end of truncated files, one text for each file. */
     public List<String> cutOff() {
         List<String> truncations = new ArrayList<>();
         for (OpenFile file : files) {
--- a/src/main/java/honeygap/capture/file/CaptureInput.java
+++ b/src/main/java/honeygap/capture/file/CaptureInput.java
@@ -114,7 +114,7 @@
                 return false;
             }
             throw isCompressed ? new MalformedCaptureException(name, bufferEndOffset, "compression",
-                        "invalid compressed data: " + e.getMessage()) : e;
+                    "invalid compressed data: " + e.getMessage()) : e;
         }
         if (count <= 0) {
             isTruncated |= isZstd && !raw.frames.isAtFrameBoundary();
--- a/src/main/java/honeygap/capture/file/CaptureVerifier.java
+++ b/src/main/java/honeygap/capture/file/CaptureVerifier.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Strictly verifies pcapng files written by this program: block structure and both length fields, ascending
- * timestamps, IP and TCP checksums, and contiguous TCP sequence numbers for each connection. Shares no code with the
+ * Strictly verifies pcapng files written by this program: block structure and both length fields, timestamps that
+ * never go back, IP and TCP checksums, and contiguous TCP sequence numbers for each connection. Shares no code with the
  * writer and the reader, so that a fault in them can't hide itself.
  */
 public final class CaptureVerifier {
@@ -28,7 +28,10 @@
     private long lastTimestampNs = Long.MIN_VALUE;
     private long offset;
 
-    /** Reads and verifies an uncompressed pcapng file; sequence numbers that skip forward are gaps, not faults. */
+    /**
+     * Reads and verifies an uncompressed pcapng file. Sequence numbers that skip forward are counted as gaps, not as
+     * faults: the recorder leaves them where it dropped data.
+     */
     public CaptureVerifier(InputStream uncompressed, boolean mayEndEarly) throws IOException {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(uncompressed))) {
             while (true) {
--- a/src/main/java/honeygap/capture/generator/TrafficGenerator.java
+++ b/src/main/java/honeygap/capture/generator/TrafficGenerator.java
@@ -88,7 +88,7 @@
      * @param server address of the server
      */
     public TrafficGenerator(PacketSynthesizer.Sink sink, long seed, double peakRate, long durationNs, long startNs, int keyCount,
-                   Address server) {
+            Address server) {
         synthesizer = new PacketSynthesizer(sink);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.peakRate = peakRate;
--- a/src/main/java/honeygap/capture/message/HttpConnectionDecoder.java
+++ b/src/main/java/honeygap/capture/message/HttpConnectionDecoder.java
@@ -42,7 +42,7 @@
     private long lastChunkNs;
 
     public HttpConnectionDecoder(boolean isFromStart, Supplier<RecordedRpc> rpcFactory, RpcListener listener,
-                            Map<String, Long> counts) {
+            Map<String, Long> counts) {
         this.rpcFactory = rpcFactory;
         this.listener = listener;
         this.counts = counts;
--- a/src/main/java/honeygap/capture/packet/Decoder.java
+++ b/src/main/java/honeygap/capture/packet/Decoder.java
@@ -230,7 +230,7 @@
     }
 
     private boolean addFragment(Segment segment, FragmentKey id, Address from, Address to, int dataOffset, int length,
-                                int offset, boolean isLast, int protocol) {
+            int offset, boolean isLast, int protocol) {
         fragmented.values().removeIf(old -> packetTimestampNs - old.firstFragmentNs > FRAGMENT_TIMEOUT_NS);
         if (dataOffset + length > end || length <= 0 || offset + length > MAX_DATAGRAM_BYTES) {
             return skip("bad fragment");
--- a/src/main/java/honeygap/capture/query/RpcFilter.java
+++ b/src/main/java/honeygap/capture/query/RpcFilter.java
@@ -72,7 +72,7 @@
         BaseErrorListener errors = new BaseErrorListener() {
             @Override
             public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
-                                    RecognitionException cause) {
+                    RecognitionException cause) {
                 String problem = symbol instanceof Token token && token.getType() != Token.EOF
                         ? "\"" + token.getText() + "\" is unexpected here" : "the filter ends unexpectedly";
                 throw new FilterSyntaxException(column + 1, problem);
--- a/src/main/java/honeygap/capture/replay/Replayer.java
+++ b/src/main/java/honeygap/capture/replay/Replayer.java
@@ -50,7 +50,8 @@
     private boolean isFinished;
     private long wakeupTick = Long.MAX_VALUE;
 
-    public Replayer(InetSocketAddress target, ReplaySchedule schedule, RequestRewriter rewriter, ReplayReport report, boolean compareValues) {
+    public Replayer(InetSocketAddress target, ReplaySchedule schedule, RequestRewriter rewriter, ReplayReport report,
+            boolean compareValues) {
         this.target = target;
         this.schedule = schedule;
         this.rewriter = rewriter;
--- a/src/main/java/honeygap/capture/stream/Reassembly.java
+++ b/src/main/java/honeygap/capture/stream/Reassembly.java
@@ -30,10 +30,10 @@
  */
 public final class Reassembly {
 
-    /** How a connection ended; CUT: still open at the end of the capture, CROWDED: over the limit of connections. */
+    /** How a connection ended; CUT: still open at the end of the capture; CROWDED: closed over the connection limit. */
     public enum End { CLOSED, RESET, REUSED, SILENT, CROWDED, CUT }
 
-    /** Receives the events of the reassembly, one a call. */
+    /** Receives the events of the reassembly, one for each call of {@link #deliverNext}. */
     public interface Listener {
 
         void opened(Flow flow, long timestampNs);
@@ -171,7 +171,7 @@
         this.idleTimeoutNs = idleTimeoutNs;
     }
 
-    /** Uses the default limits: 256 KiB a direction, 64 MiB in total, 100,000 connections, 3 s, 2 h. */
+    /** Uses the default limits: 256 KiB for each direction, 64 MiB in total, 100,000 connections, 3 s, 2 h. */
     public Reassembly() {
         this(1 << 18, 64L << 20, 100_000, 3_000_000_000L, 7_200_000_000_000L);
     }
--- a/src/test/java/honeygap/DecisionEngineHarness.java
+++ b/src/test/java/honeygap/DecisionEngineHarness.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Runs the decision engine of one agent with a small fleet and a manual clock, and records its decisions as words. */
+/** Runs the decision engine of one agent with a small fleet and a manual clock, and records its decisions as text. */
 final class DecisionEngineHarness implements DecisionHandler {
 
     static final long SECOND = 10_000;
@@ -37,7 +37,7 @@
     private int rpcCount;
 
     DecisionEngineHarness(long seed, int agentCount, RetryLimits retryLimits, ListSettings listSettings,
-                          DeskSettings deskSettings, ExposureSettings exposureSettings, int scope) {
+            DeskSettings deskSettings, ExposureSettings exposureSettings, int scope) {
         for (int effect = 0; effect < 3; effect++) {
             methods.add(new Method(effect, effect, scope, 2 * SECOND, SECOND, 3 * SECOND, 1, 0));
         }
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Default settings: two agents, three picks, a list without calls, 20% in the only stage limited to idempotent
-     * methods, sticky keys.
+     * Default settings: two agents, three picks, a pushed list (no list calls), 20% in the only stage limited
+     * to idempotent methods, sticky keys.
      */
     static DecisionEngineHarness withDefaults(int gate, int scope) {
         return oneOfMany(7, 2, gate, scope);
@@ -107,7 +107,7 @@
         engine.pickEnded(rpc, index, outcome, outcome == 0, now - rpc.picks.get(index).sentAt);
     }
 
-    /** Sends RPCs one after another, each answered after the latency of the zone or of the others. */
+    /** Sends RPCs one after another, each answered after the given latency of the zone or of all other zones. */
     void answerRpcs(int count, long latency, int zone, long zoneLatency) {
         for (int i = 0; i < count; i++) {
             advance(200);
--- a/src/test/java/honeygap/KnownRedTest.java
+++ b/src/test/java/honeygap/KnownRedTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Runs the CI script on different KNOWN-RED.txt files, with a fake Maven that has one failing and one passing test. */
+/** Runs the CI script on different KNOWN-RED.txt files, with a fake Maven that knows one failing, one passing and no other test. */
 class KnownRedTest {
 
     private static final String FAKE_MAVEN = """
--- a/src/test/java/honeygap/RulesTest.java
+++ b/src/test/java/honeygap/RulesTest.java
@@ -243,8 +243,7 @@
     @CsvSource({"none,9,''", "none,10,watch", "fail,3,watch", "answer,20,''", "taken,20,''", "disk,9,''",
             "disk,10,watch"})
     void callsDiscovery(String event, int seconds, String expected) {
-        DecisionEngineHarness harness =
-                new DecisionEngineHarness(7, 2, new RetryLimits(3, false, 0),
+        DecisionEngineHarness harness = new DecisionEngineHarness(7, 2, new RetryLimits(3, false, 0),
                 new ListSettings(true, false, 10 * SECOND, 0),
                 new DeskSettings(0, SECOND, SECOND, SECOND, 1, 1, 0, 0),
                 new ExposureSettings(new double[0], new double[0], SECOND, 0, false, 0, false), 0);
@@ -772,7 +771,7 @@
         assertFalse(harness.pullDecisions().contains("pick1"));
     }
 
-    /** A vote to advance waits for one and a half times the configured minimum duration of a stage. */
+    /** A vote to advance waits for one and a half times the configured minimum duration of a stage, however long that is. */
     @ParameterizedTest
     @CsvSource({"1.2,1.7,false", "1.2,1.9,true", "2,2.9,false", "2,3.1,true"})
     void advanceVoteWaitsForTheSoak(double soak, double seconds, boolean isAdvanceExpected) {
@@ -823,7 +822,10 @@
         assertEquals(isRolledBack, decisions.contains("vote" + Build.VOTE_ROLLBACK));
     }
 
-    /** Earlier builds are removed with their last appliance and pick, so that records do not accumulate. */
+    /**
+     * Earlier builds are removed with their last appliance and pick, so that records do not accumulate however many
+     * builds come and go.
+     */
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void unusedBuildsAreRemoved(boolean isInFlight) {
--- a/src/test/java/honeygap/ShutdownRulesTest.java
+++ b/src/test/java/honeygap/ShutdownRulesTest.java
@@ -121,6 +121,7 @@
         assertTrue(harness.pullDecisions().startsWith(expected));
     }
 
+    /** A second signal does not move the shutdown deadline. */
     @Test
     void secondSignalKeepsTheSchedule() {
         DecisionEngineHarness harness = newHarness();
--- a/src/test/java/honeygap/bench/FlagsLoad.java
+++ b/src/test/java/honeygap/bench/FlagsLoad.java
@@ -255,7 +255,7 @@
     }
 
     private void runClient(int port, SplittableRandom random, long startNs, AtomicLong number, Histogram all,
-                        AtomicLongArray statuses) throws IOException {
+            AtomicLongArray statuses) throws IOException {
         Histogram times = new Histogram(3);
         byte[] buffer = new byte[4096];
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
--- a/src/test/java/honeygap/capture/FilesTest.java
+++ b/src/test/java/honeygap/capture/FilesTest.java
@@ -235,7 +235,8 @@
                 out.write(zeros);
             }
         }
-        MalformedCaptureException fault = assertThrows(MalformedCaptureException.class, () -> read(compressed.toByteArray(), new String[1]));
+        MalformedCaptureException fault = assertThrows(MalformedCaptureException.class,
+                () -> read(compressed.toByteArray(), new String[1]));
         assertEquals("bomb", fault.kind);
     }
 
@@ -287,11 +288,11 @@
         Segment segment = new Segment();
         assertTrue(new Decoder().decode(packet, segment));
         assertEquals(expected.from + " " + expected.to + " " + expected.seq + " " + expected.capturedLength,
-                segment.from + " "
-                + segment.to + " " + segment.seq + " " + segment.capturedLength);
+                segment.from + " " + segment.to + " " + segment.seq + " " + segment.capturedLength);
         packet.length = header.length + plain.length - 10;
         assertTrue(new Decoder().decode(packet, segment));
-        assertEquals("10 " + expected.payloadLength, segment.payloadLength - segment.capturedLength + " " + segment.payloadLength);
+        assertEquals("10 " + expected.payloadLength,
+                segment.payloadLength - segment.capturedLength + " " + segment.payloadLength);
         for (int length = 0; length < header.length + 40; length++) {
             packet.length = length;
             assertTrue(!new Decoder().decode(packet, segment) || length >= header.length + 40, "cut at " + length);
