--- a/src/main/java/honeygap/capture/MergedCaptureReader.java
+++ b/src/main/java/honeygap/capture/MergedCaptureReader.java
@@ -89,11 +89,11 @@
 
     /** Decodes all remaining packets into RPCs; returns counts of RPCs, connections and irregularities by kind. */
     public Map<String, Long> conversations(ConnectionDecoder.RpcListener listener, PacketListener packetListener) throws IOException {
-        CaptureDecoder conversations = new CaptureDecoder(listener);
-        Map<String, Long> counts = streams(conversations, packetListener);
-        counts.putAll(conversations.problemCounts());
-        counts.put("connections", conversations.connectionCount());
-        counts.put("RPCs", conversations.rpcCount());
+        CaptureDecoder decoder = new CaptureDecoder(listener);
+        Map<String, Long> counts = streams(decoder, packetListener);
+        counts.putAll(decoder.problemCounts());
+        counts.put("connections", decoder.connectionCount());
+        counts.put("RPCs", decoder.rpcCount());
         return counts;
     }
 
--- a/src/main/java/honeygap/capture/file/CaptureReader.java
+++ b/src/main/java/honeygap/capture/file/CaptureReader.java
@@ -332,8 +332,7 @@
                 : type == ENHANCED_PACKET_BLOCK ? body.getInt(0) : body.getShort(0) & 0xffff;
         if (interfaceNumber < 0 || interfaceNumber >= interfaces.size()) {
             throw new MalformedCaptureException(input.name, packet.fileOffset, "interface",
-                    "undefined interface " + (interfaceNumber & 0xffffffffL)
-                    + " in its section");
+                    "undefined interface " + (interfaceNumber & 0xffffffffL) + " in its section");
         }
         InterfaceDescription description = interfaces.get(interfaceNumber);
         int originalLength = body.getInt(type == SIMPLE_PACKET_BLOCK ? 0 : 16);
--- a/src/test/java/honeygap/ArchitectureTest.java
+++ b/src/test/java/honeygap/ArchitectureTest.java
@@ -26,8 +26,7 @@
     @Test
     void decisionsDependOnNoIo() {
         noClasses().that().resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.settings..", "honeygap.flags..").should()
-                .dependOnClassesThat()
-                .resideInAnyPackage(IO).check(ALL);
+                .dependOnClassesThat().resideInAnyPackage(IO).check(ALL);
         noClasses().that().resideInAPackage("honeygap.fleet..").should().dependOnClassesThat()
                 .resideInAnyPackage("honeygap", "honeygap.rules..", "honeygap.flags..", "honeygap.net..", "honeygap.config..")
                 .check(ALL);
--- a/src/test/java/honeygap/FuzzTest.java
+++ b/src/test/java/honeygap/FuzzTest.java
@@ -167,17 +167,17 @@
     void conversations(@ForAll("chunks") List<byte[]> chunks, @ForAll boolean isHttp, @ForAll boolean isWhole) {
         Map<RecordedRpc, Integer> callCounts = new HashMap<>();
         Map<String, Long> counts = new HashMap<>();
-        ConnectionDecoder.RpcListener hearer = rpc -> callCounts.merge(rpc, 1, Integer::sum);
-        ConnectionDecoder conversation = isHttp ? new HttpConnectionDecoder(isWhole, RecordedRpc::new, hearer, counts)
-                : new PgConnectionDecoder(isWhole, RecordedRpc::new, hearer, counts);
+        ConnectionDecoder.RpcListener listener = rpc -> callCounts.merge(rpc, 1, Integer::sum);
+        ConnectionDecoder decoder = isHttp ? new HttpConnectionDecoder(isWhole, RecordedRpc::new, listener, counts)
+                : new PgConnectionDecoder(isWhole, RecordedRpc::new, listener, counts);
         int i = 0;
         for (byte[] chunk : chunks) {
             if (chunk.length % 7 == 3) {
-                conversation.gap(i % 2 == 0, 10);
+                decoder.gap(i % 2 == 0, 10);
             }
-            conversation.data(i++ % 2 == 0, chunk, i);
+            decoder.data(i++ % 2 == 0, chunk, i);
         }
-        conversation.connectionClosed();
+        decoder.connectionClosed();
         assertTrue(callCounts.values().stream().allMatch(times -> times == 1));
     }
 
--- a/src/test/java/honeygap/capture/RoundTripTest.java
+++ b/src/test/java/honeygap/capture/RoundTripTest.java
@@ -179,9 +179,9 @@
         }
         StringBuilder bytes = new StringBuilder();
         for (Path one : recordedFiles()) {
-            CaptureVerifier strict = new CaptureVerifier(new ZstdInputStream(Files.newInputStream(one)), false);
-            assertEquals(List.of(), strict.faults());
-            assertEquals(0, strict.gaps());
+            CaptureVerifier verifier = new CaptureVerifier(new ZstdInputStream(Files.newInputStream(one)), false);
+            assertEquals(List.of(), verifier.faults());
+            assertEquals(0, verifier.gaps());
             bytes.append(new String(new ZstdInputStream(Files.newInputStream(one)).readAllBytes(),
                     StandardCharsets.ISO_8859_1));
         }
@@ -233,9 +233,9 @@
                 }
                 assertEquals(part < 20, reader.cutOff() != null, "part " + part + ", " + packets + " packets");
             }
-            CaptureVerifier strict = new CaptureVerifier(Files.newInputStream(repaired), false);
-            assertEquals(List.of(), strict.faults());
-            assertEquals(packets, strict.packets());
+            CaptureVerifier verifier = new CaptureVerifier(Files.newInputStream(repaired), false);
+            assertEquals(List.of(), verifier.faults());
+            assertEquals(packets, verifier.packets());
             assertTrue(packets >= previous);
             previous = packets;
         }
--- a/src/test/java/honeygap/capture/StreamsTest.java
+++ b/src/test/java/honeygap/capture/StreamsTest.java
@@ -203,19 +203,19 @@
 
     static List<RecordedRpc> rpcs(List<Packet> packets, Map<String, Long> counts) {
         List<RecordedRpc> exchanges = new ArrayList<>();
-        CaptureDecoder conversations = new CaptureDecoder(exchanges::add);
+        CaptureDecoder rpcDecoder = new CaptureDecoder(exchanges::add);
         Reassembly reassembly = new Reassembly();
         Decoder decoder = new Decoder();
         Segment segment = new Segment();
         for (Packet packet : packets) {
             if (decoder.decode(packet, segment)) {
                 reassembly.addSegment(segment);
-                drain(reassembly, conversations);
+                drain(reassembly, rpcDecoder);
             }
         }
         reassembly.end();
-        drain(reassembly, conversations);
-        counts.putAll(conversations.problemCounts());
+        drain(reassembly, rpcDecoder);
+        counts.putAll(rpcDecoder.problemCounts());
         counts.putAll(reassembly.counts());
         return exchanges;
     }
@@ -449,23 +449,23 @@
     @CsvSource({"D,true,'[1 torn, 2 torn]'", "C,true,'[1 torn, 2 torn]'", "'',false,'[1 torn, 2 failed]'"})
     void restOfAResponseAfterAHole(String rest, boolean isSkipped, String expected) {
         List<String> outcomes = new ArrayList<>();
-        PgConnectionDecoder conversation = new PgConnectionDecoder(false, RecordedRpc::new,
+        PgConnectionDecoder decoder = new PgConnectionDecoder(false, RecordedRpc::new,
                 one -> outcomes.add(one.id + " " + one.outcome), new HashMap<>());
         for (int id = 1; id <= 2; id++) {
-            conversation.data(true, bytes("Q", "SELECT content FROM kv WHERE name = 'k' /* id=" + id
+            decoder.data(true, bytes("Q", "SELECT content FROM kv WHERE name = 'k' /* id=" + id
                     + ",c=look,t=acme,d=500 */\0"), id);
             if (id == 1) {
-                conversation.gap(false, 20);
-                conversation.data(false, bytes("D", "\0\0"), id);
+                decoder.gap(false, 20);
+                decoder.data(false, bytes("D", "\0\0"), id);
             }
         }
         byte[] ready = bytes("Z", "I");
         if (isSkipped) {
-            conversation.data(false, rest.equals("D") ? bytes("D", "\0\0")
+            decoder.data(false, rest.equals("D") ? bytes("D", "\0\0")
                     : join(bytes("C", "SELECT 1\0"), ready), 3);
         }
-        conversation.data(false, join(bytes("E", "SERROR\0CXX000\0Mno\0\0"), ready), 4);
-        conversation.connectionClosed();
+        decoder.data(false, join(bytes("E", "SERROR\0CXX000\0Mno\0\0"), ready), 4);
+        decoder.connectionClosed();
         assertEquals(expected, outcomes.toString());
     }
 
