--- a/src/main/java/honeygap/lab/soak/StandInAppliance.java
+++ b/src/main/java/honeygap/lab/soak/StandInAppliance.java
@@ -151,7 +151,7 @@
         record.arrivals.add(new SoakRecord.Arrival(statement.id(), number, processRestarts, build, zone, firstByteAt,
                 record.now(), statement.timeoutMs(), !refuses && !isKnown));
         if (refuses) {
-            write(socket, PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "no capacity", 0));
+            write(socket, PgMessages.error(PgMessages.TOO_MANY_CONNECTIONS, "no place", 0));
             return true;
         }
         if (hasFault(FaultKind.APPLIANCE_RESETS)) {
--- a/src/main/java/honeygap/manage/host/Manager.java
+++ b/src/main/java/honeygap/manage/host/Manager.java
@@ -180,7 +180,7 @@
                         try (JsonParser parser = new JsonFactory().createParser(response.body())) {
                             handler.handle(response.statusCode(), JsonObject.parse(parser));
                         } catch (IOException | Malformed e) {
-                            reports.get(name).fault = "malformed response";
+                            reports.get(name).fault = "an answer that can't be read";
                             onNoAnswer.run();
                         }
                     }
@@ -206,7 +206,7 @@
                     }
                     scheduler.setDrained(instance.name(), inspection.bool("drained"));
                 } catch (Malformed | NumberFormatException e) {
-                    report.fault = "unexpected response: " + e.getMessage();
+                    report.fault = "an answer that makes no sense: " + e.getMessage();
                 }
             }, () -> { }, () -> { });
         }
@@ -249,7 +249,7 @@
                     if (answer.equals(Ledger.Answer.APPLY.name()) || answer.equals(Ledger.Answer.ALREADY.name())) {
                         scheduler.onAnswer(operation, step, true, textOrEmpty(response, "outcome"));
                     } else if (answer.equals(Ledger.Answer.TOO_LATE.name())) {
-                        scheduler.onAnswer(operation, step, false, "too late: a newer command was executed first");
+                        scheduler.onAnswer(operation, step, false, "too late: a newer command was first");
                     } else if (status >= 400 && status < 500) {
                         scheduler.onAnswer(operation, step, false, textOrEmpty(response, "error"));
                     } else {
@@ -299,7 +299,7 @@
         if (!token.isEmpty() && !java.security.MessageDigest.isEqual(
                 ("Bearer " + token).getBytes(StandardCharsets.UTF_8),
                 String.valueOf(authorization).getBytes(StandardCharsets.UTF_8))) {
-            answer = new Answer(401, "{\"error\":\"missing or wrong token\"}");
+            answer = new Answer(401, "{\"error\":\"a token is wanted, and not this one\"}");
         } else {
             CompletableFuture<Answer> result = new CompletableFuture<>();
             executor.execute(() -> {
@@ -310,7 +310,7 @@
                     runDecisions();
                     result.complete(routed);
                 } catch (UncheckedIOException e) {
-                    result.complete(new Answer(507, "{\"error\":" + quoted("not persisted yet, will retry: "
+                    result.complete(new Answer(507, "{\"error\":" + quoted("not written down yet, tried again: "
                             + e.getCause().getMessage()) + "}"));
                 } catch (NotPersisted e) {
                     result.complete(new Answer(507, "{\"error\":" + quoted(e.getMessage()) + "}"));
@@ -368,7 +368,7 @@
         List<String> instances = new ArrayList<>();
         for (String name : request.text("instances").split(",")) {
             if (settings.instances.stream().noneMatch(instance -> instance.name().equals(name))) {
-                throw new Malformed("unknown instance: " + name);
+                throw new Malformed("no instance goes by the name of " + name);
             }
             instances.add(name);
         }
@@ -403,7 +403,7 @@
         private static final long serialVersionUID = 1;
 
         NotPersisted(IOException cause) {
-            super("operation rejected, it cannot be persisted: " + cause.getMessage(), cause);
+            super("not taken on, it can't be written down: " + cause.getMessage(), cause);
         }
     }
 
--- a/src/main/java/honeygap/replication/exchange/MessageCodec.java
+++ b/src/main/java/honeygap/replication/exchange/MessageCodec.java
@@ -114,7 +114,7 @@
                     nonNegativeAt(values, 2, location),
                     values.get(4) == null ? null : textAt(values, 4, location));
             if (entry.sequence() <= lastSequence) {
-                throw new Malformed(location + ": sequence numbers are not increasing");
+                throw new Malformed(location + ": counts that do not rise");
             }
             lastSequence = entry.sequence();
             entries.add(new Delta.AgedEntry(entry, nonNegativeAt(values, 3, location)));
@@ -123,7 +123,7 @@
             return new Delta(delta.text("owner"), Long.parseLong(delta.text("generation")),
                     Long.parseLong(delta.text("from")), entries);
         } catch (NumberFormatException e) {
-            throw new Malformed(location + ": generation or from is not an integer");
+            throw new Malformed(location + ": generation or from is not a whole number");
         }
     }
 
@@ -137,14 +137,14 @@
 
     private static List<?> requireArray(Object value, int minSize, String location) throws Malformed {
         if (!(value instanceof List<?> values) || values.size() < minSize) {
-            throw new Malformed(location + ": expected an array with a minimum length of " + minSize);
+            throw new Malformed(location + ": a row that is no list of " + minSize);
         }
         return values;
     }
 
     private static String textAt(List<?> values, int index, String location) throws Malformed {
         if (!(values.get(index) instanceof String text)) {
-            throw new Malformed(location + ": expected a string at array index " + index + " of an item");
+            throw new Malformed(location + ": text expected at place " + index + " of a row");
         }
         return text;
     }
@@ -160,6 +160,6 @@
         } catch (NumberFormatException e) {
             // Falls through to the error below.
         }
-        throw new Malformed(location + ": expected a non-negative integer at array index " + index + " of an item");
+        throw new Malformed(location + ": a whole number expected at place " + index + " of a row");
     }
 }
--- a/src/main/java/honeygap/replication/host/TableReplicator.java
+++ b/src/main/java/honeygap/replication/host/TableReplicator.java
@@ -388,7 +388,7 @@
             // A relayed probe waits for another process, so a worker thread has to run it.
             if (!workerPool.offer(WorkKind.PROBE, path, () -> relay(path.substring(RELAY.length()), reply))) {
                 rejectedRequests.incrementAndGet();
-                reply.refuse(new Refusal(503, "busy", "no worker is available for a relayed probe"));
+                reply.refuse(new Refusal(503, "busy", "no worker for it"));
             }
             return;
         }
@@ -396,7 +396,7 @@
             requestExecutor.execute(task);
         } catch (java.util.concurrent.RejectedExecutionException e) {
             rejectedRequests.incrementAndGet();
-            reply.refuse(new Refusal(503, "busy", "too many requests are queued"));
+            reply.refuse(new Refusal(503, "busy", "too much is asked for at once"));
         }
     }
 
@@ -438,7 +438,7 @@
             case "GET /v1/share/members":
                 return membersJson();
             default:
-                throw new Refusal(404, "other path", "no such path");
+                throw new Refusal(404, "other path", "nothing is here");
         }
     }
 
--- a/src/main/java/honeygap/standin/FlagServer.java
+++ b/src/main/java/honeygap/standin/FlagServer.java
@@ -138,7 +138,7 @@
         }
         if (draining || failStatus > 0 && ThreadLocalRandom.current().nextDouble() < failShare) {
             int status = draining ? 503 : failStatus;
-            respond(exchange, status, out -> writeError(out, null, "GENERAL", draining ? "draining" : "injected failure"));
+            respond(exchange, status, out -> writeError(out, null, "GENERAL", draining ? "draining" : "told to fail"));
             return true;
         }
         return false;
@@ -205,7 +205,7 @@
                 case "/standin/flags" -> setFlags(parameters);
                 case "/standin/fail" -> setFailure(parameters.intValue("status", 0), parameters.doubleValue("share", 1));
                 case "/standin/delay" -> setDelay(parameters.intValue("ms", 0));
-                default -> throw new Malformed("unknown path");
+                default -> throw new Malformed("nothing is here");
             }
             respond(exchange, 200, out -> out.writeStringField("version", String.valueOf(flagSet.version)));
         } catch (Malformed e) {
