--- a/src/main/java/honeygap/rules/votes/Voting.java
+++ b/src/main/java/honeygap/rules/votes/Voting.java
@@ -12,7 +12,7 @@
                      double[] stageShares, long advanceDelay, VoteRecord lastVote) {
 
     private static final String[] VERDICTS =
-            {"withdraws its vote", "votes to advance", "votes to hold", "votes to roll back"};
+            {"takes its vote away", "votes on", "votes hold", "votes back"};
     /** Probability of being worse above which the vote is to roll back. */
     private static final double ROLLBACK_PROBABILITY = 0.95;
     /** Probability of being worse by wrong answers and ended picks above which the vote to advance is delayed. */
@@ -45,7 +45,7 @@
         }
         if (verdict != lastVote.verdict) {
             lastVote.pendingNote = String.format(
-                    "%s: build %d, stage %d; failures %s; failures seen by all %s; slowness %s; wrong answers %s",
+                    "%s: build %d, stage %d; failures %s; all %s; slowed %s; wrong %s",
                     VERDICTS[verdict], fleet.newestBuild.number, fleet.stage, failureEvidence.inFlightFit,
                     deskCounts.fits, slownessEvidence.fit, failureEvidence.answerFit);
         }
