--- a/src/main/java/honeygap/net/admin/LedgerFile.java
+++ b/src/main/java/honeygap/net/admin/LedgerFile.java
@@ -124,7 +124,7 @@
                     fields.text("outcome")));
         } catch (Malformed | IOException e) {
             if (!isLast) {
-                throw new IOException(file + ": malformed ledger line: " + e.getMessage(), e);
+                throw new IOException(file + ": a line that can't be read: " + e.getMessage(), e);
             }
         }
     }
